--- a/src/net/client/request_validator.cpp
+++ b/src/net/client/request_validator.cpp
@@ -16,20 +16,24 @@
 constexpr std::uint64_t kCustomers = 1ULL << 33;  // customers are numbers below this
 constexpr double kMostNumber = 1e15;              // of a header; what is larger is no honest figure
 
-std::string_view view(boost::beast::string_view s) { return {s.data(), s.size()}; }
+std::string_view view(boost::beast::string_view s) {
+  return {s.data(), s.size()};
+}
 
 double number(std::string_view text, const char* what) {
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value);
-  if (ec != std::errc() || stop != end || !std::isfinite(value) || std::abs(value) > kMostNumber)
+  if (ec != std::errc() || stop != end || !std::isfinite(value) || std::abs(value) > kMostNumber) {
     throw BadMessage(std::string("bad ") + what);
+  }
   return value;
 }
 
 int whole(double value, int least, int most, const char* what) {
-  if (value < least || value > most || value != std::floor(value))
+  if (value < least || value > most || value != std::floor(value)) {
     throw BadMessage(std::string("bad ") + what);
+  }
   return int(value);
 }
 
@@ -43,27 +47,40 @@
 std::string_view field(const Request& r, Name name, const char* what, bool needed = true) {
   const auto [first, last] = r.equal_range(name);
   if (first == last) {
-    if (needed) throw BadMessage(std::string("no ") + what);
+    if (needed) {
+      throw BadMessage(std::string("no ") + what);
+    }
     return {};
   }
-  if (std::next(first) != last) throw BadMessage(std::string("more than one ") + what);
+  if (std::next(first) != last) {
+    throw BadMessage(std::string("more than one ") + what);
+  }
   const auto value = view(first->value());
-  if (needed && value.empty()) throw BadMessage(std::string("no ") + what);
+  if (needed && value.empty()) {
+    throw BadMessage(std::string("no ") + what);
+  }
   return value;
 }
 
 std::string plain_field(const Request& r, const char* name, bool needed) {
   const auto value = field(r, name, name, needed);
-  if (value.size() > kMostId || !is_plain(value)) throw BadMessage(std::string("bad ") + name);
+  if (value.size() > kMostId || !is_plain(value)) {
+    throw BadMessage(std::string("bad ") + name);
+  }
   return std::string(value);
 }
 
 // No longer than the class allows: what is held beyond that earns nothing.
 Micros parse_patience(std::string_view text, const ClassSettings& cls) {
   const char unit = text.back();
-  if (unit != 'm' && unit != 'u') throw BadMessage("bad X-Expires-In");
-  const double value = number(text.substr(0, text.size() - 1), "X-Expires-In") * (unit == 'm' ? 1000 : 1);
-  if (value < 1) throw BadMessage("bad X-Expires-In");
+  if (unit != 'm' && unit != 'u') {
+    throw BadMessage("bad X-Expires-In");
+  }
+  const double value =
+      number(text.substr(0, text.size() - 1), "X-Expires-In") * (unit == 'm' ? 1000 : 1);
+  if (value < 1) {
+    throw BadMessage("bad X-Expires-In");
+  }
   return Micros(std::min(value, double(cls.deadline)));
 }
 
@@ -77,17 +94,26 @@
     text.remove_prefix(std::min(comma + 1, text.size()));
     part.remove_prefix(std::min(part.find_first_not_of(' '), part.size()));
     const auto equals = part.find('=');
-    if (equals == std::string_view::npos) throw BadMessage("bad Quota-Info");
+    if (equals == std::string_view::npos) {
+      throw BadMessage("bad Quota-Info");
+    }
     const double value = number(part.substr(equals + 1), "Quota-Info");
-    for (std::size_t i = 0; i < kNames.size(); ++i)
+    for (std::size_t i = 0; i < kNames.size(); ++i) {
       if (part.substr(0, equals) == kNames[i]) {
-        if (std::exchange(said[i], true)) throw BadMessage("bad Quota-Info");
+        if (std::exchange(said[i], true)) {
+          throw BadMessage("bad Quota-Info");
+        }
         values[i] = value;
       }
+    }
+  }
+  if (!said[0] || !said[1] || !said[2]) {
+    throw BadMessage("bad Quota-Info");
   }
-  if (!said[0] || !said[1] || !said[2]) throw BadMessage("bad Quota-Info");
   out.units = values[0];
-  if (out.units <= 0 || out.units > settings.largest_units) throw BadMessage("units are out of range");
+  if (out.units <= 0 || out.units > settings.largest_units) {
+    throw BadMessage("units are out of range");
+  }
   out.set_size = whole(values[1], 1, settings.gateways, "spread");
   out.first_gateway = whole(values[2], 0, settings.gateways - 1, "first");
 }
@@ -97,8 +123,9 @@
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value, 16);
-  if (text.size() != 16 || ec != std::errc() || stop != end || value >= kCustomers)
+  if (text.size() != 16 || ec != std::errc() || stop != end || value >= kCustomers) {
     throw BadMessage("no customer in the path");
+  }
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
                  [](char c) { return c >= 'A' && c <= 'F' ? c + 32 : c; });
@@ -107,19 +134,27 @@
 
 template <typename Named>
 const Named& named(const std::vector<Named>& all, std::string_view name, const char* what) {
-  const auto it = std::find_if(all.begin(), all.end(), [&](const Named& n) { return n.name == name; });
-  if (it == all.end()) throw BadMessage(std::string("no such ") + what);
+  const auto it =
+      std::find_if(all.begin(), all.end(), [&](const Named& n) { return n.name == name; });
+  if (it == all.end()) {
+    throw BadMessage(std::string("no such ") + what);
+  }
   return *it;
 }
 
 void check_method(const Request& r, const ClassSettings& cls) {
   const bool safe = cls.repeat == Repeat::kSafe;
-  if (r.method() != (safe ? http::verb::get : http::verb::post))
+  if (r.method() != (safe ? http::verb::get : http::verb::post)) {
     throw BadMessage("the method does not fit the class");
+  }
   const auto length = r[http::field::content_length];
-  if (safe && length.find_first_not_of('0') != length.npos) throw BadMessage("a body where none belongs");
-  if (!safe && r.count(http::field::content_length) == 0 && r.count(http::field::transfer_encoding) == 0)
+  if (safe && length.find_first_not_of('0') != length.npos) {
+    throw BadMessage("a body where none belongs");
+  }
+  if (!safe && r.count(http::field::content_length) == 0 &&
+      r.count(http::field::transfer_encoding) == 0) {
     throw BadMessage("no length", 411);
+  }
 }
 
 }  // namespace
@@ -130,7 +165,9 @@
   const std::string_view target = view(r.target());
   const std::string_view path = target.substr(0, target.find('?'));
   const auto slash = path.rfind('/');
-  if (path.empty() || path[0] != '/' || slash == 0 || !is_plain(target)) throw BadMessage("bad path");
+  if (path.empty() || path[0] != '/' || slash == 0 || !is_plain(target)) {
+    throw BadMessage("bad path");
+  }
   a.customer = parse_customer(path.substr(slash + 1));
   const auto& cls = named(settings.classes, path.substr(1, path.find('/', 1) - 1), "class");
   a.request_class = cls.name;
--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -1,4 +1,5 @@
-// Reads a gateway's configuration, in which the list of servers may be far larger than all the rest.
+// Reads a gateway's configuration, in which the list of servers may be far larger than all the
+// rest.
 #pragma once
 
 #include <istream>
@@ -15,8 +16,8 @@
 
 enum class Known { kKept, kOnlyChecked };
 
-// Reads a file piece by piece, without a tree of the members of `known`: of 170,000 it took 400 MB. All of
-// this throws std::exception with a message of one line.
+// Reads a file piece by piece, without a tree of the members of `known`: of 170,000 it took 400 MB.
+// All of this throws std::exception with a message of one line.
 class ConfigReader {
  public:
   enum class Known { kKept, kOnlyChecked };
@@ -33,8 +34,8 @@
 };
 // All but `known`.
 Config parse_config(const nlohmann::json& tree);
-// Throws if a key that `was` had is missing. Most have a value to fall back on, which is right for a gateway
-// that never knew them, but not what the writer of a changed file meant.
+// Throws if a key that `was` had is missing. Most have a value to fall back on, which is right for
+// a gateway that never knew them, but not what the writer of a changed file meant.
 void check_complete(const nlohmann::json& was, const nlohmann::json& is);
 
 }  // namespace quota_gateway::net
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -1,5 +1,6 @@
-// The client of the quota counter: one connection, calls one behind another, each with our own time-out.
-// Its handlers and timers share it, so that one that retires may be let go of while calls are under way.
+// The client of the quota counter: one connection, calls one behind another, each with our own
+// time-out. Its handlers and timers share it, so that one that retires may be let go of while calls
+// are under way.
 #pragma once
 
 #include <hiredis/read.h>
@@ -11,8 +12,8 @@
 #include <memory>
 #include <string>
 
-#include "quota_gateway/gateway.hpp"
 #include "net/event_loop/timers.hpp"
+#include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
@@ -23,7 +24,8 @@
           boost::asio::ip::tcp::endpoint address, Micros call_timeout, Micros dial_timeout,
           Answered answered);
   void start();
-  // Takes no more calls and closes once those under way are answered or given up; never connects again.
+  // Takes no more calls and closes once those under way are answered or given up; never connects
+  // again.
   void retire();
   // Exactly one answer follows, never from within this call.
   void add(const AddToCounter& call);
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -17,27 +17,33 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// What a silent watch misses counts as told 6 s after it fell silent, and an empty line comes every 2 s.
-constexpr Micros kQuiet = 3'000'000;  // us; a heartbeat missed and some, so that a second try still fits in
+// What a silent watch misses counts as told 6 s after it fell silent, and an empty line comes every
+// 2 s.
+constexpr Micros kQuiet =
+    3'000'000;  // us; a heartbeat missed and some, so that a second try still fits in
 constexpr Micros kFirstBackoff = 100'000, kMostBackoff = 1'000'000;
-// Danger: what an agent beside us has counts as told at once, also when it comes back, and 250 ms later
-// nothing new may go to who drains. So the two of these together stay under that.
+// Danger: what an agent beside us has counts as told at once, also when it comes back, and 250 ms
+// later nothing new may go to who drains. So the two of these together stay under that.
 constexpr Micros kAnswerWithin = 120'000;  // us from connecting to the first byte
 constexpr Micros kFirstPause = 20'000, kMostPause = 60'000;
-constexpr Micros kAskedWithin = 5'000'000;  // us of the same where lists are asked for: calls wait in line
-constexpr Micros kStoodStill = 30'000;      // us late at our own timer: not the agent is late but we are
-constexpr Micros kTurnedAway = 1'000'000;   // first wait after that, at the most
+constexpr Micros kAskedWithin =
+    5'000'000;  // us of the same where lists are asked for: calls wait in line
+constexpr Micros kStoodStill =
+    30'000;  // us late at our own timer: not the agent is late but we are
+constexpr Micros kTurnedAway = 1'000'000;       // first wait after that, at the most
 constexpr Micros kMostRetryAfter = 30'000'000;  // that is followed
 constexpr std::size_t kMostPending = 64 << 10;  // bytes that are no HTTP yet
 constexpr std::size_t kMostAround = 64 << 10;   // bytes of a list that are not its members
-constexpr std::size_t kTextForMemory = 8;       // a member's text, indented, takes four times its memory
-// us without any more of a list, or from its first byte to its last where it is small. Danger: what it holds
-// counts as told meanwhile, as above.
+constexpr std::size_t kTextForMemory = 8;  // a member's text, indented, takes four times its memory
+// us without any more of a list, or from its first byte to its last where it is small. Danger: what
+// it holds counts as told meanwhile, as above.
 constexpr Micros kListWithin = 150'000, kAskedListWithin = 1'000'000;
-// Danger: one that trickles is never without more of it, and one of 22 MB can't be there in 150 ms. So each
-// byte earns a list more time, that is half a MB a second, but never more than so much ahead.
+// Danger: one that trickles is never without more of it, and one of 22 MB can't be there in 150 ms.
+// So each byte earns a list more time, that is half a MB a second, but never more than so much
+// ahead.
 constexpr Micros kMicrosForByte = 2, kMostAhead = 1'000'000;
-constexpr int kPeekBuffer = 1152, kSmallBuffer = 16384, kWideBuffer = 1 << 20;  // bytes that wait for us
+constexpr int kPeekBuffer = 1152, kSmallBuffer = 16384,
+              kWideBuffer = 1 << 20;  // bytes that wait for us
 constexpr Micros kLogEvery = 10'000'000;
 
 }  // namespace
@@ -59,9 +65,12 @@
       backoff_(pushed_ ? kFirstPause : kFirstBackoff, pushed_ ? kMostPause : kMostBackoff, seed),
       turned_away_(kTurnedAway, std::max(kTurnedAway, most_wait), seed + 1) {}
 
-void Discovery::start() { connect(); }
+void Discovery::start() {
+  connect();
+}
 
-// Danger: another agent may not know our revision; what was told between would be lost. So the whole list.
+// Danger: another agent may not know our revision; what was told between would be lost. So the
+// whole list.
 void Discovery::move_to(tcp::endpoint agent) {
   agent_ = std::move(agent);
   whole_ = moved_ = true;
@@ -73,15 +82,24 @@
   lost("moves to another agent");
 }
 
-Micros Discovery::patience() const { return spoke_ ? kQuiet : pushed_ ? kAnswerWithin : kAskedWithin; }
+Micros Discovery::patience() const {
+  return spoke_ ? kQuiet : pushed_ ? kAnswerWithin : kAskedWithin;
+}
 
-// Danger: a watch can break without a word, and an agent can accept and never say one. Danger: when this
-// process stood still, what came meanwhile lies unread; only time in which the loop ran counts.
+// Danger: a watch can break without a word, and an agent can accept and never say one. Danger: when
+// this process stood still, what came meanwhile lies unread; only time in which the loop ran
+// counts.
 void Discovery::watch_quiet(int life, Micros due) {
-  if (life != life_) return;
+  if (life != life_) {
+    return;
+  }
   const Micros now = clock_.now();
-  if (now - due > kStoodStill) heard_ = std::max(heard_, now - patience() + kStoodStill);
-  if (now - heard_ >= patience()) return lost("quiet");
+  if (now - due > kStoodStill) {
+    heard_ = std::max(heard_, now - patience() + kStoodStill);
+  }
+  if (now - heard_ >= patience()) {
+    return lost("quiet");
+  }
   const Micros next = heard_ + patience();
   timers_.at(next, [this, life, next] { watch_quiet(life, next); });
 }
@@ -99,54 +117,74 @@
   socket_ = tcp::socket(io_);
   error_code failed;
   socket_.open(agent_.protocol(), failed);
-  if (failed) return lost(failed.message());
+  if (failed) {
+    return lost(failed.message());
+  }
   const std::size_t most = tries_.most(heard_);
   narrow_ = false;
   narrow(most == ListTries::kAll ? 0 : most <= limits_.peek ? kPeekBuffer : kSmallBuffer);
   socket_.async_connect(agent_, [this, life](error_code ec) {
-    if (life != life_) return;
+    if (life != life_) {
+      return;
+    }
     ec ? lost(ec.message()) : request(life);
   });
 }
 
-// Danger: what an agent has sent has gone over the wire, read or not, and the system takes megabytes ahead.
+// Danger: what an agent has sent has gone over the wire, read or not, and the system takes
+// megabytes ahead.
 void Discovery::narrow(int buffer) {
-  if (!narrow_ && buffer == 0) return;
+  if (!narrow_ && buffer == 0) {
+    return;
+  }
   narrow_ = buffer > 0;
   error_code ignored;
-  socket_.set_option(asio::socket_base::receive_buffer_size(narrow_ ? buffer : kWideBuffer), ignored);
+  socket_.set_option(asio::socket_base::receive_buffer_size(narrow_ ? buffer : kWideBuffer),
+                     ignored);
 }
 
 // Danger: a whole list may be what fails, while changes after the list in force would still come.
 void Discovery::request(int life) {
   request_ = "GET /catalog/members?watch=1";
-  if (!moved_ && (!whole_ || narrow_)) request_ += "&after=" + std::to_string(revision_);
+  if (!moved_ && (!whole_ || narrow_)) {
+    request_ += "&after=" + std::to_string(revision_);
+  }
   request_ += " HTTP/1.1\r\nHost: " + agent_.address().to_string() + "\r\n\r\n";
   asio::async_write(socket_, asio::buffer(request_), [this, life](error_code ec, std::size_t) {
-    if (life == life_ && ec) lost(ec.message());
+    if (life == life_ && ec) {
+      lost(ec.message());
+    }
   });
   read(life);
 }
 
 void Discovery::read(int life) {
   const std::size_t most = narrow_ ? std::min(limits_.peek, chunk_.size()) : chunk_.size();
-  socket_.async_read_some(asio::buffer(chunk_, most), [this, life](error_code ec, std::size_t size) {
-    if (life != life_) return;
-    if (ec) return lost(ec.message());
-    heard_ = clock_.now();
-    spoke_ = true;
-    try {
-      took(size);
-    } catch (const TooLarge& e) {
-      whole_ = true;
-      return lost(e.what(), ListTries::Cause::kTooLarge);
-    } catch (const std::exception& e) {
-      // Danger: what was not understood is a gap; only the whole list closes it.
-      whole_ = true;
-      return lost(e.what());
-    }
-    if (life == life_) read(life);
-  });
+  socket_.async_read_some(asio::buffer(chunk_, most),
+                          [this, life](error_code ec, std::size_t size) {
+                            if (life != life_) {
+                              return;
+                            }
+                            if (ec) {
+                              return lost(ec.message());
+                            }
+                            heard_ = clock_.now();
+                            spoke_ = true;
+                            try {
+                              took(size);
+                            } catch (const TooLarge& e) {
+                              whole_ = true;
+                              return lost(e.what(), ListTries::Cause::kTooLarge);
+                            } catch (const std::exception& e) {
+                              // Danger: what was not understood is a gap; only the whole list
+                              // closes it.
+                              whole_ = true;
+                              return lost(e.what());
+                            }
+                            if (life == life_) {
+                              read(life);
+                            }
+                          });
 }
 
 void Discovery::took(std::size_t size) {
@@ -155,44 +193,64 @@
     error_code ec;
     const std::size_t used = parser_->put(asio::buffer(pending_), ec);
     pending_.erase(0, used);
-    if (ec && ec != http::error::need_more) throw std::runtime_error(ec.message());
-    if (used == 0) break;
+    if (ec && ec != http::error::need_more) {
+      throw std::runtime_error(ec.message());
+    }
+    if (used == 0) {
+      break;
+    }
+  }
+  if (!parser_->is_header_done()) {
+    return;
   }
-  if (!parser_->is_header_done()) return;
   if (parser_->get().result() != http::status::ok) {
     const auto after = parser_->get()[http::field::retry_after];
     double seconds = 0;
     std::from_chars(after.data(), after.data() + after.size(), seconds);
-    // Behind what it told: many are told the same. Where lists are pushed there is no line to keep short.
-    if (!pushed_)
-      refused_ = Micros(std::clamp(seconds * 1e6, 0.0, double(kMostRetryAfter))) + turned_away_.next();
+    // Behind what it told: many are told the same. Where lists are pushed there is no line to keep
+    // short.
+    if (!pushed_) {
+      refused_ =
+          Micros(std::clamp(seconds * 1e6, 0.0, double(kMostRetryAfter))) + turned_away_.next();
+    }
     throw std::runtime_error("status " + std::to_string(parser_->get().result_int()));
   }
   answers_();
   text(std::exchange(parser_->get().body(), {}));
-  if (pending_.size() > kMostPending) throw std::runtime_error("no HTTP");
-  if (list_) came(size);
-  if (parser_->is_done()) lost("the watch ended");
+  if (pending_.size() > kMostPending) {
+    throw std::runtime_error("no HTTP");
+  }
+  if (list_) {
+    came(size);
+  }
+  if (parser_->is_done()) {
+    lost("the watch ended");
+  }
 }
 
-// A list is over where its brackets are, not where its line is: it may come indented. An empty line between
-// two is a heartbeat.
+// A list is over where its brackets are, not where its line is: it may come indented. An empty line
+// between two is a heartbeat.
 void Discovery::text(std::string_view piece) {
   while (!piece.empty()) {
     if (!list_) {
-      if (piece[0] == '\n') heard();
+      if (piece[0] == '\n') {
+        heard();
+      }
       if (std::string_view(" \t\r\n").find(piece[0]) != std::string_view::npos) {
         piece.remove_prefix(1);
         continue;
       }
-      if (piece[0] != '{') throw std::runtime_error("no list");
+      if (piece[0] != '{') {
+        throw std::runtime_error("no list");
+      }
       begin_list();
     }
     piece.remove_prefix(list_->take(piece));
-    if (list_->done())
+    if (list_->done()) {
       end_list();
-    else
+    } else {
       judge();
+    }
   }
 }
 
@@ -205,9 +263,12 @@
   judged_ = false;
 }
 
-// Danger: a list that fails again and again is left as soon as it can be told from one that would not.
+// Danger: a list that fails again and again is left as soon as it can be told from one that would
+// not.
 void Discovery::judge() {
-  if (most_ == ListTries::kAll) return;
+  if (most_ == ListTries::kAll) {
+    return;
+  }
   if (const auto head = judged_ ? std::nullopt : list_->head()) {
     judged_ = true;
     // What does not say so before its members may be whole.
@@ -216,28 +277,40 @@
       most_ = ListTries::kAll;
       return narrow(0);
     }
-    if (whole && most_ <= limits_.peek && failed_ && failed_->revision == head->revision)
+    if (whole && most_ <= limits_.peek && failed_ && failed_->revision == head->revision) {
       throw std::runtime_error("the list that failed");
+    }
+  }
+  if (list_->bytes() >= most_) {
+    throw std::runtime_error("a whole list, so soon after one that failed");
   }
-  if (list_->bytes() >= most_) throw std::runtime_error("a whole list, so soon after one that failed");
 }
 
 void Discovery::end_list() {
   heard();
   MemberList list = list_->list(list_->rest());
-  // Danger: a discovery that has lost its own list would take every server from all gateways at once.
-  if (list.complete && list.members.empty()) throw std::runtime_error("an empty list");
+  // Danger: a discovery that has lost its own list would take every server from all gateways at
+  // once.
+  if (list.complete && list.members.empty()) {
+    throw std::runtime_error("an empty list");
+  }
   list_.reset();
   narrow(0);
   revision_ = list.revision;
   whole_ = false;
-  if (list.complete) moved_ = false;
-  if (list.complete || (failed_ && !failed_->complete.value_or(true))) failed_.reset();
+  if (list.complete) {
+    moved_ = false;
+  }
+  if (list.complete || (failed_ && !failed_->complete.value_or(true))) {
+    failed_.reset();
+  }
   tries_.succeeded(list.complete);
   told_(std::move(list));
 }
 
-Micros Discovery::list_within() const { return pushed_ ? kListWithin : kAskedListWithin; }
+Micros Discovery::list_within() const {
+  return pushed_ ? kListWithin : kAskedListWithin;
+}
 
 // Some of a list that is not over yet.
 void Discovery::came(std::size_t size) {
@@ -246,12 +319,16 @@
   came_ = now;
   pace_ = std::min((first ? now + list_within() : pace_) + Micros(size) * kMicrosForByte,
                    now + std::max(kMostAhead, list_within()));
-  if (first) watch_list(life_, begun_, now);
+  if (first) {
+    watch_list(life_, begun_, now);
+  }
 }
 
 // Danger: as with a quiet watch, only time in which the loop ran counts.
 void Discovery::watch_list(int life, int begun, Micros due) {
-  if (life != life_ || begun != begun_ || !list_) return;
+  if (life != life_ || begun != begun_ || !list_) {
+    return;
+  }
   const Micros now = clock_.now();
   if (now - due > kStoodStill) {
     came_ = std::max(came_, now - list_within() + kStoodStill);
@@ -268,14 +345,17 @@
 void Discovery::heard() {
   backoff_.reset();
   turned_away_.reset();
-  if (lost_at_ > 0) std::cerr << "discovery: back after " << (clock_.now() - lost_at_) / 1000 << " ms\n";
+  if (lost_at_ > 0) {
+    std::cerr << "discovery: back after " << (clock_.now() - lost_at_) / 1000 << " ms\n";
+  }
   lost_at_ = 0;
 }
 
 // Returns how long to wait before the next is asked for.
 Micros Discovery::give_up_list(const std::string& why, ListTries::Cause cause) {
   const Micros now = clock_.now();
-  const std::size_t bytes = list_->bytes(), members = list_->members();
+  const std::size_t bytes = list_->bytes();
+  const std::size_t members = list_->members();
   if (most_ > limits_.peek) {
     try {
       failed_ = list_->head().value_or(MemberReader::Head{});
@@ -307,9 +387,13 @@
     logged_ = now;
     std::cerr << "discovery: " << why << "; watching again from " << revision_ << '\n';
   }
-  if (lost_at_ == 0) lost_at_ = now;
+  if (lost_at_ == 0) {
+    lost_at_ = now;
+  }
   timers_.after(wait, [this, life] {
-    if (life == life_) connect();
+    if (life == life_) {
+      connect();
+    }
   });
 }
 
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -10,25 +10,28 @@
 #include <string>
 #include <string_view>
 
-#include "quota_gateway/gateway.hpp"
-#include "net/discovery/list_retry_policy.hpp"
 #include "net/discovery/endpoint_list_parser.hpp"
+#include "net/discovery/list_retry_policy.hpp"
 #include "net/event_loop/timers.hpp"
+#include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
 class Discovery {
  public:
   using Told = std::function<void(MemberList)>;
-  // `spoke` comes first: the agent answers, whether it has news or not. `most_wait`: between two calls where
-  // lists are asked for and discovery turns us away; 0: lists are pushed, and an agent beside us answers at
-  // once and at no cost. `limits`: what a list may take, and what those that come to nothing may cost.
+  // `spoke` comes first: the agent answers, whether it has news or not. `most_wait`: between two
+  // calls where lists are asked for and discovery turns us away; 0: lists are pushed, and an agent
+  // beside us answers at once and at no cost. `limits`: what a list may take, and what those that
+  // come to nothing may cost.
   Discovery(
-      boost::asio::io_context& io, Timers& timers, const Clock& clock, boost::asio::ip::tcp::endpoint agent,
-      std::int64_t revision, Told told, std::uint64_t seed = 0, Micros most_wait = 0,
-      std::function<void()> spoke = [] {}, ListLimits limits = {});
+      boost::asio::io_context& io, Timers& timers, const Clock& clock,
+      boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Told told,
+      std::uint64_t seed = 0, Micros most_wait = 0, std::function<void()> spoke = [] {},
+      ListLimits limits = {});
   void start();
-  // Watches another agent from now on; what the old one told stands until the new one has told its list.
+  // Watches another agent from now on; what the old one told stands until the new one has told its
+  // list.
   void move_to(boost::asio::ip::tcp::endpoint agent);
 
  private:
@@ -71,10 +74,10 @@
   std::size_t most_ = 0;                      // bytes of it that may be read
   bool judged_ = false;                       // it is known what it is
   std::optional<MemberReader::Head> failed_;  // of the last list that failed
-  Micros came_ = 0, pace_ = 0;                // when some of it last came; by when more of it must have come
-  int begun_ = 0;                             // lists, so far
-  bool narrow_ = false;                       // little of what this connection brings may be read
-  int life_ = 0;                              // of the connection; handlers of earlier ones mean nothing
+  Micros came_ = 0, pace_ = 0;  // when some of it last came; by when more of it must have come
+  int begun_ = 0;               // lists, so far
+  bool narrow_ = false;         // little of what this connection brings may be read
+  int life_ = 0;                // of the connection; handlers of earlier ones mean nothing
   Micros heard_ = 0;
   bool spoke_ = false;   // some of an answer has come on this connection
   Backoff backoff_;      // after a watch that broke or never came up: a matter of this gateway
--- a/src/net/discovery/endpoint_list_parser.cpp
+++ b/src/net/discovery/endpoint_list_parser.cpp
@@ -15,22 +15,33 @@
 constexpr std::size_t kMostMember = 64 << 10;  // bytes
 constexpr std::size_t kMostKey = 256;          // bytes of a key that are looked at
 
-constexpr bool is_space(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+constexpr bool is_space(char c) {
+  return c == ' ' || c == '\t' || c == '\r' || c == '\n';
+}
 
 ServerState parse_state(const std::string& phase) {
-  if (phase == "draining") return ServerState::kDraining;
-  if (phase == "removed") return ServerState::kRemoved;
-  if (phase == "up") return ServerState::kUp;
+  if (phase == "draining") {
+    return ServerState::kDraining;
+  }
+  if (phase == "removed") {
+    return ServerState::kRemoved;
+  }
+  if (phase == "up") {
+    return ServerState::kUp;
+  }
   throw std::runtime_error("unknown phase " + phase);
 }
 
 // Danger: a key may be written with escapes; what is looked for has to be found all the same.
 std::string key_of(const std::string& token) {
-  if (token.size() >= kMostKey || token.find('\\') == std::string::npos) return token;
+  if (token.size() >= kMostKey || token.find('\\') == std::string::npos) {
+    return token;
+  }
   return json::parse('"' + token + '"').get<std::string>();
 }
 
-// Parses a member without a tree, which takes twice the time. A key that comes twice counts as it came last.
+// Parses a member without a tree, which takes twice the time. A key that comes twice counts as it
+// came last.
 class MemberHandler {
  public:
   void reset() {
@@ -45,11 +56,15 @@
   // Of its keys and the kinds of its values.
   std::uint64_t shape() const { return shape_; }
   const Member& member() {
-    if (!has_id_ || !has_phase_) throw std::runtime_error("a member without id or phase");
+    if (!has_id_ || !has_phase_) {
+      throw std::runtime_error("a member without id or phase");
+    }
     MemberEntry& e = member_.entry;
     e.state = parse_state(phase_);
     if (e.state != ServerState::kRemoved || has_address_) {
-      if (!has_address_) throw std::runtime_error("no address of '" + e.server + "'");
+      if (!has_address_) {
+        throw std::runtime_error("no address of '" + e.server + "'");
+      }
       member_.address = parse_endpoint(address_);
     }
     return member_;
@@ -66,12 +81,24 @@
   }
   bool string(std::string& value) {
     mix('s');
-    if (is_number()) wrong();
-    if (!is_text()) return true;
-    if (field_ == Field::kId) has_id_ = true, member_.entry.server.swap(value);
-    if (field_ == Field::kPhase) has_phase_ = true, phase_.swap(value);
-    if (field_ == Field::kAddress) has_address_ = true, address_.swap(value);
-    if (field_ == Field::kZone) member_.entry.zone.swap(value);
+    if (is_number()) {
+      wrong();
+    }
+    if (!is_text()) {
+      return true;
+    }
+    if (field_ == Field::kId) {
+      has_id_ = true, member_.entry.server.swap(value);
+    }
+    if (field_ == Field::kPhase) {
+      has_phase_ = true, phase_.swap(value);
+    }
+    if (field_ == Field::kAddress) {
+      has_address_ = true, address_.swap(value);
+    }
+    if (field_ == Field::kZone) {
+      member_.entry.zone.swap(value);
+    }
     return true;
   }
   bool binary(json::binary_t&) { return other('y'); }
@@ -81,7 +108,9 @@
   bool end_array() { return close(']'); }
   bool key(std::string& key) {
     mix(std::hash<std::string>{}(key));
-    if (depth_ == 1) field_ = field_of(key);
+    if (depth_ == 1) {
+      field_ = field_of(key);
+    }
     return true;
   }
   bool parse_error(std::size_t, const std::string&, const json::exception& e) {
@@ -89,24 +118,33 @@
   }
 
  private:
-  static constexpr std::int64_t kMost = std::int64_t(1) << 52;  // far above any time in milliseconds
-  void mix(std::uint64_t value) { shape_ = (shape_ ^ value) * 0x9e3779b97f4a7c15u + (shape_ >> 29); }
+  static constexpr std::int64_t kMost = std::int64_t(1)
+                                        << 52;  // far above any time in milliseconds
+  void mix(std::uint64_t value) {
+    shape_ = (shape_ ^ value) * 0x9e3779b97f4a7c15U + (shape_ >> 29);
+  }
   enum class Field { kOther, kId, kPhase, kAddress, kZone, kKind, kCell, kWeight, kStartedAt };
   static constexpr std::array<std::string_view, 9> kKeys = {
       "", "id", "phase", "host_port", "locality", "flavor", "cell", "size", "up_since_ms"};
   static Field field_of(const std::string& key) {
-    for (std::size_t i = 1; i < kKeys.size(); ++i)
-      if (key == kKeys[i]) return Field(i);
+    for (std::size_t i = 1; i < kKeys.size(); ++i) {
+      if (key == kKeys[i]) {
+        return Field(i);
+      }
+    }
     return Field::kOther;
   }
   bool is_number() const { return depth_ == 1 && field_ >= Field::kCell; }
   bool is_text() const { return depth_ == 1 && field_ != Field::kOther && field_ < Field::kCell; }
   [[noreturn]] void wrong() const {
-    throw std::runtime_error("a member with another kind of " + std::string(kKeys[std::size_t(field_)]));
+    throw std::runtime_error("a member with another kind of " +
+                             std::string(kKeys[std::size_t(field_)]));
   }
   bool other(char kind) {
     mix(std::uint64_t(kind));
-    if (is_number() || is_text()) wrong();
+    if (is_number() || is_text()) {
+      wrong();
+    }
     return true;
   }
   bool open(char kind) {
@@ -121,12 +159,24 @@
   }
   bool number(double value, std::int64_t whole) {
     mix('0');
-    if (is_text()) wrong();
-    if (!is_number()) return true;
-    if (std::abs(whole) >= kMost) throw std::runtime_error("a number of a member is out of range");
-    if (field_ == Field::kCell) member_.entry.cell = whole;
-    if (field_ == Field::kWeight) member_.entry.weight = value;
-    if (field_ == Field::kStartedAt) member_.entry.started_at = whole * 1000;
+    if (is_text()) {
+      wrong();
+    }
+    if (!is_number()) {
+      return true;
+    }
+    if (std::abs(whole) >= kMost) {
+      throw std::runtime_error("a number of a member is out of range");
+    }
+    if (field_ == Field::kCell) {
+      member_.entry.cell = whole;
+    }
+    if (field_ == Field::kWeight) {
+      member_.entry.weight = value;
+    }
+    if (field_ == Field::kStartedAt) {
+      member_.entry.started_at = whole * 1000;
+    }
     return true;
   }
 
@@ -143,14 +193,19 @@
 tcp::endpoint parse_endpoint(const std::string& text) {
   const auto colon = text.rfind(':');
   unsigned port = 0;
-  if (colon == std::string::npos) throw std::runtime_error("no port in address '" + text + "'");
+  if (colon == std::string::npos) {
+    throw std::runtime_error("no port in address '" + text + "'");
+  }
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data() + colon + 1, end, port);
-  if (ec != std::errc() || stop != end || port > 65535)
+  if (ec != std::errc() || stop != end || port > 65535) {
     throw std::runtime_error("bad port in address '" + text + "'");
+  }
   boost::system::error_code bad;
   const auto address = boost::asio::ip::make_address(text.substr(0, colon), bad);
-  if (bad) throw std::runtime_error("bad address '" + text + "'");
+  if (bad) {
+    throw std::runtime_error("bad address '" + text + "'");
+  }
   return {address, static_cast<unsigned short>(port)};
 }
 
@@ -161,15 +216,19 @@
 }
 
 std::size_t memory(const Member& m) {
-  constexpr std::size_t kWithin = 15,
-                        kBlock = 24;  // bytes of a text that lie in the string itself; of malloc
+  constexpr std::size_t kWithin = 15;
+  constexpr std::size_t kBlock = 24;  // bytes of a text that lie in the string itself; of malloc
   std::size_t out = sizeof(Member) + kBlock / 3;
-  for (const std::string* text : {&m.entry.server, &m.entry.zone})
-    if (text->capacity() > kWithin) out += text->capacity() + kBlock;
+  for (const std::string* text : {&m.entry.server, &m.entry.zone}) {
+    if (text->capacity() > kWithin) {
+      out += text->capacity() + kBlock;
+    }
+  }
   return out;
 }
 
-// ---- From text ----------------------------------------------------------------------------------------
+// ---- From text
+// ----------------------------------------------------------------------------------------
 MemberReader::MemberReader(std::vector<std::string> path, ReadLimits limits, Keep keep)
     : path_(std::move(path)), limits_(limits), keep_(keep), keys_(path_.size() + 1) {}
 
@@ -177,15 +236,18 @@
   std::size_t at = 0;
   bytes_ += piece.size();
   while (at < piece.size() && !done_) {
-    if (member_depth_ > 0 || (in_array_ && piece[at] == '{' && next_ != Next::kComma))
+    if (member_depth_ > 0 || (in_array_ && piece[at] == '{' && next_ != Next::kComma)) {
       at += within(piece.substr(at));
-    else if (in_array_)
+    } else if (in_array_) {
       between(piece[at++]);
-    else
+    } else {
       around(piece[at++]);
+    }
   }
   bytes_ -= piece.size() - at;
-  if (!done_ && bytes_ > limits_.bytes) throw TooLarge("it has no end");
+  if (!done_ && bytes_ > limits_.bytes) {
+    throw TooLarge("it has no end");
+  }
   return at;
 }
 
@@ -193,40 +255,71 @@
 void MemberReader::around(char c) {
   if (quoted_) {
     rest_ += c;
-    if (!std::exchange(escaped_, false)) escaped_ = c == '\\', quoted_ = c != '"';
-    if (quoted_ && token_.size() < kMostKey) token_ += c;
+    if (!std::exchange(escaped_, false)) {
+      escaped_ = c == '\\', quoted_ = c != '"';
+    }
+    if (quoted_ && token_.size() < kMostKey) {
+      token_ += c;
+    }
   } else if (is_space(c)) {
-    if (!rest_.empty() && rest_.back() != ' ') rest_ += ' ';
+    if (!rest_.empty() && rest_.back() != ' ') {
+      rest_ += ' ';
+    }
   } else {
-    if (rest_.empty() && c != '{') throw std::runtime_error("no object");
+    if (rest_.empty() && c != '{') {
+      throw std::runtime_error("no object");
+    }
     rest_ += c;
     quoted_ = c == '"';
-    if (quoted_) token_.clear();
-    if (c == ':' && std::size_t(depth_) < keys_.size()) keys_[std::size_t(depth_)] = key_of(token_);
-    if (c == '{' || c == '[') opened(c);
-    if (c == '}' || c == ']') done_ = --depth_ == 0;
+    if (quoted_) {
+      token_.clear();
+    }
+    if (c == ':' && std::size_t(depth_) < keys_.size()) {
+      keys_[std::size_t(depth_)] = key_of(token_);
+    }
+    if (c == '{' || c == '[') {
+      opened(c);
+    }
+    if (c == '}' || c == ']') {
+      done_ = --depth_ == 0;
+    }
+  }
+  if (rest_.size() > limits_.around) {
+    throw TooLarge("what is no member of it has no end");
   }
-  if (rest_.size() > limits_.around) throw TooLarge("what is no member of it has no end");
 }
 
 void MemberReader::opened(char bracket) {
   const auto depth = std::size_t(++depth_);
-  if (depth < keys_.size()) keys_[depth].clear();
-  if (bracket != '[' || depth != path_.size() + 1) return;
-  for (std::size_t i = 0; i < path_.size(); ++i)
-    if (keys_[i + 1] != path_[i]) return;
-  if (std::exchange(found_, true)) throw std::runtime_error("members are there twice");
+  if (depth < keys_.size()) {
+    keys_[depth].clear();
+  }
+  if (bracket != '[' || depth != path_.size() + 1) {
+    return;
+  }
+  for (std::size_t i = 0; i < path_.size(); ++i) {
+    if (keys_[i + 1] != path_[i]) {
+      return;
+    }
+  }
+  if (std::exchange(found_, true)) {
+    throw std::runtime_error("members are there twice");
+  }
   in_array_ = true;
 }
 
 // Between two members.
 void MemberReader::between(char c) {
-  if (is_space(c)) return;
+  if (is_space(c)) {
+    return;
+  }
   if (c == ']' && next_ != Next::kMember) {
     in_array_ = false;
     return around(c);
   }
-  if (c != ',' || next_ != Next::kComma) throw std::runtime_error("something else among the members");
+  if (c != ',' || next_ != Next::kComma) {
+    throw std::runtime_error("something else among the members");
+  }
   next_ = Next::kMember;
 }
 
@@ -235,12 +328,18 @@
   for (std::size_t i = 0; i < piece.size(); ++i) {
     const char c = piece[i];
     if (quoted_) {
-      if (!std::exchange(escaped_, false)) escaped_ = c == '\\', quoted_ = c != '"';
+      if (!std::exchange(escaped_, false)) {
+        escaped_ = c == '\\', quoted_ = c != '"';
+      }
       continue;
     }
     quoted_ = c == '"';
-    if (c == '{' || c == '[') ++member_depth_;
-    if ((c != '}' && c != ']') || --member_depth_ > 0) continue;
+    if (c == '{' || c == '[') {
+      ++member_depth_;
+    }
+    if ((c != '}' && c != ']') || --member_depth_ > 0) {
+      continue;
+    }
     if (member_.empty()) {
       member(piece.substr(0, i + 1));
     } else {
@@ -251,7 +350,9 @@
     return i + 1;
   }
   member_ += piece;
-  if (member_.size() > kMostMember) throw TooLarge("a member of it has no end");
+  if (member_.size() > kMostMember) {
+    throw TooLarge("a member of it has no end");
+  }
   return piece.size();
 }
 
@@ -267,18 +368,28 @@
     memory_ += memory(members_.back());
   }
   if (keep_ != Keep::kMembers && shapes_.insert(handler.shape()).second) {
-    if (std::exchange(sampled_, true)) rest_ += ',';
+    if (std::exchange(sampled_, true)) {
+      rest_ += ',';
+    }
     rest_ += text;
   }
-  if (memory_ > limits_.memory) throw TooLarge("its members take too much memory");
+  if (memory_ > limits_.memory) {
+    throw TooLarge("its members take too much memory");
+  }
 }
 
 std::optional<MemberReader::Head> MemberReader::head() const {
-  if (!in_array_) return std::nullopt;
+  if (!in_array_) {
+    return std::nullopt;
+  }
   const json before = json::parse(rest_ + ']' + std::string(path_.size(), '}'));
   Head out;
-  if (before.contains("revision")) out.revision = before["revision"].get<std::int64_t>();
-  if (before.contains("complete")) out.complete = before["complete"].get<bool>();
+  if (before.contains("revision")) {
+    out.revision = before["revision"].get<std::int64_t>();
+  }
+  if (before.contains("complete")) {
+    out.complete = before["complete"].get<bool>();
+  }
   return out;
 }
 
@@ -286,8 +397,9 @@
   MemberList out;
   out.revision = around.at("revision").get<std::int64_t>();
   out.complete = around.value("complete", false);
-  if (const json& members = around.at("members"); !members.is_array() && !members.is_null())
+  if (const json& members = around.at("members"); !members.is_array() && !members.is_null()) {
     throw std::runtime_error("members are no list");
+  }
   out.members = std::move(members_);
   return out;
 }
--- a/src/net/discovery/endpoint_list_parser.hpp
+++ b/src/net/discovery/endpoint_list_parser.hpp
@@ -18,8 +18,8 @@
 
 namespace quota_gateway::net {
 
-// As the module's ServerEntry, which it becomes where one is wanted, without the kind that nothing reads.
-// Danger: a list may name 170,000 of them; each byte here is 170 KB.
+// As the module's ServerEntry, which it becomes where one is wanted, without the kind that nothing
+// reads. Danger: a list may name 170,000 of them; each byte here is 170 KB.
 struct MemberEntry {
   std::string server, zone;
   std::int64_t cell = 0;
@@ -59,8 +59,9 @@
   std::size_t around = std::numeric_limits<std::size_t>::max();  // bytes of it that are not members
 };
 
-// Takes a JSON object in pieces. Each object of the array at `path` is parsed once its closing bracket has
-// come and is kept as a member; the rest of the text stays as it is and is parsed at the end.
+// Takes a JSON object in pieces. Each object of the array at `path` is parsed once its closing
+// bracket has come and is kept as a member; the rest of the text stays as it is and is parsed at
+// the end.
 class MemberReader {
  public:
   enum class Keep {
@@ -68,7 +69,8 @@
     kSamples,  // besides, in the rest, one member of each shape: of keys and kinds of values
     kOnlySamples
   };
-  explicit MemberReader(std::vector<std::string> path, ReadLimits limits = {}, Keep keep = Keep::kMembers);
+  explicit MemberReader(std::vector<std::string> path, ReadLimits limits = {},
+                        Keep keep = Keep::kMembers);
 
   // Returns how many bytes it took: all, or those up to the object's end. Throws std::exception.
   std::size_t take(std::string_view piece);
@@ -99,9 +101,10 @@
   const ReadLimits limits_;
   const Keep keep_;
   std::string rest_;
-  std::vector<std::string> keys_;  // keys_[d]: the last key at depth d, as far down as the path goes
-  std::string token_;              // the last text there
-  int depth_ = 0;                  // of open brackets but for those in a member
+  std::vector<std::string>
+      keys_;           // keys_[d]: the last key at depth d, as far down as the path goes
+  std::string token_;  // the last text there
+  int depth_ = 0;      // of open brackets but for those in a member
   bool quoted_ = false, escaped_ = false, done_ = false;
   bool found_ = false, in_array_ = false, sampled_ = false;
   Next next_ = Next::kFirst;
--- a/src/net/discovery/endpoint_table.hpp
+++ b/src/net/discovery/endpoint_table.hpp
@@ -1,6 +1,6 @@
-// The servers in force, compact, without the kind that nothing reads, and the lists that are on their way
-// into it. A list is taken in slices, so that the loop runs between them; each slice tells what has changed
-// and nothing else.
+// The servers in force, compact, without the kind that nothing reads, and the lists that are on
+// their way into it. A list is taken in slices, so that the loop runs between them; each slice
+// tells what has changed and nothing else.
 #pragma once
 
 #include <array>
@@ -14,8 +14,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "quota_gateway/gateway.hpp"
 #include "net/discovery/discovery_client.hpp"
+#include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
@@ -37,8 +37,8 @@
   std::unordered_map<std::string, std::uint32_t> by_text_;
 };
 
-// Slots of records by a hash; many slots may have the same. Danger: one table that grows moves all that it
-// holds at once, 20 ms at 170,000; the shards grow one by one.
+// Slots of records by a hash; many slots may have the same. Danger: one table that grows moves all
+// that it holds at once, 20 ms at 170,000; the shards grow one by one.
 class SlotIndex {
  public:
   void insert(std::uint64_t hash, std::uint32_t slot, const auto& hash_of);
@@ -57,8 +57,9 @@
 
 // What a slice of a list has changed, in the order in which it happened.
 struct Difference {
-  std::vector<ServerEntry> entries;   // new, changed or, as kRemoved, gone
-  std::vector<std::string> closed;    // gone, moved or restarted: connections there mean nothing any more
+  std::vector<ServerEntry> entries;  // new, changed or, as kRemoved, gone
+  std::vector<std::string>
+      closed;  // gone, moved or restarted: connections there mean nothing any more
   std::vector<std::string> replaced;  // of these, gone since another one has their address now
 };
 
@@ -75,8 +76,9 @@
 
   // Takes a list, whole or changes, behind those that are on their way. A whole one replaces these.
   void take(MemberList list);
-  // The next slice of what was taken. What is gone, drains, has moved, restarted or been replaced goes first,
-  // also of lists that came later; of a server that several lists tell of the newest counts.
+  // The next slice of what was taken. What is gone, drains, has moved, restarted or been replaced
+  // goes first, also of lists that came later; of a server that several lists tell of the newest
+  // counts.
   Difference apply();
   // All that was taken is in force.
   bool settled() const { return pending_.empty(); }
@@ -145,8 +147,9 @@
   std::uint64_t id_hash(Slot slot) const;
   std::uint64_t address_hash(Slot slot) const;
 
-  static constexpr std::size_t kChunk = 256;         // records that are allocated together
-  static constexpr std::size_t kLooks = 4 * kSlice;  // members of a slice that may turn out to be unchanged
+  static constexpr std::size_t kChunk = 256;  // records that are allocated together
+  static constexpr std::size_t kLooks =
+      4 * kSlice;  // members of a slice that may turn out to be unchanged
   Record& at(Slot slot) { return chunks_[slot / kChunk][slot % kChunk]; }
   const Record& at(Slot slot) const { return chunks_[slot / kChunk][slot % kChunk]; }
 
@@ -157,8 +160,8 @@
   SlotIndex by_id_, by_address_;
   Names names_;
   std::deque<Pending> pending_;
-  // Servers without a record of which a list has told that has others before it: these must not bring back
-  // what they tell of them.
+  // Servers without a record of which a list has told that has others before it: these must not
+  // bring back what they tell of them.
   std::unordered_map<std::string, Sequence> newer_;
   Sequence sequence_ = 0;
   Difference difference_;
--- a/src/net/event_loop/timers.cpp
+++ b/src/net/event_loop/timers.cpp
@@ -11,13 +11,19 @@
 }
 
 void Timers::arm() {
-  if (heap_.empty()) return;
+  if (heap_.empty()) {
+    return;
+  }
   const Micros first = heap_.front().when;
-  if (armed_for_ != 0 && armed_for_ <= first) return;
+  if (armed_for_ != 0 && armed_for_ <= first) {
+    return;
+  }
   armed_for_ = first;
   timer_.expires_after(std::chrono::microseconds(std::max<Micros>(0, first - clock_.now())));
   timer_.async_wait([this](const boost::system::error_code& ec) {
-    if (!ec) fire();  // else it was armed anew for an earlier time
+    if (!ec) {
+      fire();  // else it was armed anew for an earlier time
+    }
   });
 }
 
@@ -31,7 +37,9 @@
     heap_.pop_back();
   }
   arm();
-  for (auto& what : due) guarded("timer", what);
+  for (auto& what : due) {
+    guarded("timer", what);
+  }
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/hot_restart/hot_restart.cpp
+++ b/src/net/hot_restart/hot_restart.cpp
@@ -25,15 +25,18 @@
 constexpr std::string_view kWelcome = "quota_gateway/1 welcome";
 constexpr std::string_view kReady = "quota_gateway/1 ready";
 constexpr std::size_t kMostPacket = 512;
-constexpr auto kMeetWithin = std::chrono::milliseconds(500);  // at a start; then we listen on our own
-constexpr Micros kGreetWithin = 500'000;                      // us for a guest to say who it is
+constexpr auto kMeetWithin =
+    std::chrono::milliseconds(500);       // at a start; then we listen on our own
+constexpr Micros kGreetWithin = 500'000;  // us for a guest to say who it is
 constexpr int kBacklog = 4;
 
 class Handle {  // a descriptor of ours, until it is released
  public:
   explicit Handle(int fd) : fd_(fd) {}
   ~Handle() {
-    if (fd_ >= 0) ::close(fd_);
+    if (fd_ >= 0) {
+      ::close(fd_);
+    }
   }
   Handle(const Handle&) = delete;
   Handle& operator=(const Handle&) = delete;
@@ -47,14 +50,20 @@
 bool fill(sockaddr_un& to, const std::string& path) {
   to = {};
   to.sun_family = AF_UNIX;
-  if (path.empty() || path.size() >= sizeof to.sun_path) return false;
+  if (path.empty() || path.size() >= sizeof to.sun_path) {
+    return false;
+  }
   std::memcpy(to.sun_path, path.c_str(), path.size());
   return true;
 }
 
-int open_socket() { return ::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
+int open_socket() {
+  return ::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+}
 
-const sockaddr* generic(const sockaddr_un& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* generic(const sockaddr_un& address) {
+  return reinterpret_cast<const sockaddr*>(&address);
+}
 
 // Danger: whoever can write to the folder could hand us a socket, or take ours.
 bool is_ours(int fd) {
@@ -68,8 +77,12 @@
   socklen_t size = sizeof listens;
   tcp::endpoint bound;
   socklen_t length = socklen_t(bound.capacity());
-  if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0) return false;
-  if (::getsockname(fd, bound.data(), &length) != 0) return false;
+  if (::getsockopt(fd, SOL_SOCKET, SO_ACCEPTCONN, &listens, &size) != 0 || listens == 0) {
+    return false;
+  }
+  if (::getsockname(fd, bound.data(), &length) != 0) {
+    return false;
+  }
   return bound == at;
 }
 
@@ -109,10 +122,14 @@
   const auto size = ::recvmsg(fd, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
   Packet out;
   out.over = size == 0 || (size < 0 && errno != EAGAIN && errno != EINTR);
-  if (size > 0) out.text.assign(bytes.data(), std::size_t(size));
-  for (cmsghdr* h = size > 0 ? CMSG_FIRSTHDR(&message) : nullptr; h; h = CMSG_NXTHDR(&message, h))
-    if (h->cmsg_level == SOL_SOCKET && h->cmsg_type == SCM_RIGHTS)
+  if (size > 0) {
+    out.text.assign(bytes.data(), std::size_t(size));
+  }
+  for (cmsghdr* h = size > 0 ? CMSG_FIRSTHDR(&message) : nullptr; h; h = CMSG_NXTHDR(&message, h)) {
+    if (h->cmsg_level == SOL_SOCKET && h->cmsg_type == SCM_RIGHTS) {
       std::memcpy(&out.handed, CMSG_DATA(h), sizeof(int));
+    }
+  }
   return out;
 }
 
@@ -120,20 +137,27 @@
 Packet hear_within(int fd, std::chrono::milliseconds time) {
   const auto end = std::chrono::steady_clock::now() + time;
   while (true) {
-    const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds>(end - std::chrono::steady_clock::now());
-    if (left.count() <= 0) return {true, {}, -1};
+    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
+        end - std::chrono::steady_clock::now());
+    if (left.count() <= 0) {
+      return {true, {}, -1};
+    }
     pollfd wait{fd, POLLIN, 0};
-    if (::poll(&wait, 1, int(left.count()) + 1) < 0 && errno != EINTR) return {true, {}, -1};
+    if (::poll(&wait, 1, int(left.count()) + 1) < 0 && errno != EINTR) {
+      return {true, {}, -1};
+    }
     Packet packet = hear(fd);
-    if (packet.over || !packet.text.empty()) return packet;
+    if (packet.over || !packet.text.empty()) {
+      return packet;
+    }
   }
 }
 
 }  // namespace
 
 Succession::Succession(boost::asio::io_context& io, Timers& timers, const std::string& folder,
-                       const std::string& name, const tcp::endpoint& clients, std::function<void()> changed)
+                       const std::string& name, const tcp::endpoint& clients,
+                       std::function<void()> changed)
     : io_(io),
       timers_(timers),
       path_(folder.empty() ? "" : folder + "/cottonroad.sock"),
@@ -145,17 +169,25 @@
 }
 
 Succession::~Succession() {
-  if (inherited_ >= 0) ::close(inherited_);
+  if (inherited_ >= 0) {
+    ::close(inherited_);
+  }
 }
 
-// Whatever is there, a socket that nobody serves, a file, a stranger or a process that dies midway, ends in
-// a start on our own.
+// Whatever is there, a socket that nobody serves, a file, a stranger or a process that dies midway,
+// ends in a start on our own.
 void Succession::find_predecessor() {
   sockaddr_un at;
-  if (!fill(at, path_)) return;
+  if (!fill(at, path_)) {
+    return;
+  }
   Handle link(open_socket());
-  if (link.get() < 0 || ::connect(link.get(), generic(at), sizeof at) != 0) return;
-  if (!is_ours(link.get()) || !say(link.get(), identity_)) return;
+  if (link.get() < 0 || ::connect(link.get(), generic(at), sizeof at) != 0) {
+    return;
+  }
+  if (!is_ours(link.get()) || !say(link.get(), identity_)) {
+    return;
+  }
   const Packet answer = hear_within(link.get(), kMeetWithin);
   Handle handed(answer.handed);
   if (answer.text != kWelcome || handed.get() < 0 || !listens_at(handed.get(), clients_)) {
@@ -169,28 +201,39 @@
 
 void Succession::watch_predecessor() {
   predecessor_->async_wait(Descriptor::wait_read, [this](error_code ec) {
-    if (ec || !predecessor_) return;
+    if (ec || !predecessor_) {
+      return;
+    }
     const Packet packet = hear(predecessor_->native_handle());
     Handle unasked(packet.handed);
-    if (!packet.over) return watch_predecessor();
+    if (!packet.over) {
+      return watch_predecessor();
+    }
     predecessor_.reset();
     changed_();
   });
 }
 
-int Succession::take_listening() { return std::exchange(inherited_, -1); }
+int Succession::take_listening() {
+  return std::exchange(inherited_, -1);
+}
 
 void Succession::ready() {
-  if (predecessor_) say(predecessor_->native_handle(), kReady);
+  if (predecessor_) {
+    say(predecessor_->native_handle(), kReady);
+  }
 }
 
-// Danger: a name that is taken away before ours is there would leave a moment in which a new process finds
-// nobody. So ours is made under another name and takes the place of whatever is there.
+// Danger: a name that is taken away before ours is there would leave a moment in which a new
+// process finds nobody. So ours is made under another name and takes the place of whatever is
+// there.
 void Succession::wait_for_successor(int listening) {
   listening_ = listening;
   sockaddr_un at;
   const std::string fresh = path_ + "." + std::to_string(::getpid());
-  if (path_.empty()) return;
+  if (path_.empty()) {
+    return;
+  }
   Handle door(open_socket());
   if (fill(at, fresh)) {
     ::unlink(fresh.c_str());
@@ -201,49 +244,72 @@
     }
     ::unlink(fresh.c_str());
   }
-  std::cerr << "succession: no socket at " << path_ << "; a new process will have to listen beside us\n";
+  std::cerr << "succession: no socket at " << path_
+            << "; a new process will have to listen beside us\n";
 }
 
 void Succession::accept() {
   door_->async_wait(Descriptor::wait_read, [this](error_code ec) {
-    if (ec) return;
+    if (ec) {
+      return;
+    }
     Handle guest(::accept4(door_->native_handle(), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-    if (guest.get() >= 0 && is_ours(guest.get())) greet(std::make_shared<Descriptor>(io_, guest.release()));
+    if (guest.get() >= 0 && is_ours(guest.get())) {
+      greet(std::make_shared<Descriptor>(io_, guest.release()));
+    }
     accept();
   });
 }
 
 void Succession::greet(std::shared_ptr<Descriptor> guest) {
   guest->async_wait(Descriptor::wait_read, [this, guest](error_code ec) {
-    if (ec) return;
+    if (ec) {
+      return;
+    }
     const Packet packet = hear(guest->native_handle());
     Handle unasked(packet.handed);
     // One follows us at a time; another one, or who is not of this gateway, is not answered.
-    if (packet.text != identity_ || successor_) return;
+    if (packet.text != identity_ || successor_) {
+      return;
+    }
     // Told first: from the moment that it may serve, we are two.
     successor_ = std::make_unique<Descriptor>(io_, guest->release());
     changed_();
-    if (successor_) say(successor_->native_handle(), kWelcome, listening_);
-    if (successor_) watch_successor();
+    if (successor_) {
+      say(successor_->native_handle(), kWelcome, listening_);
+    }
+    if (successor_) {
+      watch_successor();
+    }
   });
   timers_.after(kGreetWithin, [weak = std::weak_ptr<Descriptor>(guest)] {
     error_code ignored;
-    if (const auto silent = weak.lock(); silent && silent->is_open()) silent->cancel(ignored);
+    if (const auto silent = weak.lock(); silent && silent->is_open()) {
+      silent->cancel(ignored);
+    }
   });
 }
 
 void Succession::watch_successor() {
   successor_->async_wait(Descriptor::wait_read, [this](error_code ec) {
-    if (ec || !successor_) return;
+    if (ec || !successor_) {
+      return;
+    }
     const Packet packet = hear(successor_->native_handle());
     Handle unasked(packet.handed);
-    if (packet.text == kReady) taken_ = true;
+    if (packet.text == kReady) {
+      taken_ = true;
+    }
     if (packet.over) {
       successor_.reset();
       taken_ = false;
     }
-    if (packet.over || packet.text == kReady) changed_();
-    if (successor_) watch_successor();
+    if (packet.over || packet.text == kReady) {
+      changed_();
+    }
+    if (successor_) {
+      watch_successor();
+    }
   });
 }
 
--- a/src/net/hot_restart/hot_restart.hpp
+++ b/src/net/hot_restart/hot_restart.hpp
@@ -1,6 +1,6 @@
-// How the old and the new process of one gateway meet, by a socket in the folder that they share. The old one
-// hands over the very socket on which clients connect, so that no connection falls between them; each then
-// holds the link until the other has gone.
+// How the old and the new process of one gateway meet, by a socket in the folder that they share.
+// The old one hands over the very socket on which clients connect, so that no connection falls
+// between them; each then holds the link until the other has gone.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,10 +17,11 @@
 
 class Succession {
  public:
-  // `folder` empty: no process is looked for, and none can follow. `changed` follows each change of what
-  // predecessor(), successor() and taken() tell, never from within the constructor.
-  Succession(boost::asio::io_context& io, Timers& timers, const std::string& folder, const std::string& name,
-             const boost::asio::ip::tcp::endpoint& clients, std::function<void()> changed);
+  // `folder` empty: no process is looked for, and none can follow. `changed` follows each change of
+  // what predecessor(), successor() and taken() tell, never from within the constructor.
+  Succession(boost::asio::io_context& io, Timers& timers, const std::string& folder,
+             const std::string& name, const boost::asio::ip::tcp::endpoint& clients,
+             std::function<void()> changed);
   ~Succession();
 
   // The predecessor's listening socket, once; -1: there is none. Whoever takes it closes it.
--- a/src/net/http/framing.hpp
+++ b/src/net/http/framing.hpp
@@ -1,4 +1,5 @@
-// What both sides ask of a message's head before they believe its length, and how its body is taken.
+// What both sides ask of a message's head before they believe its length, and how its body is
+// taken.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -23,15 +24,16 @@
   int status_;
 };
 
-// Bodies up to this are held whole; what is longer is relayed in pieces, and may be sent to a server but
-// once.
+// Bodies up to this are held whole; what is longer is relayed in pieces, and may be sent to a
+// server but once.
 constexpr std::size_t kMostWhole = 64 << 10;
 
-// Some more than the largest that clients and servers have; what claims to be longer is not believed.
+// Some more than the largest that clients and servers have; what claims to be longer is not
+// believed.
 constexpr std::uint64_t kMostBody = 48 << 20;
 
-// What has come of a body since it was last taken out. Danger: the library's string_body makes room at once
-// for the length that a head claims, 32 MB of it.
+// What has come of a body since it was last taken out. Danger: the library's string_body makes room
+// at once for the length that a head claims, 32 MB of it.
 struct PieceBody {
   using value_type = std::string;
   class reader {
@@ -59,8 +61,8 @@
 // A piece as a chunk; an empty one ends the body.
 std::string as_chunk(const std::string& piece);
 
-// Danger: what two readers may take for messages of different lengths can hide another one in its body.
-// Throws BadMessage.
+// Danger: what two readers may take for messages of different lengths can hide another one in its
+// body. Throws BadMessage.
 void check_framing(const boost::beast::http::fields& head, bool is_http11);
 
 }  // namespace quota_gateway::net
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -13,22 +13,29 @@
 
 // The client's time runs from its send; the answer has a way to go too.
 constexpr Micros kEarly = 20'000;
-constexpr double kEarlyShare = 0.1;      // of the client's patience, at the most
-constexpr Micros kBackstop = 10'000;     // us past our deadline, before the client's: the module said nothing
-constexpr Micros kHandOver = 1'000'000;  // us; clients go on connecting for up to 0.4 s after SIGTERM
+constexpr double kEarlyShare = 0.1;  // of the client's patience, at the most
+constexpr Micros kBackstop =
+    10'000;  // us past our deadline, before the client's: the module said nothing
+constexpr Micros kHandOver =
+    1'000'000;  // us; clients go on connecting for up to 0.4 s after SIGTERM
 constexpr Micros kLookDrained = 20'000;
-constexpr Micros kLongestCounted = 3'000'000, kKilledAfter = 700'000;  // us from SIGTERM to SIGKILL, together
-constexpr Micros kBeforeKill = 150'000;  // us that the last attempts end before that
-constexpr Micros kLastWords = 100'000;   // us of these for the answers to leave
-constexpr Micros kTellWithin = 500'000;  // us for discovery to answer; then the list we were given must do
-constexpr std::size_t kClientMemory = 256 << 10;  // bytes a client may come to: three bodies, and buffers
+constexpr Micros kLongestCounted = 3'000'000,
+                 kKilledAfter = 700'000;  // us from SIGTERM to SIGKILL, together
+constexpr Micros kBeforeKill = 150'000;   // us that the last attempts end before that
+constexpr Micros kLastWords = 100'000;    // us of these for the answers to leave
+constexpr Micros kTellWithin =
+    500'000;  // us for discovery to answer; then the list we were given must do
+constexpr std::size_t kClientMemory =
+    256 << 10;  // bytes a client may come to: three bodies, and buffers
 
 std::size_t most_clients(const Config& c) {
   return std::max<std::size_t>(
       16, std::min(c.sockets / 2 - kMostCallers, c.memory_mb * (1 << 20) / kClientMemory));
 }
 
-std::size_t most_connections(const Config& c) { return std::max<std::size_t>(8, c.sockets * 2 / 5); }
+std::size_t most_connections(const Config& c) {
+  return std::max<std::size_t>(8, c.sockets * 2 / 5);
+}
 
 }  // namespace
 
@@ -39,57 +46,70 @@
       timers_(io, clock_),
       gateway_(config.settings, config.seed),
       known_(std::move(config.known)),
-      upstream_(io, timers_, clock_, {config.conn_idle, config.dial_timeout, most_connections(config)},
+      upstream_(io, timers_, clock_,
+                {config.conn_idle, config.dial_timeout, most_connections(config)},
                 {[this](AttemptKey key, AttemptResult result) { ended(key, std::move(result)); },
                  [this](AttemptKey key) { written(key); },
                  [this](AttemptKey key) {
-                   if (const auto it = requests_.find(key.request); it != requests_.end())
+                   if (const auto it = requests_.find(key.request); it != requests_.end()) {
                      frontend_.pull(it->second.client);
+                   }
                  },
                  [this](AttemptKey key, AttemptResult result, std::optional<std::uint64_t> length) {
                    started(key, std::move(result), length);
                  },
                  [this](AttemptKey key, std::string piece) {
-                   if (const auto it = requests_.find(key.request); it != requests_.end())
+                   if (const auto it = requests_.find(key.request); it != requests_.end()) {
                      frontend_.pass(it->second.client, std::move(piece));
+                   }
                  }}),
       discovery_at_(config.discovery),
       discovery_(
           io, timers_, clock_, config.discovery, known_->revision,
           [this](MemberList list) { told(std::move(list)); }, config.seed, config.discovery_wait,
           [this] { believe_known(); }, lists_within(config.memory_mb)),
-      frontend_(io, timers_, clock_, settings_, most_clients(config),
-                {[this](std::uint64_t client, ClientRequest r) { return took(client, std::move(r)); },
-                 [this](std::uint64_t id) { gone(id); },
-                 [this](std::uint64_t id, const std::string& piece, bool last) { more(id, piece, last); },
-                 [this](std::uint64_t id) {
-                   if (const auto it = requests_.find(id); it != requests_.end())
-                     upstream_.resume({id, int(it->second.attempts.size()) - 1});
-                 },
-                 [this] { return !known_ && !partly_listed(); }}),
+      frontend_(
+          io, timers_, clock_, settings_, most_clients(config),
+          {[this](std::uint64_t client, ClientRequest r) { return took(client, std::move(r)); },
+           [this](std::uint64_t id) { gone(id); },
+           [this](std::uint64_t id, const std::string& piece, bool last) { more(id, piece, last); },
+           [this](std::uint64_t id) {
+             if (const auto it = requests_.find(id); it != requests_.end()) {
+               upstream_.resume({id, int(it->second.attempts.size()) - 1});
+             }
+           },
+           [this] { return !known_ && !partly_listed(); }}),
       succession_(io, timers_, config.folder, config.name, config.listen, [this] { met(); }),
       connections_(most_connections(config)) {
   count_at(config.counter);
   discovery_.start();
-  for (const ClassSettings& c : settings_.classes) replies_[c.name];
-  if (succession_.predecessor())
+  for (const ClassSettings& c : settings_.classes) {
+    replies_[c.name];
+  }
+  if (succession_.predecessor()) {
     frontend_.adopt(config.listen, succession_.take_listening());
-  else
+  } else {
     frontend_.listen(config.listen);
+  }
   succession_.wait_for_successor(frontend_.listening());
   met();
   timers_.after(kTellWithin, [this] { believe_known(); });
-  if (config.mgmt)
+  if (config.mgmt) {
     operators_.emplace(
         io, timers_, *config.mgmt, [this] { return ready(); }, [this] { return figures(); });
+  }
 }
 
-// ---- What happened ------------------------------------------------------------------------------------
+// ---- What happened
+// ------------------------------------------------------------------------------------
 std::uint64_t Driver::took(std::uint64_t client, ClientRequest request) {
   // Danger: an id that is open belongs to somebody else; a server would take it for a second copy.
-  if (!open_ids_.insert(request.outgoing.trace_id).second) return 0;
+  if (!open_ids_.insert(request.outgoing.trace_id).second) {
+    return 0;
+  }
   const std::uint64_t id = ++last_;
-  const Micros now = clock_.now(), patience = request.patience;
+  const Micros now = clock_.now();
+  const Micros patience = request.patience;
   Request& r = requests_[id];
   r.client = client;
   r.replies = &replies_[request.arrived.request_class];
@@ -101,17 +121,22 @@
   request.arrived.id = std::to_string(id);  // ours, since a client's may come twice
   request.arrived.deadline = r.deadline;
   request.arrived.body_follows = !r.whole;
-  if (r.whole) timers_.at(r.deadline + kBackstop, [this, id] { overdue(id); });
-  if (waits_for_list())
+  if (r.whole) {
+    timers_.at(r.deadline + kBackstop, [this, id] { overdue(id); });
+  }
+  if (waits_for_list()) {
     waiting_.emplace_back(id, std::move(request.arrived));
-  else
+  } else {
     push(std::move(request.arrived));
+  }
   return id;
 }
 
 void Driver::gone(std::uint64_t id) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || !close(it->second, &Replies::error)) return;
+  if (it == requests_.end() || !close(it->second, &Replies::error)) {
+    return;
+  }
   if (it->second.streaming) {
     upstream_.abandon({id, int(it->second.attempts.size()) - 1});
     return forget(it);  // the module has had its end
@@ -123,7 +148,9 @@
 // A request must not go unanswered, whatever the module does.
 void Driver::overdue(std::uint64_t id) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.answered || it->second.streaming) return;
+  if (it == requests_.end() || it->second.answered || it->second.streaming) {
+    return;
+  }
   std::cerr << "driver: request " << id << " overdue, failed\n";
   it->second.late = true;
   act(Fail{std::to_string(id)});
@@ -132,17 +159,21 @@
 
 void Driver::told(MemberList list, ServerListUpdate::Kind kind) {
   upstream_.take(std::move(list));
-  if (!applying_) apply(kind);
+  if (!applying_) {
+    apply(kind);
+  }
 }
 
-// A slice of what was told, with the loop running before the next: a small list is in force at once. Danger:
-// many thousand changes on end would hold up every request.
+// A slice of what was told, with the loop running before the next: a small list is in force at
+// once. Danger: many thousand changes on end would hold up every request.
 void Driver::apply(ServerListUpdate::Kind kind) {
   applying_ = false;
   ServerListUpdate update;
   update.kind = kind;
   update.entries = upstream_.apply().entries;
-  if (!update.entries.empty()) push(std::move(update));
+  if (!update.entries.empty()) {
+    push(std::move(update));
+  }
   if (!upstream_.settled()) {
     applying_ = true;
     asio::post(io_, [this] { apply(); });
@@ -153,24 +184,35 @@
   look_ready();
 }
 
-// Danger: while the first list is only partly in force, all of a fleet that was started at once would turn to
-// the same few servers.
-bool Driver::partly_listed() const { return applying_ && !listed_; }
+// Danger: while the first list is only partly in force, all of a fleet that was started at once
+// would turn to the same few servers.
+bool Driver::partly_listed() const {
+  return applying_ && !listed_;
+}
 bool Driver::waits_for_list() const {
   return partly_listed() || (known_ && known_->members.size() > Catalog::kSlice);
 }
 
 void Driver::release() {
-  for (auto& [id, arrived] : std::exchange(waiting_, {}))
-    if (requests_.count(id) > 0) push(std::move(arrived));  // else its end has come
+  for (auto& [id, arrived] : std::exchange(waiting_, {})) {
+    if (requests_.contains(id)) {
+      push(std::move(arrived));  // else its end has come
+    }
+  }
 }
 
 void Driver::ended(AttemptKey key, AttemptResult result) {
   const auto it = requests_.find(key.request);
-  if (it == requests_.end()) return;
+  if (it == requests_.end()) {
+    return;
+  }
   Request& r = it->second;
-  if (r.streaming && key.attempt + 1 == int(r.attempts.size())) return finished(r, key, result);
-  if (!r.attempts.at(std::size_t(key.attempt)).out) return;
+  if (r.streaming && key.attempt + 1 == int(r.attempts.size())) {
+    return finished(r, key, result);
+  }
+  if (!r.attempts.at(std::size_t(key.attempt)).out) {
+    return;
+  }
   if (result.outcome == Outcome::kOk) {
     Answer served;
     served.status = 200;
@@ -192,8 +234,8 @@
   e.attempt = key.attempt;
   e.server = a.server;
   e.outcome = result.outcome;
-  // Danger: a long body that comes slowly, or an answer that trickles in, takes its server no longer than
-  // others; told as its work it would look like a fleet that holds too much.
+  // Danger: a long body that comes slowly, or an answer that trickles in, takes its server no
+  // longer than others; told as its work it would look like a fleet that holds too much.
   e.duration = (result.began > 0 ? result.began : clock_.now()) - a.sent;
   e.load = result.load;
   e.billed = result.billed;
@@ -207,7 +249,9 @@
   ++dispatches_;
   const auto it = requests_.find(key.request);
   // A long body's time runs from here on; that of others runs since they were sent.
-  if (it == requests_.end() || !it->second.fed) return;
+  if (it == requests_.end() || !it->second.fed) {
+    return;
+  }
   Attempt& a = it->second.attempts.at(std::size_t(key.attempt));
   a.sent = clock_.now();
   a.until = latest(a.sent + a.patience);
@@ -217,7 +261,9 @@
 
 void Driver::more(std::uint64_t id, const std::string& piece, bool last) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.answered) return;
+  if (it == requests_.end() || it->second.answered) {
+    return;
+  }
   Request& r = it->second;
   r.fed = true;
   r.whole = last;
@@ -228,11 +274,13 @@
   upstream_.feed({id, int(r.attempts.size()) - 1}, piece, last);
 }
 
-// A long answer begins. For the module the attempt has ended well: its server has done the work, and nothing
-// is left to decide.
+// A long answer begins. For the module the attempt has ended well: its server has done the work,
+// and nothing is left to decide.
 void Driver::started(AttemptKey key, AttemptResult result, std::optional<std::uint64_t> length) {
   const auto it = requests_.find(key.request);
-  if (it == requests_.end() || !it->second.attempts.at(std::size_t(key.attempt)).out) return;
+  if (it == requests_.end() || !it->second.attempts.at(std::size_t(key.attempt)).out) {
+    return;
+  }
   Request& r = it->second;
   r.streaming = true;
   settle(it, key, result);
@@ -242,26 +290,36 @@
 // A long answer has ended, as it should or not.
 void Driver::finished(Request& r, AttemptKey key, const AttemptResult& result) {
   const bool ok = result.outcome == Outcome::kOk;
-  if (!close(r, ok ? &Replies::success : &Replies::error)) return;
+  if (!close(r, ok ? &Replies::success : &Replies::error)) {
+    return;
+  }
   ok ? frontend_.finish(r.client) : frontend_.cut(r.client);
-  if (!ok) push(AnswerCut{r.attempts.at(std::size_t(key.attempt)).server});
+  if (!ok) {
+    push(AnswerCut{r.attempts.at(std::size_t(key.attempt)).server});
+  }
   forget(requests_.find(key.request));
 }
 
 void Driver::expire(AttemptKey key) {
   const auto it = requests_.find(key.request);
-  if (it == requests_.end() || !it->second.attempts.at(std::size_t(key.attempt)).out) return;
-  if (!it->second.whole || clock_.now() < it->second.attempts.at(std::size_t(key.attempt)).until)
+  if (it == requests_.end() || !it->second.attempts.at(std::size_t(key.attempt)).out) {
+    return;
+  }
+  if (!it->second.whole || clock_.now() < it->second.attempts.at(std::size_t(key.attempt)).until) {
     return;  // its time runs once it has gone out whole
+  }
   const bool written = upstream_.abandon(key);
   ended(key, {written ? Outcome::kTimeout : Outcome::kConnectFailed, {}, {}});
 }
 
-// ---- The module ---------------------------------------------------------------------------------------
-// What comes in one turn of the loop goes to the module together, once all of the turn is in.
+// ---- The module
+// --------------------------------------------------------------------------------------- What
+// comes in one turn of the loop goes to the module together, once all of the turn is in.
 void Driver::push(Event event) {
   events_.push_back(std::move(event));
-  if (std::exchange(flushing_, true)) return;
+  if (std::exchange(flushing_, true)) {
+    return;
+  }
   asio::post(io_, [this] { flush(); });
 }
 
@@ -270,16 +328,19 @@
   std::vector<Event> events;
   std::vector<Action> actions;
   events.swap(events_);
-  // Danger: a throw must not take the other actions of the batch with it; requests that nobody answers then
-  // are failed when overdue.
+  // Danger: a throw must not take the other actions of the batch with it; requests that nobody
+  // answers then are failed when overdue.
   guarded("module", [&] { gateway_.handle(clock_.now(), events, actions); });
-  for (const Action& action : actions)
+  for (const Action& action : actions) {
     guarded("action", [&] { std::visit([this](const auto& a) { act(a); }, action); });
+  }
 }
 
 void Driver::act(const SendAttempt& a) {
   const auto it = find(a.id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end()) {
+    return;
+  }
   Request& r = it->second;
   const Micros now = clock_.now();
   const AttemptKey key{it->first, int(r.attempts.size())};
@@ -287,7 +348,8 @@
   ++r.out;
   const Micros until = a.timeout == 0 ? r.deadline : std::min(r.deadline, now + a.timeout);
   // The client may have gone since the events were handed over; and two are never out at once.
-  if (r.answered || r.fed || until <= now || r.out > 1 || int(r.attempts.size()) > settings_.max_attempts) {
+  if (r.answered || r.fed || until <= now || r.out > 1 ||
+      int(r.attempts.size()) > settings_.max_attempts) {
     asio::post(io_, [this, key] { ended(key, {Outcome::kNotSent, {}, {}}); });
     return;
   }
@@ -299,8 +361,12 @@
 
 void Driver::act(const CancelAttempt& a) {
   const auto it = find(a.id);
-  if (it == requests_.end() || a.attempt < 0 || a.attempt >= int(it->second.attempts.size())) return;
-  if (!it->second.attempts[std::size_t(a.attempt)].out) return;
+  if (it == requests_.end() || a.attempt < 0 || a.attempt >= int(it->second.attempts.size())) {
+    return;
+  }
+  if (!it->second.attempts[std::size_t(a.attempt)].out) {
+    return;
+  }
   const AttemptKey key{it->first, a.attempt};
   const bool written = upstream_.abandon(key);
   ended(key, {written ? Outcome::kCancelled : Outcome::kNotSent, {}, {}});
@@ -308,7 +374,9 @@
 
 void Driver::act(const Refuse& a) {
   const auto it = find(a.id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end()) {
+    return;
+  }
   Answer refused;
   refused.status = it->second.attempts.empty() ? 429 : 503;
   refused.retry_after = a.retry_after;
@@ -318,7 +386,9 @@
 
 void Driver::act(const Fail& a) {
   const auto it = find(a.id);
-  if (it == requests_.end()) return;
+  if (it == requests_.end()) {
+    return;
+  }
   Answer failed;
   failed.status = it->second.late ? 504 : 502;
   answer(it->second, std::move(failed));
@@ -330,13 +400,18 @@
 }
 
 void Driver::act(const AddToCounter& a) {
-  if (counter_) return counter_->add(a);
+  if (counter_) {
+    return counter_->add(a);
+  }
   push(CounterAnswered{a.name, 0, CountOutcome::kNotAdded, 0});
 }
 
-void Driver::act(const LogLine& a) { std::cerr << a.text << '\n'; }
+void Driver::act(const LogLine& a) {
+  std::cerr << a.text << '\n';
+}
 
-// ---- Requests -----------------------------------------------------------------------------------------
+// ---- Requests
+// -----------------------------------------------------------------------------------------
 Driver::Requests::iterator Driver::find(const std::string& id) {
   std::uint64_t number = 0;
   std::from_chars(id.data(), id.data() + id.size(), number);
@@ -345,57 +420,83 @@
 
 void Driver::answer(Request& r, Answer answer) {
   const bool refused = answer.status == 429 || answer.status == 503;
-  const auto end = answer.status == 200 ? &Replies::success : refused ? &Replies::overload : &Replies::error;
-  if (!close(r, end)) return;  // one final answer, and only one
+  const auto end = answer.status == 200 ? &Replies::success
+                   : refused            ? &Replies::overload
+                                        : &Replies::error;
+  if (!close(r, end)) {
+    return;  // one final answer, and only one
+  }
   frontend_.answer(r.client, std::move(answer));
 }
 
 bool Driver::close(Request& r, std::uint64_t Replies::*end) {
-  if (std::exchange(r.answered, true)) return false;
+  if (std::exchange(r.answered, true)) {
+    return false;
+  }
   ++(r.replies->*end);
   --concurrent_;
   return true;
 }
 
 void Driver::forget(Requests::iterator it) {
-  if (!it->second.answered || it->second.out > 0) return;
+  if (!it->second.answered || it->second.out > 0) {
+    return;
+  }
   open_ids_.erase(it->second.outgoing.trace_id);
   requests_.erase(it);
 }
 
-// ---- A new configuration ------------------------------------------------------------------------------
+// ---- A new configuration
+// ------------------------------------------------------------------------------
 void Driver::reload(const Config& config) {
   settings_ = config.settings;
-  for (const ClassSettings& c : settings_.classes) replies_[c.name];
+  for (const ClassSettings& c : settings_.classes) {
+    replies_[c.name];
+  }
   push(SettingsChanged{settings_});
   if (config.discovery != discovery_at_) {
     discovery_at_ = config.discovery;
     discovery_.move_to(config.discovery);
   }
-  if (config.counter != counter_at_) count_at(config.counter);
+  if (config.counter != counter_at_) {
+    count_at(config.counter);
+  }
   ++reload_success_;
 }
 
 void Driver::count_at(const std::optional<asio::ip::tcp::endpoint>& address) {
   counter_at_ = address;
-  if (counter_) std::exchange(counter_, nullptr)->retire();
-  if (!address) return;
-  counter_ = std::make_shared<Counter>(io_, timers_, clock_, *address, settings_.counter_timeout,
-                                       dial_timeout_, [this](CounterAnswered a) { push(std::move(a)); });
+  if (counter_) {
+    std::exchange(counter_, nullptr)->retire();
+  }
+  if (!address) {
+    return;
+  }
+  counter_ =
+      std::make_shared<Counter>(io_, timers_, clock_, *address, settings_.counter_timeout,
+                                dial_timeout_, [this](CounterAnswered a) { push(std::move(a)); });
   counter_->start();
 }
 
-// ---- For the operators --------------------------------------------------------------------------------
-bool Driver::ready() const { return !drained_ && frontend_.is_open() && fit(); }
+// ---- For the operators
+// --------------------------------------------------------------------------------
+bool Driver::ready() const {
+  return !drained_ && frontend_.is_open() && fit();
+}
 
 // Servers are known, by discovery if it answers at all.
-bool Driver::fit() const { return upstream_.any_up() && !known_ && !partly_listed(); }
+bool Driver::fit() const {
+  return upstream_.any_up() && !known_ && !partly_listed();
+}
 
-// Danger: what the agent has counts as told from our first moment on, and the list that we were given may
-// name servers that have long been draining. So it is in force only once the agent answers, with its news
-// right behind; without one it must do. What comes meanwhile is held as while no server has room.
+// Danger: what the agent has counts as told from our first moment on, and the list that we were
+// given may name servers that have long been draining. So it is in force only once the agent
+// answers, with its news right behind; without one it must do. What comes meanwhile is held as
+// while no server has room.
 void Driver::believe_known() {
-  if (!known_) return;
+  if (!known_) {
+    return;
+  }
   told(*std::exchange(known_, std::nullopt), ServerListUpdate::Kind::kPersisted);
 }
 
@@ -419,11 +520,14 @@
 }
 
 std::optional<asio::ip::tcp::endpoint> Driver::operators_address() const {
-  if (!operators_) return std::nullopt;
+  if (!operators_) {
+    return std::nullopt;
+  }
   return operators_->address();
 }
 
-// ---- Another process of this gateway ------------------------------------------------------------------
+// ---- Another process of this gateway
+// ------------------------------------------------------------------
 void Driver::met() {
   const int others = int(succession_.predecessor()) + int(succession_.successor());
   if (std::exchange(others_, others) != others) {
@@ -443,19 +547,27 @@
 
 // Until we are fit to serve, the old process goes on taking the new clients.
 void Driver::look_ready() {
-  if (!succession_.predecessor() || frontend_.is_open() || succession_.taken() || !fit()) return;
+  if (!succession_.predecessor() || frontend_.is_open() || succession_.taken() || !fit()) {
+    return;
+  }
   frontend_.open();
   succession_.ready();
 }
 
-// ---- The end ------------------------------------------------------------------------------------------
-// Danger: at a planned restart we are killed once the longest deadline has passed, counted as 3 s where it is
-// longer, and 0.7 s more. What is unanswered then is lost, so all of it has its answer shortly before.
+// ---- The end
+// ------------------------------------------------------------------------------------------
+// Danger: at a planned restart we are killed once the longest deadline has passed, counted as 3 s
+// where it is longer, and 0.7 s more. What is unanswered then is lost, so all of it has its answer
+// shortly before.
 void Driver::drain(std::function<void()> done) {
-  if (drained_) return;
+  if (drained_) {
+    return;
+  }
   drained_ = std::move(done);
   Micros longest = 0;
-  for (const ClassSettings& c : settings_.classes) longest = std::max(longest, c.deadline);
+  for (const ClassSettings& c : settings_.classes) {
+    longest = std::max(longest, c.deadline);
+  }
   drain_until_ = clock_.now() + std::min(longest, kLongestCounted) + kKilledAfter - kBeforeKill;
   frontend_.drain();
   timers_.after(kHandOver, [this] { look_drained(); });
@@ -468,16 +580,24 @@
   std::vector<AttemptKey> out;
   for (auto& [id, r] : requests_) {
     r.deadline = latest(r.deadline);
-    for (std::size_t i = 0; i < r.attempts.size(); ++i)
-      if (r.attempts[i].out) out.push_back({id, int(i)}), r.attempts[i].until = latest(r.attempts[i].until);
+    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
+      if (r.attempts[i].out) {
+        out.push_back({id, int(i)}), r.attempts[i].until = latest(r.attempts[i].until);
+      }
+    }
+  }
+  for (const AttemptKey& key : out) {
+    expire(key);
   }
-  for (const AttemptKey& key : out) expire(key);
 }
 
 void Driver::end_all() {
   std::vector<std::uint64_t> open;
-  for (const auto& [id, r] : requests_)
-    if (!r.answered) open.push_back(id);
+  for (const auto& [id, r] : requests_) {
+    if (!r.answered) {
+      open.push_back(id);
+    }
+  }
   for (const auto id : open) {
     const Request& r = requests_.at(id);
     r.streaming ? frontend_.cut(r.client) : overdue(id);
@@ -487,7 +607,9 @@
 void Driver::look_drained() {
   const bool held = std::any_of(requests_.begin(), requests_.end(),
                                 [](const auto& entry) { return !entry.second.answered; });
-  if ((!held && frontend_.quiet()) || clock_.now() >= drain_until_ + kLastWords) return drained_();
+  if ((!held && frontend_.quiet()) || clock_.now() >= drain_until_ + kLastWords) {
+    return drained_();
+  }
   timers_.after(kLookDrained, [this] { look_drained(); });
 }
 
--- a/src/net/server/gateway_server.hpp
+++ b/src/net/server/gateway_server.hpp
@@ -1,5 +1,6 @@
-// Round the decision module: the only caller of Gateway::handle. Turns what happened into events, hands them
-// over in batches and carries out the actions. Owns the table of requests and their attempts.
+// Round the decision module: the only caller of Gateway::handle. Turns what happened into events,
+// hands them over in batches and carries out the actions. Owns the table of requests and their
+// attempts.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,14 +12,14 @@
 #include <unordered_set>
 #include <vector>
 
-#include "quota_gateway/gateway.hpp"
+#include "net/admin/admin_server.hpp"
+#include "net/client/client_listener.hpp"
 #include "net/counter/counter_client.hpp"
 #include "net/discovery/discovery_client.hpp"
-#include "net/client/client_listener.hpp"
-#include "net/admin/admin_server.hpp"
-#include "net/hot_restart/hot_restart.hpp"
 #include "net/event_loop/timers.hpp"
+#include "net/hot_restart/hot_restart.hpp"
 #include "net/upstream/connection_pool.hpp"
+#include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
@@ -41,8 +42,8 @@
   Driver(boost::asio::io_context& io, Config config);
 
   boost::asio::ip::tcp::endpoint address() const { return frontend_.address(); }
-  // Takes what may change while it runs: the settings, and where discovery and the counter are. The rest
-  // waits for a restart.
+  // Takes what may change while it runs: the settings, and where discovery and the counter are. The
+  // rest waits for a restart.
   void reload(const Config& config);
   // Goes on accepting, finishes all that has come before we may be killed, then calls `done`, once.
   void drain(std::function<void()> done);
@@ -55,8 +56,8 @@
   std::optional<boost::asio::ip::tcp::endpoint> operators_address() const;
 
  private:
-  // Of one class, since the start. Every request that was taken ends in exactly one of them; one that its
-  // client abandoned is an error.
+  // Of one class, since the start. Every request that was taken ends in exactly one of them; one
+  // that its client abandoned is an error.
   struct Replies {
     std::uint64_t success = 0, overload = 0, error = 0;
   };
@@ -71,9 +72,9 @@
     Replies* replies = nullptr;  // of its class
     Micros deadline = 0;
     bool answered = false;
-    bool late = false;       // its last attempt timed out
-    bool whole = true;       // all of its body has come
-    bool fed = false;        // some of it went to a server and was not kept: no other attempt can be made
+    bool late = false;  // its last attempt timed out
+    bool whole = true;  // all of its body has come
+    bool fed = false;  // some of it went to a server and was not kept: no other attempt can be made
     bool streaming = false;  // its answer has begun
     Micros patience = 0;     // of its client, from its last byte on
     int out = 0;
@@ -135,7 +136,8 @@
   Requests requests_;
   std::unordered_set<std::string> open_ids_;  // trace ids of `requests_`
   std::uint64_t last_ = 0;
-  std::map<std::string, Replies> replies_;  // by class, also of those that the settings no longer name
+  std::map<std::string, Replies>
+      replies_;  // by class, also of those that the settings no longer name
   std::uint64_t concurrent_ = 0, dispatches_ = 0, reload_success_ = 0, reload_failure_ = 0;
   std::optional<MemberList> known_;  // the list that we were given, until it is taken
   bool listed_ = false;              // a list that names servers has been in force, whole
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -21,9 +21,13 @@
 
 std::ifstream open_file() {
   const char* path = std::getenv("RELAY_CONFIG");
-  if (!path || !*path) throw std::runtime_error("RELAY_CONFIG is not set");
+  if (!path || !*path) {
+    throw std::runtime_error("RELAY_CONFIG is not set");
+  }
   std::ifstream file(path);
-  if (!file) throw std::runtime_error(std::string("cannot read ") + path);
+  if (!file) {
+    throw std::runtime_error(std::string("cannot read ") + path);
+  }
   return file;
 }
 
@@ -31,8 +35,12 @@
   auto config = quota_gateway::net::parse_config(tree);
   const char* mgmt = std::getenv("RELAY_MGMT");
   const char* folder = std::getenv("TMPDIR");
-  if (folder) config.folder = folder;
-  if (!config.mgmt && mgmt && *mgmt) config.mgmt = quota_gateway::net::parse_endpoint(mgmt);
+  if (folder) {
+    config.folder = folder;
+  }
+  if (!config.mgmt && mgmt && *mgmt) {
+    config.mgmt = quota_gateway::net::parse_endpoint(mgmt);
+  }
   return config;
 }
 
@@ -60,7 +68,8 @@
 class Reload {
  public:
   // `taken`: the tree of the last file that was.
-  Reload(boost::asio::io_context& io, quota_gateway::net::Driver& driver, std::string name, nlohmann::json taken)
+  Reload(boost::asio::io_context& io, quota_gateway::net::Driver& driver, std::string name,
+         nlohmann::json taken)
       : io_(io), driver_(driver), name_(std::move(name)), taken_(std::move(taken)) {}
 
   // What is being read already is read anew: it may have been replaced meanwhile.
@@ -69,7 +78,9 @@
       reader_.reset();
       file_ = open_file();
       reader_.emplace(file_, ConfigReader::Known::kOnlyChecked);
-      if (!std::exchange(posted_, true)) go_on();
+      if (!std::exchange(posted_, true)) {
+        go_on();
+      }
     });
   }
 
@@ -88,9 +99,13 @@
   void go_on() {
     boost::asio::post(io_, [this] {
       posted_ = false;
-      if (!reader_) return;
+      if (!reader_) {
+        return;
+      }
       attempt([&] {
-        if (!reader_->step()) return take();
+        if (!reader_->step()) {
+          return take();
+        }
         posted_ = true;
         go_on();
       });
@@ -116,7 +131,9 @@
 
 void on_signals(boost::asio::signal_set& signals, const std::function<void(int)>& act) {
   signals.async_wait([&signals, act](const boost::system::error_code& ec, int signal) {
-    if (ec) return;
+    if (ec) {
+      return;
+    }
     on_signals(signals, act);
     act(signal);
   });
@@ -133,7 +150,9 @@
   quota_gateway::net::Driver driver(io, std::move(config));
   Reload reload(io, driver, name, std::move(file.tree));
   on_signals(signals, [&](int signal) {
-    if (signal == SIGHUP) return reload.start();
+    if (signal == SIGHUP) {
+      return reload.start();
+    }
     std::cerr << name << ": draining\n";
     driver.drain([&] { io.stop(); });
   });
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -1,4 +1,5 @@
-// Connections to servers: a pool for each, and the attempts on them. Maps what happened to an Outcome.
+// Connections to servers: a pool for each, and the attempts on them. Maps what happened to an
+// Outcome.
 #pragma once
 
 #include <array>
@@ -10,10 +11,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/discovery/endpoint_table.hpp"
-#include "quota_gateway/gateway.hpp"
 #include "net/discovery/discovery_client.hpp"
+#include "net/discovery/endpoint_table.hpp"
 #include "net/event_loop/timers.hpp"
+#include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
@@ -56,8 +57,8 @@
   std::function<void(AttemptKey, AttemptResult)> ended;
   std::function<void(AttemptKey)> written = [](AttemptKey) {};  // its last byte has left
   std::function<void(AttemptKey)> wants = [](AttemptKey) {};    // what it had of the body has left
-  // A long answer of so many bytes, where that is known, has begun; pieces follow one by one, each asked for
-  // by resume(), and at last `ended`: kOk if all of it came.
+  // A long answer of so many bytes, where that is known, has begun; pieces follow one by one, each
+  // asked for by resume(), and at last `ended`: kOk if all of it came.
   std::function<void(AttemptKey, AttemptResult, std::optional<std::uint64_t>)> started =
       [](AttemptKey, AttemptResult, std::optional<std::uint64_t>) {};
   std::function<void(AttemptKey, std::string)> piece = [](AttemptKey, std::string) {};
@@ -75,8 +76,8 @@
   Difference apply();
   // All that was taken is in force.
   bool settled() const { return catalog_.settled(); }
-  // All of a list at once. Returns the servers whose address another one has now: what was there is gone,
-  // told or not.
+  // All of a list at once. Returns the servers whose address another one has now: what was there is
+  // gone, told or not.
   std::vector<std::string> update(const MemberList& list);
   // One result follows, never from within this call, unless the attempt is abandoned.
   void send(AttemptKey key, const std::string& server, const Outgoing& what, Micros until);
--- a/src/policy/endpoints/endpoint_list.hpp
+++ b/src/policy/endpoints/endpoint_list.hpp
@@ -6,14 +6,15 @@
 #include <utility>
 #include <vector>
 
-#include "util/order_statistic_ring.hpp"
 #include "util/numbers.hpp"
+#include "util/order_statistic_ring.hpp"
 #include "util/string_interner.hpp"
 
 namespace quota_gateway {
 
-// `Used` has an `entry`, its `place` in the order that all gateways see, and `usable`: listed, up; all three
-// are kept here. Danger: with so much for each server, a list of 170,000 takes more than a gateway has.
+// `Used` has an `entry`, its `place` in the order that all gateways see, and `usable`: listed, up;
+// all three are kept here. Danger: with so much for each server, a list of 170,000 takes more than
+// a gateway has.
 template <typename Used>
 class ServerList {
  public:
@@ -34,20 +35,30 @@
   // Calls `tell(change)` for each entry, and for each server that a whole list may have left out.
   template <typename Tell>
   void update(const ServerListUpdate& update, Tell tell) {
-    if (update.kind == ServerListUpdate::Kind::kError) return;
+    if (update.kind == ServerListUpdate::Kind::kError) {
+      return;
+    }
     const bool whole = update.kind != ServerListUpdate::Kind::kPartial;
-    if (whole) ring_.each([&](At at) { tell(change(at, ServerState::kRemoved)); });
-    for (const ServerEntry& e : update.entries) take(e, whole, tell);
-    if (!whole) return;
+    if (whole) {
+      ring_.each([&](At at) { tell(change(at, ServerState::kRemoved)); });
+    }
+    for (const ServerEntry& e : update.entries) {
+      take(e, whole, tell);
+    }
+    if (!whole) {
+      return;
+    }
     ring_.erase_if([this](const Listed& l) {
       const bool gone = l.state == ServerState::kRemoved && !l.used;
-      if (gone) zones_.drop(l.zone);
+      if (gone) {
+        zones_.drop(l.zone);
+      }
       return gone;
     });
   }
 
-  // Those that are up from a place on, once round at the most, while `visit` says so; all of them are used
-  // then.
+  // Those that are up from a place on, once round at the most, while `visit` says so; all of them
+  // are used then.
   template <typename Visit>
   void use(std::uint64_t from, Visit visit) {
     ring_.walk(from, [&](std::uint64_t place, Listed& l) {
@@ -69,10 +80,14 @@
   template <typename Over>
   void forget_if(Over over) {
     std::erase_if(used_, [&](const std::unique_ptr<Used>& s) {
-      if (!over(*s)) return false;
+      if (!over(*s)) {
+        return false;
+      }
       const At at = ring_.find(s->place, s->entry.server).first;
       ring_.at(at).used = nullptr;
-      if (ring_.at(at).state == ServerState::kRemoved) erase(at);
+      if (ring_.at(at).state == ServerState::kRemoved) {
+        erase(at);
+      }
       return true;
     });
   }
@@ -95,16 +110,24 @@
     const std::uint64_t place = hash_text(e.server);
     auto [at, found] = ring_.find(place, e.server);
     const bool gone = e.state == ServerState::kRemoved;
-    if (!found && gone) return;
-    if (!found) at = ring_.insert(at, place, Listed{CompactText(e.server), zones_.take(e.zone)});
+    if (!found && gone) {
+      return;
+    }
+    if (!found) {
+      at = ring_.insert(at, place, Listed{CompactText(e.server), zones_.take(e.zone)});
+    }
     Listed& l = ring_.at(at);
     const bool restarted = e.started_at > std::exchange(l.started_at, e.started_at);
     l.weight = float(e.weight);
     l.cell = e.cell;
-    if (zones_[l.zone] != e.zone) zones_.drop(std::exchange(l.zone, zones_.take(e.zone)));
+    if (zones_[l.zone] != e.zone) {
+      zones_.drop(std::exchange(l.zone, zones_.take(e.zone)));
+    }
     Change c = change(at, e.state);
     c.restarted = restarted;
-    if (gone && !l.used && !whole) erase(at);
+    if (gone && !l.used && !whole) {
+      erase(at);
+    }
     tell(c);
   }
   Change change(At at, ServerState state) {
@@ -113,7 +136,9 @@
     l.state = state;
     const int was = l.counted;
     ring_.count(at, state == ServerState::kUp);
-    if (l.used) describe(l);
+    if (l.used) {
+      describe(l);
+    }
     return {ring_.place(at), int(l.counted) - was, false, l.used};
   }
   void erase(At at) {
--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -4,33 +4,39 @@
 #include <deque>
 #include <limits>
 
+#include "policy/endpoints/endpoint_list.hpp"
+#include "policy/endpoints/outcome_counts.hpp"
 #include "policy/quota/quota_allocator.hpp"
 #include "util/weighted_sample.hpp"
-#include "policy/endpoints/outcome_counts.hpp"
-#include "policy/endpoints/endpoint_list.hpp"
 
 namespace quota_gateway::policy {
 
-constexpr double kGolden = 0.6180339887498949;  // multiples of it, round a ring, lie evenly and far apart
-constexpr double kSharers = 10;                 // gateways that share a server, about, where there are more
-constexpr double kLeastPart = 6;                // servers that a gateway uses, at the least
-constexpr int kDraws = 2;                       // servers compared for an attempt, and our part of them
-constexpr std::size_t kWindow = 16;             // servers of a large part that an attempt looks at
-constexpr double kStartSlack = 0.125;           // of our part: how far off its even place it may begin
-constexpr Micros kWarmEvery = 300;              // us a server of our part, between looks at who has warmed
-constexpr double kZoneBias = 1.08;   // a server elsewhere must look so much better to be worth crossing
-constexpr double kPriorSamples = 8;  // answers' worth of "as good as its peers" behind each estimate
-constexpr Micros kLatencyMemory = 4'000'000;  // us; health evidence fades so, which readmits by trickle
-constexpr Micros kReportMemory = 1'000'000;   // us; a load report says little after this
-constexpr double kAgeDoubt = 3;  // an attempt older than this many mean answers speaks against its server
-constexpr double kLeastInFlight = 2;       // attempts a server, by all gateways: at a start and at the least
-constexpr double kBusy = 1.6;              // mean answer over the idle one, above which servers hold too much
-constexpr double kFailedRatio = 10;        // mean answers that a failed attempt counts for at the least
-constexpr double kOutlier = 4;             // idle answers that one attempt counts for at the most
-constexpr double kLimitCut = 0.85;         // one cut of the in-flight limit, at most once per mean answer
-constexpr double kSpread = 2;              // deviations of a gateway's attempts out, above its even part
-constexpr double kGrow = 0.04;             // attempts that one good answer adds to the limit while it binds
-constexpr double kUneven = 1.6;            // one server's part of the in-flight limit over an even one
+constexpr double kGolden =
+    0.6180339887498949;                // multiples of it, round a ring, lie evenly and far apart
+constexpr double kSharers = 10;        // gateways that share a server, about, where there are more
+constexpr double kLeastPart = 6;       // servers that a gateway uses, at the least
+constexpr int kDraws = 2;              // servers compared for an attempt, and our part of them
+constexpr std::size_t kWindow = 16;    // servers of a large part that an attempt looks at
+constexpr double kStartSlack = 0.125;  // of our part: how far off its even place it may begin
+constexpr Micros kWarmEvery = 300;     // us a server of our part, between looks at who has warmed
+constexpr double kZoneBias =
+    1.08;  // a server elsewhere must look so much better to be worth crossing
+constexpr double kPriorSamples =
+    8;  // answers' worth of "as good as its peers" behind each estimate
+constexpr Micros kLatencyMemory =
+    4'000'000;  // us; health evidence fades so, which readmits by trickle
+constexpr Micros kReportMemory = 1'000'000;  // us; a load report says little after this
+constexpr double kAgeDoubt =
+    3;  // an attempt older than this many mean answers speaks against its server
+constexpr double kLeastInFlight =
+    2;                         // attempts a server, by all gateways: at a start and at the least
+constexpr double kBusy = 1.6;  // mean answer over the idle one, above which servers hold too much
+constexpr double kFailedRatio = 10;  // mean answers that a failed attempt counts for at the least
+constexpr double kOutlier = 4;       // idle answers that one attempt counts for at the most
+constexpr double kLimitCut = 0.85;   // one cut of the in-flight limit, at most once per mean answer
+constexpr double kSpread = 2;        // deviations of a gateway's attempts out, above its even part
+constexpr double kGrow = 0.04;   // attempts that one good answer adds to the limit while it binds
+constexpr double kUneven = 1.6;  // one server's part of the in-flight limit over an even one
 constexpr double kNormGain = 1.0 / 30;     // per answer; smoothing of the fleet's answer times
 constexpr double kIdleGain = 1.0 / 150;    // per answer; slower, so that its least is no lucky run
 constexpr double kBaseGain = 1.0 / 40000;  // per answer; how fast the idle answer time may rise
@@ -38,10 +44,11 @@
 constexpr double kFailsLeast = 0.04;       // of any server's, by chance
 constexpr double kFailingGain = 1.0 / 40;  // per answer; smoothing of that
 constexpr double kEjectOdds = 4;           // log; two failures where they are rare
-constexpr double kMaxEjected = 0.34;       // of the fleet; past that the fault is likely ours or everyone's
-constexpr double kLastResort = 1e6;        // cost of an ejected server, when too many are
-constexpr Micros kEjectFor = 3'000'000;    // us; then one request at a time until an answer
-constexpr double kColdSafety = 0.55;       // of our part of a cold server's budget
+constexpr double kMaxEjected =
+    0.34;  // of the fleet; past that the fault is likely ours or everyone's
+constexpr double kLastResort = 1e6;      // cost of an ejected server, when too many are
+constexpr Micros kEjectFor = 3'000'000;  // us; then one request at a time until an answer
+constexpr double kColdSafety = 0.55;     // of our part of a cold server's budget
 
 struct Server {
   bool usable = false, ejected = false;
@@ -69,13 +76,18 @@
   return std::max(kLeastPart, std::ceil(double(list.up()) * kSharers / settings.gateways));
 }
 
-// Where on the ring our part begins; true if that changed. Danger: at an exactly even index one server more
-// or less shifts the parts of half of all gateways; at a fixed place the parts lie as unevenly as chance has
-// it. So a place is kept while it is near its even index; small parts have no slack.
+// Where on the ring our part begins; true if that changed. Danger: at an exactly even index one
+// server more or less shifts the parts of half of all gateways; at a fixed place the parts lie as
+// unevenly as chance has it. So a place is kept while it is near its even index; small parts have
+// no slack.
 inline bool place_part(RankMark& start, const List& list, const Settings& settings) {
-  const double n = double(list.up()), at = settings.position * kGolden;
-  const double even = std::floor(n * (at - std::floor(at))), off = std::abs(start.rank() - even);
-  if (n <= 0 || std::min(off, n - off) <= std::floor(kStartSlack * part_size(list, settings))) return false;
+  const double n = double(list.up());
+  const double at = settings.position * kGolden;
+  const double even = std::floor(n * (at - std::floor(at)));
+  const double off = std::abs(start.rank() - even);
+  if (n <= 0 || std::min(off, n - off) <= std::floor(kStartSlack * part_size(list, settings))) {
+    return false;
+  }
   start.set(list, std::size_t(even));
   return true;
 }
@@ -86,7 +98,9 @@
     settings_changed();
   }
   void settings_changed() {
-    for (const ClassSettings& c : settings_.classes) forget_after_ = std::max(forget_after_, 2 * c.deadline);
+    for (const ClassSettings& c : settings_.classes) {
+      forget_after_ = std::max(forget_after_, 2 * c.deadline);
+    }
     place_part(start_, list_, settings_);
     stale_ = true;
   }
@@ -94,8 +108,12 @@
   void update(Micros now, const ServerListUpdate& update) {
     list_.update(update, [&](const List::Change& c) {
       start_.moved(c.place, c.came);
-      if (c.place - start_.place() <= part_end_ - start_.place()) stale_ = true;
-      if (!c.used) return;
+      if (c.place - start_.place() <= part_end_ - start_.place()) {
+        stale_ = true;
+      }
+      if (!c.used) {
+        return;
+      }
       c.used->used_at = now;
       if (c.restarted) {  // a new process: what was known of the old one is void
         c.used->on_trial = c.used->ejected = false;
@@ -104,17 +122,25 @@
       }
       recount(*c.used);
     });
-    if (place_part(start_, list_, settings_) || part_size(list_, settings_) != enough_) stale_ = true;
+    if (place_part(start_, list_, settings_) || part_size(list_, settings_) != enough_) {
+      stale_ = true;
+    }
   }
 
-  // Our part of the servers, a stretch of a ring that all gateways see alike. Danger: each of a hundred
-  // gateways would shake hands with every server, and meet it too seldom to learn that it is sick. The
-  // stretches begin at even distances, neighbours' far apart, and go on until enough of theirs is fit.
+  // Our part of the servers, a stretch of a ring that all gateways see alike. Danger: each of a
+  // hundred gateways would shake hands with every server, and meet it too seldom to learn that it
+  // is sick. The stretches begin at even distances, neighbours' far apart, and go on until enough
+  // of theirs is fit.
   const std::vector<Server*>& part(Micros now) {
-    for (; !ejections_.empty() && ejections_.front().first <= now; ejections_.pop_front())
-      if (Server& s = *ejections_.front().second; s.ejected_until <= now && std::exchange(s.ejected, false))
+    for (; !ejections_.empty() && ejections_.front().first <= now; ejections_.pop_front()) {
+      if (Server& s = *ejections_.front().second;
+          s.ejected_until <= now && std::exchange(s.ejected, false)) {
         recount(s);
-    if (!stale_ && now < warm_at_) return part_;
+      }
+    }
+    if (!stale_ && now < warm_at_) {
+      return part_;
+    }
     stale_ = false;
     enough_ = part_size(list_, settings_);
     part_.clear();
@@ -127,8 +153,12 @@
       s.elsewhere = s.entry.zone != settings_.zone;
       const double warm = warmth(now, s);
       cold = cold || warm < 1;
-      if (!s.ejected) weights_ += weight(s) * warm;
-      if (!s.ejected && !s.on_trial) fit += warm;
+      if (!s.ejected) {
+        weights_ += weight(s) * warm;
+      }
+      if (!s.ejected && !s.on_trial) {
+        fit += warm;
+      }
       return fit < enough_;
     });
     part_end_ = part_.size() < list_.up() ? part_.back()->place : start_.place() - 1;  // once round
@@ -138,22 +168,27 @@
 
   // The least share of its full capacity that the server can have by now.
   double warmth(Micros now, const Server& s) const {
-    if (s.entry.started_at <= 0 || settings_.cold_time <= 0) return 1;
+    if (s.entry.started_at <= 0 || settings_.cold_time <= 0) {
+      return 1;
+    }
     const double age = double(now - s.entry.started_at) / double(settings_.cold_time);
-    return std::clamp(settings_.cold_share + (1 - settings_.cold_share) * age, settings_.cold_share, 1.0);
+    return std::clamp(settings_.cold_share + (1 - settings_.cold_share) * age, settings_.cold_share,
+                      1.0);
   }
 
-  // Danger: a cold server sent too much falls over for good. We stay within our own part of what it can bear,
-  // taking what we send a warm peer for our part of a warm server's load.
+  // Danger: a cold server sent too much falls over for good. We stay within our own part of what it
+  // can bear, taking what we send a warm peer for our part of a warm server's load.
   bool cold_covers(Micros now, Server& s, double work) {
     const double warm = warmth(now, s);
-    if (warm >= 1) return true;
+    if (warm >= 1) {
+      return true;
+    }
     // Where our part is less than one request, requests are so much further apart.
     const double window = double(settings_.cold_window);
-    const double sharers =
-        settings_.gateways * processes_ * double(part_.size()) / double(std::max<std::size_t>(1, list_.up()));
-    const double budget =
-        kColdSafety * settings_.cold_multiple * warm * peer_rate_ * weight(s) * window / kSecond / processes_;
+    const double sharers = settings_.gateways * processes_ * double(part_.size()) /
+                           double(std::max<std::size_t>(1, list_.up()));
+    const double budget = kColdSafety * settings_.cold_multiple * warm * peer_rate_ * weight(s) *
+                          window / kSecond / processes_;
     const double span = window * std::clamp(work / std::max(budget, 1e-9), 1.0, sharers);
     const double spent = s.cold_sends.within(now, span);
     return s.cold_sends.empty() || spent + work <= budget;
@@ -164,7 +199,9 @@
   // How slow a server is against its peers, by its answers and by what it still owes.
   double slowness(Micros now, const Server& s, double mean) const {
     const double r = s.ratio.mean(now, kLatencyMemory, kPriorSamples);
-    if (s.out == 0 || mean <= 0) return r;
+    if (s.out == 0 || mean <= 0) {
+      return r;
+    }
     return std::max(r, double(now - s.owing_since) / (kAgeDoubt * mean));
   }
 
@@ -172,15 +209,21 @@
   template <typename Filter>
   Server* choose(Micros now, double work, double mean, Filter allowed) {
     part(now);
-    if (!has_room(now)) return nullptr;
-    // Danger: gateways that see little of what servers hold all pick the one that looks best, and the slower
-    // ones lie idle. A few are drawn by speed, the fewer the less of the load is our own; the best of those.
+    if (!has_room(now)) {
+      return nullptr;
+    }
+    // Danger: gateways that see little of what servers hold all pick the one that looks best, and
+    // the slower ones lie idle. A few are drawn by speed, the fewer the less of the load is our
+    // own; the best of those.
     draws_.clear();
     const double most = kUneven * even() / weights_;  // attempts out at one server, by its speed
-    const std::size_t n = part_.size(), from = n > kWindow ? std::size_t(uniform(random_) * double(n)) : 0;
-    for (std::size_t i = 0; i < n && (i < kWindow || draws_.empty()); ++i)
-      if (Server& s = *part_[from + i < n ? from + i : from + i - n]; allowed(s))
+    const std::size_t n = part_.size();
+    const std::size_t from = n > kWindow ? std::size_t(uniform(random_) * double(n)) : 0;
+    for (std::size_t i = 0; i < n && (i < kWindow || draws_.empty()); ++i) {
+      if (Server& s = *part_[from + i < n ? from + i : from + i - n]; allowed(s)) {
         draw(now, s, work, mean, most);
+      }
+    }
     return draws_.best_of(std::size_t(kDraws + listed() / settings_.gateways));
   }
 
@@ -193,14 +236,17 @@
   template <typename Filter>
   bool any(Micros now, Filter allowed) {
     const std::vector<Server*>& ours = part(now);
-    return std::any_of(ours.begin(), ours.end(), [&](const Server* s) { return !s->ejected && allowed(*s); });
+    return std::any_of(ours.begin(), ours.end(),
+                       [&](const Server* s) { return !s->ejected && allowed(*s); });
   }
 
   void sent(Micros now, Server& s, double work) {
     s.used_at = now;
     ++s.named;
     s.carried += work;
-    if (warmth(now, s) < 1) s.cold_sends.add(now, work);
+    if (warmth(now, s) < 1) {
+      s.cold_sends.add(now, work);
+    }
   }
 
   // So many attempts more are with a server, from the last byte of their requests to their end.
@@ -208,26 +254,35 @@
     settle(now);
     s.out += attempts;
     out_ += attempts;
-    if (s.out == attempts) s.owing_since = now;
+    if (s.out == attempts) {
+      s.owing_since = now;
+    }
   }
 
-  // `ratio`: its time over its class's mean. Danger: a sick server that answers errors at once looks fast.
-  bool ended(Micros now, Server& s, Outcome o, double ratio, double over_aim, double mean, bool blame,
-             const LoadReport& load) {
+  // `ratio`: its time over its class's mean. Danger: a sick server that answers errors at once
+  // looks fast.
+  bool ended(Micros now, Server& s, Outcome o, double ratio, double over_aim, double mean,
+             bool blame, const LoadReport& load) {
     const bool answered = o == Outcome::kOk || o == Outcome::kError;
     const bool timed = o == Outcome::kOk || o == Outcome::kTimeout || blame;
-    const bool failed = blame || (o != Outcome::kOk && o != Outcome::kFull && o != Outcome::kNotSent &&
-                                  o != Outcome::kCancelled);
-    if (timed || failed) s.ratio.add(now, kLatencyMemory, failed ? std::max(ratio, kFailedRatio) : ratio);
+    const bool failed = blame || (o != Outcome::kOk && o != Outcome::kFull &&
+                                  o != Outcome::kNotSent && o != Outcome::kCancelled);
+    if (timed || failed) {
+      s.ratio.add(now, kLatencyMemory, failed ? std::max(ratio, kFailedRatio) : ratio);
+    }
     if (load.in_flight >= 0 || load.queued >= 0) {
       s.others = load.in_flight >= 0 ? std::max(0.0, load.in_flight - s.out - 1) : load.queued;
       s.report_at = now;
     }
-    if (answered) s.owing_since = now;
+    if (answered) {
+      s.owing_since = now;
+    }
     if (o == Outcome::kOk) {
       failing_ -= kFailingGain * failing_;
       s.odds = std::max(0.0, s.odds - std::log((1 - failing_) / (1 - kBadFails)));
-      if (std::exchange(s.on_trial, false)) recount(s);
+      if (std::exchange(s.on_trial, false)) {
+        recount(s);
+      }
     }
     adapt(now, o, timed, over_aim, mean);
     ends_.add(o, blame);
@@ -238,28 +293,35 @@
     return s && fails(now, *s);
   }
 
-  // Once a period: what a warm peer of weight one was sent a second. Danger: open requests may name old ones,
-  // and a cold one that comes back into our part has borne what it was sent.
+  // Once a period: what a warm peer of weight one was sent a second. Danger: open requests may name
+  // old ones, and a cold one that comes back into our part has borne what it was sent.
   void look(Micros now) {
-    double work = 0, weights = 0;
+    double work = 0;
+    double weights = 0;
     for (Server* s : part(now)) {
       s->used_at = now;
-      if (warmth(now, *s) < 1 || s->ejected) continue;
+      if (warmth(now, *s) < 1 || s->ejected) {
+        continue;
+      }
       work += s->carried;
       weights += weight(*s);
     }
-    if (weights > 0) peer_rate_ += 0.3 * (work / weights / (kPeriod / kSecond) - peer_rate_);
+    if (weights > 0) {
+      peer_rate_ += 0.3 * (work / weights / (kPeriod / kSecond) - peer_rate_);
+    }
     list_.forget_if([&](Server& s) {
       s.carried = 0;
-      return s.named == 0 && now - s.used_at > forget_after_ && (s.cold_sends.empty() || warmth(now, s) >= 1);
+      return s.named == 0 && now - s.used_at > forget_after_ &&
+             (s.cold_sends.empty() || warmth(now, s) >= 1);
     });
   }
 
-  // For the log: attempts out and allowed, answer times now and when idle over their aims, and ends.
+  // For the log: attempts out and allowed, answer times now and when idle over their aims, and
+  // ends.
   std::string state(Micros now) {
     part(now);
-    return join("out ", out_, " of ", even(), ", answers ", norm_, " idle ", base_, ", ejected ", ejected_,
-                " of ", list_.size(), ", ", std::exchange(ends_, {}).text());
+    return join("out ", out_, " of ", even(), ", answers ", norm_, " idle ", base_, ", ejected ",
+                ejected_, " of ", list_.size(), ", ", std::exchange(ends_, {}).text());
   }
 
   double even() const {
@@ -274,35 +336,49 @@
  private:
   int listed() const { return int(list_.up()) - ejected_; }
 
-  // After any change of what a server is held for: the sums are kept, and our part is looked at anew.
+  // After any change of what a server is held for: the sums are kept, and our part is looked at
+  // anew.
   void recount(Server& s) {
-    const bool ejected = s.usable && s.ejected, trial = s.usable && s.on_trial;
+    const bool ejected = s.usable && s.ejected;
+    const bool trial = s.usable && s.on_trial;
     ejected_ += int(ejected) - int(std::exchange(s.counts_ejected, ejected));
     on_trial_ += int(trial) - int(std::exchange(s.counts_trial, trial));
     stale_ = true;
   }
 
   void draw(Micros now, Server& s, double work, double mean, double most) {
-    // Danger: a whole zone gone may be more than may be ejected; its servers then come last, not in turn.
+    // Danger: a whole zone gone may be more than may be ejected; its servers then come last, not in
+    // turn.
     const bool last_resort = ejected_ > kMaxEjected * double(list_.up());
-    if ((s.ejected && !last_resort) || (s.on_trial && s.out > 0)) return;
-    const double root = std::sqrt(warmth(now, s)), speed = weight(s) * root / slowness(now, s, mean);
-    if (s.out > 0 && s.out >= std::round(most * speed)) return;
-    if (!cold_covers(now, s, work)) return;
+    if ((s.ejected && !last_resort) || (s.on_trial && s.out > 0)) {
+      return;
+    }
+    const double root = std::sqrt(warmth(now, s));
+    const double speed = weight(s) * root / slowness(now, s, mean);
+    if (s.out > 0 && s.out >= std::round(most * speed)) {
+      return;
+    }
+    if (!cold_covers(now, s, work)) {
+      return;
+    }
     const double others = s.others > 0 ? s.others * fade(now - s.report_at, kReportMemory) : 0;
     // Danger: drawn by their warmth and compared by it too, cold servers lay idle beside full ones.
     double cost = (s.out + others + 1) / speed * root;
-    if (s.elsewhere) cost *= kZoneBias;
+    if (s.elsewhere) {
+      cost *= kZoneBias;
+    }
     const double last = s.ejected ? kLastResort : 1;
     draws_.add(-std::log(1 - uniform(random_)) / speed * last, cost * last, &s);
   }
 
-  // Danger: who meets a server seldom waits long for failures in a row. Each counts by how rare failures are;
-  // where all servers fail, it says next to nothing of one.
+  // Danger: who meets a server seldom waits long for failures in a row. Each counts by how rare
+  // failures are; where all servers fail, it says next to nothing of one.
   bool fails(Micros now, Server& s) {
     failing_ = std::min(kBadFails, failing_ + kFailingGain * (1 - failing_));
     s.odds += std::log(kBadFails / std::max(kFailsLeast, failing_));
-    if ((s.odds < kEjectOdds && !s.on_trial) || s.ejected_until > now) return false;
+    if ((s.odds < kEjectOdds && !s.on_trial) || s.ejected_until > now) {
+      return false;
+    }
     ends_.add_ejection();
     s.used_at = now;  // danger: its end must find it
     s.ejected_until = now + kEjectFor;
@@ -312,9 +388,10 @@
     return true;
   }
 
-  // Danger: with more gateways than servers an even part is less than one. More go out when demand by chance
-  // asks for it, paid for out of the room left in the last second. Danger: paid by a stop, the dear requests
-  // that wait run out of time, and the next room goes to whoever is there. An even part may always be out.
+  // Danger: with more gateways than servers an even part is less than one. More go out when demand
+  // by chance asks for it, paid for out of the room left in the last second. Danger: paid by a
+  // stop, the dear requests that wait run out of time, and the next room goes to whoever is there.
+  // An even part may always be out.
   bool has_room(Micros now) {
     settle(now);
     return out_ + 1 <= even() || (room_ > 0 && out_ < 1 + even() + kSpread * std::sqrt(even()));
@@ -324,20 +401,28 @@
     room_at_ = now;
   }
 
-  // Danger: servers that hold too much lose speed, and the jam feeds itself. What all our attempts take,
-  // against what they took when servers were idle, bounds how many may be out.
+  // Danger: servers that hold too much lose speed, and the jam feeds itself. What all our attempts
+  // take, against what they took when servers were idle, bounds how many may be out.
   void adapt(Micros now, Outcome o, bool timed, double over_aim, double mean) {
     if (timed) {
       // Danger: a few attempts lost or far heavier than the rest are no sign of a full fleet.
-      if (base_ > 0) over_aim = std::min(over_aim, kOutlier * base_);
+      if (base_ > 0) {
+        over_aim = std::min(over_aim, kOutlier * base_);
+      }
       norm_ += (norm_ > 0 ? kNormGain : 1.0) * (over_aim - norm_);
       slow_norm_ += std::max(kIdleGain, 1.0 / ++answers_) * (over_aim - slow_norm_);
-      if (answers_ > 1 / kNormGain)
-        base_ = base_ <= 0 ? slow_norm_ : std::min(slow_norm_, base_ + kBaseGain * (slow_norm_ - base_));
+      if (answers_ > 1 / kNormGain) {
+        base_ = base_ <= 0 ? slow_norm_
+                           : std::min(slow_norm_, base_ + kBaseGain * (slow_norm_ - base_));
+      }
+    }
+    if (o == Outcome::kFull) {
+      return;  // danger: one server, or one plan there, is not the fleet
     }
-    if (o == Outcome::kFull) return;  // danger: one server, or one plan there, is not the fleet
     if (base_ <= 0 || norm_ <= kBusy * base_) {
-      if (timed && room_ < 0.5 * even()) limit_ = even() + kGrow;
+      if (timed && room_ < 0.5 * even()) {
+        limit_ = even() + kGrow;
+      }
     } else if (double(now - cut_at_) > mean) {
       limit_ = even() * kLimitCut;
       cut_at_ = now;
@@ -351,10 +436,10 @@
   std::vector<Server*> part_;
   std::uint64_t part_end_ = 0;  // place of its last one
   bool stale_ = true;
-  double enough_ = 0;                                 // fit servers that `part_` was made with
-  double weights_ = 0;                                // of those there that are not ejected, by their warmth
-  Micros warm_at_ = 0;                                // when it is looked at anew because cold ones warm up
-  int ejected_ = 0, on_trial_ = 0;                    // of the listed ones
+  double enough_ = 0;               // fit servers that `part_` was made with
+  double weights_ = 0;              // of those there that are not ejected, by their warmth
+  Micros warm_at_ = 0;              // when it is looked at anew because cold ones warm up
+  int ejected_ = 0, on_trial_ = 0;  // of the listed ones
   std::deque<std::pair<Micros, Server*>> ejections_;  // by their end
   Draws<Server> draws_;
   double limit_ = 0, norm_ = 0, slow_norm_ = 0, base_ = 0, peer_rate_ = 0;
--- a/src/policy/endpoints/outcome_counts.hpp
+++ b/src/policy/endpoints/outcome_counts.hpp
@@ -18,8 +18,11 @@
                                              " late ",      " unconnected ", " reset ",
                                              " cancelled ", " not sent ",    " blamed "};
     std::string out = join(ejections_, " times, ended:");
-    for (std::size_t i = 0; i < counts_.size(); ++i)
-      if (counts_[i] > 0) out += join(kNames[i], counts_[i]);
+    for (std::size_t i = 0; i < counts_.size(); ++i) {
+      if (counts_[i] > 0) {
+        out += join(kNames[i], counts_[i]);
+      }
+    }
     return out;
   }
 
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -1,10 +1,11 @@
-// Every decision of quota_gateway, in the plain types of include/quota_gateway/gateway.hpp: attempts and overload
-// here, the rest in policy/.
+// Every decision of quota_gateway, in the plain types of include/quota_gateway/gateway.hpp:
+// attempts and overload here, the rest in policy/.
+#include "quota_gateway/gateway.hpp"
+
 #include <memory>
 
-#include "quota_gateway/gateway.hpp"
-#include "policy/quota/rate_ceiling.hpp"
 #include "policy/endpoints/load_balancer.hpp"
+#include "policy/quota/rate_ceiling.hpp"
 #include "policy/rejection_stats.hpp"
 
 namespace quota_gateway {
@@ -12,16 +13,18 @@
 
 using namespace policy;
 
-constexpr double kMeanGain = 0.02;      // per answer; smoothing of a class's answer time
-constexpr double kMeanPrior = 4;        // answers that a sixth of the aim counts for, as the first guess
-constexpr double kRetryShare = 0.1;     // retries and second copies per first attempt
-constexpr double kRetryBurst = 10;      // attempts
-constexpr double kDoubtAfter = 7;       // mean answers until an attempt is looked at again
-constexpr double kAtOnce = 0.25;        // of an expected answer time: too short for the work to be done
-constexpr Micros kDoubtLeast = 50'000;  // us; fast servers pause for longer than a few of their answers
-constexpr double kHoldShare = 0.25;     // of the aim that a request may wait here for a server
-constexpr double kNeed = 1.5;      // expected answer times that must be left when a held request goes out
-constexpr double kRelaxed = 0.25;  // of the room taken: below it there is room for excess
+constexpr double kMeanGain = 0.02;  // per answer; smoothing of a class's answer time
+constexpr double kMeanPrior = 4;  // answers that a sixth of the aim counts for, as the first guess
+constexpr double kRetryShare = 0.1;  // retries and second copies per first attempt
+constexpr double kRetryBurst = 10;   // attempts
+constexpr double kDoubtAfter = 7;    // mean answers until an attempt is looked at again
+constexpr double kAtOnce = 0.25;  // of an expected answer time: too short for the work to be done
+constexpr Micros kDoubtLeast =
+    50'000;  // us; fast servers pause for longer than a few of their answers
+constexpr double kHoldShare = 0.25;  // of the aim that a request may wait here for a server
+constexpr double kNeed =
+    1.5;  // expected answer times that must be left when a held request goes out
+constexpr double kRelaxed = 0.25;        // of the room taken: below it there is room for excess
 constexpr Micros kLogEvery = 5'000'000;  // us between log lines of one kind
 
 struct Attempt {
@@ -43,8 +46,9 @@
   std::shared_ptr<Class> cls;
   int most_attempts = 1, out = 0;
   Customer* customer = nullptr;
-  double units = 1, quota_units = 1;  // the latter of the quota: units, or attempt-seconds under an open cap
-  double expected = 0, value = 1;     // us, its answer time; worth a unit of that work: who goes first
+  double units = 1,
+         quota_units = 1;  // the latter of the quota: units, or attempt-seconds under an open cap
+  double expected = 0, value = 1;  // us, its answer time; worth a unit of that work: who goes first
   Micros arrived = 0, hold_until = 0, give_up = 0;  // no answer after the last earns anything
   bool over = false;                                // beyond the quota as far as we know
   bool body_follows = false, done = false, held = false;
@@ -73,7 +77,9 @@
       next_look_ = now + 1 + Micros(mix(seed_) % std::uint64_t(kPeriod));
       emit(SetTimer{next_look_, kLook});
     }
-    for (const Event& e : events) std::visit([this](const auto& x) { on(x); }, e);
+    for (const Event& e : events) {
+      std::visit([this](const auto& x) { on(x); }, e);
+    }
     drain_held();
   }
   int avoided() const { return servers_.avoided(); }
@@ -91,24 +97,34 @@
 
   void log(const std::string& kind, const std::string& text) {
     auto [it, fresh] = logged_.try_emplace(kind, now_);
-    if (!fresh && now_ - it->second < kLogEvery) return;
+    if (!fresh && now_ - it->second < kLogEvery) {
+      return;
+    }
     it->second = now_;
     emit(LogLine{std::string(kind).append(": ").append(text)});
   }
 
   void on(const ServerListUpdate& e) { servers_.update(now_, e); }
   void on(const StreamStarted& e) {
-    if (Request* r = find(e.id)) r->done = true;  // the attempt is the client's now
+    if (Request* r = find(e.id)) {
+      r->done = true;  // the attempt is the client's now
+    }
   }
   void on(const AttemptWritten& e) {
     Request* r = find(e.id);
-    if (!r) return;
+    if (!r) {
+      return;
+    }
     Attempt& a = r->attempts.at(std::size_t(e.attempt));
-    if (a.out && !std::exchange(a.with_server, true)) servers_.occupy(now_, *a.server, 1);
+    if (a.out && !std::exchange(a.with_server, true)) {
+      servers_.occupy(now_, *a.server, 1);
+    }
   }
   void on(const ProbeEnded&) {}
   void on(const AnswerCut& e) {
-    if (servers_.cut(now_, e.server)) log("server", e.server + " ejected: it fails");
+    if (servers_.cut(now_, e.server)) {
+      log("server", e.server + " ejected: it fails");
+    }
   }
   void on(const ProcessesChanged& e) {
     fill_ceilings();
@@ -125,46 +141,73 @@
   void fill_ceilings() {
     slices_.each([this](Customer& c) { ceilings_.covers(now_, c, 0); });
   }
-  // Customers and open requests hold plans and classes: plans change in place, a changed class is another.
+  // Customers and open requests hold plans and classes: plans change in place, a changed class is
+  // another.
   void settings_changed() {
     settings_.gateways = std::max(1, settings_.gateways);
-    for (const PlanSettings& p : settings_.plans) plans_[p.name] = p;
+    for (const PlanSettings& p : settings_.plans) {
+      plans_[p.name] = p;
+    }
     const auto before = std::exchange(classes_, {});
     for (const ClassSettings& c : settings_.classes) {
       const auto was = before.find(c.name);
       const Class told = was != before.end() ? *was->second : Class{};
-      classes_[c.name] = std::make_shared<Class>(Class{c, told.mean, told.usual_units, told.answers});
+      classes_[c.name] =
+          std::make_shared<Class>(Class{c, told.mean, told.usual_units, told.answers});
     }
   }
   void on(const CounterAnswered& e) {
     slices_.pace(now_, e);
     const auto d = pools_.answered(now_, e);
-    if (d.counts && d.pool.drawn == &Customer::of_quota)
-      slices_.drew(now_, *d.owner, e.total, std::max(d.pool.since(now_, *d.owner), d.pool.length / 2));
+    if (d.counts && d.pool.drawn == &Customer::of_quota) {
+      slices_.drew(now_, *d.owner, e.total,
+                   std::max(d.pool.since(now_, *d.owner), d.pool.length / 2));
+    }
     Customer* counted = d.owner ? nullptr : slices_.answered(now_, e);
-    if (d.owner) decide_all((d.owner->*d.pool.drawn).waiting);
-    if (counted) decide_all(counted->waiting);
-    if (e.outcome != CountOutcome::kOk) log("counter", "no answer or refused; totals are held");
+    if (d.owner) {
+      decide_all((d.owner->*d.pool.drawn).waiting);
+    }
+    if (counted) {
+      decide_all(counted->waiting);
+    }
+    if (e.outcome != CountOutcome::kOk) {
+      log("counter", "no answer or refused; totals are held");
+    }
   }
 
   void decide_all(std::vector<std::string>& waiting) {
-    for (const std::string& id : std::exchange(waiting, {}))
-      if (Request* r = find(id); r && r->waits) decide(*r);
+    for (const std::string& id : std::exchange(waiting, {})) {
+      if (Request* r = find(id); r && r->waits) {
+        decide(*r);
+      }
+    }
   }
 
   void on(const ClientGone& e) {
-    if (Request* r = find(e.id)) close(*r);
+    if (Request* r = find(e.id)) {
+      close(*r);
+    }
   }
 
   void on(const TimerFired& e) {
-    if (e.token == kLook) return look();
+    if (e.token == kLook) {
+      return look();
+    }
     const auto timer = timers_.extract(e.token);
-    if (timer.empty()) return;
+    if (timer.empty()) {
+      return;
+    }
     const auto [id, attempt] = timer.mapped();
     Request* r = find(id);
-    if (!r || r->done) return;
-    if (attempt >= 0) doubt(*r, attempt);
-    if (attempt == kDecide && r->waits) decide(*r);
+    if (!r || r->done) {
+      return;
+    }
+    if (attempt >= 0) {
+      doubt(*r, attempt);
+    }
+    if (attempt == kDecide && r->waits) {
+      decide(*r);
+    }
   }
 
   void look() {
@@ -177,10 +220,14 @@
 
   // Why requests were refused, for who reads the log of a bad day.
   void tell_why() {
-    if (now_ - told_at_ < kLogEvery) return;
+    if (now_ - told_at_ < kLogEvery) {
+      return;
+    }
     told_at_ = now_;
     const Refusals r = std::exchange(refusals_, {});
-    if (r.any()) log("refused", join(r.text(), slices_.state(now_), "; ", servers_.state(now_)));
+    if (r.any()) {
+      log("refused", join(r.text(), slices_.state(now_), "; ", servers_.state(now_)));
+    }
   }
 
   void on(const RequestArrived& e) {
@@ -204,12 +251,15 @@
     r.value = cls->worth * plan->price * e.units / r.expected;
     r.arrived = now_;
     r.give_up = cls->late_worth > 0 ? e.deadline : std::min(e.deadline, now_ + cls->aim);
-    // Danger: gateways that meet a customer seldom would never know a total in time. The first one waits.
-    // A draw comes first. Danger: with the total read no call was left to draw on the ceiling.
-    if (ceilings_.covers(now_, c, r.units) && slices_.call(now_, e.customer, c, *out_) && may_wait(r))
+    // Danger: gateways that meet a customer seldom would never know a total in time. The first one
+    // waits. A draw comes first. Danger: with the total read no call was left to draw on the
+    // ceiling.
+    if (ceilings_.covers(now_, c, r.units) && slices_.call(now_, e.customer, c, *out_) &&
+        may_wait(r)) {
       wait(r, c.waiting);
-    else
+    } else {
       decide(r);
+    }
   }
 
   // For the counter: a call's time-out at most, all calls of a request together.
@@ -239,35 +289,54 @@
     if (slices_.thin(c)) {
       const auto pool = quota_pool(plan);
       const bool first = !std::exchange(r.tried, true) && !excess;
-      if (pool.reserved(now_, c) >= r.units) from = &c.of_quota.reserved;
+      if (pool.reserved(now_, c) >= r.units) {
+        from = &c.of_quota.reserved;
+      }
       const bool shut = !from && (pool.drained(now_, c) || (first && !slices_.may_draw(c)));
-      if (!from && !shut && first && may_wait(r) && pools_.draw(now_, c, pool, r.units, spare(0), *out_))
+      if (!from && !shut && first && may_wait(r) &&
+          pools_.draw(now_, c, pool, r.units, spare(0), *out_)) {
         return wait(r, c.of_quota.waiting);
+      }
       within = from || (!shut && slices_.passes_undrawn(c, r.units));
     }
     within = within && (plan.max_open <= 0 || c.open < plan.max_open);
     const bool under_ceiling = ceilings_.covers(now_, c, r.units);
     if ((within || excess) && !under_ceiling && may_wait(r) && settings_.has_counter) {
       const double ahead = std::max(r.units, std::min(c.own, c.rate) * kDrawAhead);
-      if (pools_.draw(now_, c, ceiling_pool(plan), ahead, spare(1), *out_))
+      if (pools_.draw(now_, c, ceiling_pool(plan), ahead, spare(1), *out_)) {
         return wait(r, c.of_ceiling.waiting);
+      }
     }
     if (!under_ceiling || (!within && !excess)) {
-      if (within) ++refusals_.sliced;
+      if (within) {
+        ++refusals_.sliced;
+      }
       ++(under_ceiling ? refusals_.slice : refusals_.ceiling);
-      if (under_ceiling && c.read_at <= 0) ++refusals_.blind;
-      if (under_ceiling && c.read_at > 0 && c.own + c.others < c.rate) ++refusals_.within;
-      // Danger: with units left in the slice the advice would be to come at once, and be refused at once.
+      if (under_ceiling && c.read_at <= 0) {
+        ++refusals_.blind;
+      }
+      if (under_ceiling && c.read_at > 0 && c.own + c.others < c.rate) {
+        ++refusals_.within;
+      }
+      // Danger: with units left in the slice the advice would be to come at once, and be refused at
+      // once.
       const Micros room = under_ceiling ? 0 : ceilings_.room_in(now_, c, r.units);
       emit(Refuse{r.id, slices_.retry_after(c, r.quota_units, r.cls->aim, room)});
       return close(r);
     }
     r.over = !within;
-    if (within) r.taken_from = slices_.take(c, r.quota_units, from);
-    // Danger: room grows with time, and who comes first after that would take it from dearer ones that wait.
+    if (within) {
+      r.taken_from = slices_.take(c, r.quota_units, from);
+    }
+    // Danger: room grows with time, and who comes first after that would take it from dearer ones
+    // that wait.
     const bool in_line = within && !held_.empty();
-    if (!in_line && send(r)) return;
-    if (within) return hold(r);
+    if (!in_line && send(r)) {
+      return;
+    }
+    if (within) {
+      return hold(r);
+    }
     end(r);
     forget(r);
   }
@@ -277,43 +346,67 @@
   static double expected(const Class& cls, double units) {
     return mean_of(cls) * (cls.usual_units > 0 && units > 0 ? units / cls.usual_units : 1.0);
   }
-  int most_attempts(const Request& r) const { return std::min(r.most_attempts, settings_.max_attempts); }
+  int most_attempts(const Request& r) const {
+    return std::min(r.most_attempts, settings_.max_attempts);
+  }
 
   // Rule 2: where may this request still go?
   bool may_go(const Request& r, const Server& s) const {
     for (const Attempt& a : r.attempts) {
-      if (a.server == &s) return false;  // what failed there once may again
-      if (!a.may_have_run || r.cls->repeat == Repeat::kSafe) continue;
-      if (r.cls->repeat == Repeat::kUnsafe) return false;
-      const bool same = r.cls->dedup_scope == DedupScope::kAll ||
-                        (r.cls->dedup_scope == DedupScope::kZone && s.entry.zone == a.server->entry.zone) ||
-                        (r.cls->dedup_scope == DedupScope::kCell && s.entry.cell == a.server->entry.cell);
-      if (!same || now_ - a.sent >= r.cls->dedup_window - 2 * settings_.tick) return false;
+      if (a.server == &s) {
+        return false;  // what failed there once may again
+      }
+      if (!a.may_have_run || r.cls->repeat == Repeat::kSafe) {
+        continue;
+      }
+      if (r.cls->repeat == Repeat::kUnsafe) {
+        return false;
+      }
+      const bool same =
+          r.cls->dedup_scope == DedupScope::kAll ||
+          (r.cls->dedup_scope == DedupScope::kZone && s.entry.zone == a.server->entry.zone) ||
+          (r.cls->dedup_scope == DedupScope::kCell && s.entry.cell == a.server->entry.cell);
+      if (!same || now_ - a.sent >= r.cls->dedup_window - 2 * settings_.tick) {
+        return false;
+      }
     }
     return true;
   }
   bool may_refuse(const Request& r) const {
-    if (r.cls->repeat == Repeat::kSafe) return true;
-    if (r.cls->repeat == Repeat::kKeyed && r.cls->dedup_scope == DedupScope::kAll) return true;
+    if (r.cls->repeat == Repeat::kSafe) {
+      return true;
+    }
+    if (r.cls->repeat == Repeat::kKeyed && r.cls->dedup_scope == DedupScope::kAll) {
+      return true;
+    }
     return std::none_of(r.attempts.begin(), r.attempts.end(),
                         [](const Attempt& a) { return a.may_have_run; });
   }
 
   bool send(Request& r) {
-    if (int(r.attempts.size()) >= most_attempts(r) || r.give_up - now_ <= settings_.tick) return false;
+    if (int(r.attempts.size()) >= most_attempts(r) || r.give_up - now_ <= settings_.tick) {
+      return false;
+    }
     const bool again = !r.attempts.empty();
     const double work = r.expected / kSecond;
-    Server* s = servers_.choose(now_, work, mean_of(*r.cls), [&](const Server& to) { return may_go(r, to); });
-    if (!s) return false;
+    Server* s = servers_.choose(now_, work, mean_of(*r.cls),
+                                [&](const Server& to) { return may_go(r, to); });
+    if (!s) {
+      return false;
+    }
     if (!again) {
-      if (!ceilings_.covers(now_, *r.customer, r.units)) return false;
+      if (!ceilings_.covers(now_, *r.customer, r.units)) {
+        return false;
+      }
       ceilings_.take(now_, *r.customer, r.units);
       retries_ = std::min(kRetryBurst, retries_ + kRetryShare);
     }
     servers_.sent(now_, *s, work);
     r.attempts.push_back({s, now_});
     r.attempts.back().with_server = !r.body_follows;
-    if (!r.body_follows) servers_.occupy(now_, *s, 1);
+    if (!r.body_follows) {
+      servers_.occupy(now_, *s, 1);
+    }
     ++r.out;
     ++r.customer->open;
     emit(SendAttempt{r.id, s->entry.server, r.give_up - now_});
@@ -323,14 +416,19 @@
 
   void watch(const Request& r, int attempt, Micros after) {
     after = std::max(after, kDoubtLeast);
-    if (now_ + after >= r.give_up) return;
+    if (now_ + after >= r.give_up) {
+      return;
+    }
     arm(r, attempt, now_ + after);
   }
 
-  // An attempt takes long. Taken back only when its server has answered nothing since: stalled, not heavy.
+  // An attempt takes long. Taken back only when its server has answered nothing since: stalled, not
+  // heavy.
   void doubt(Request& r, int index) {
     Attempt& a = r.attempts[std::size_t(index)];
-    if (!a.out || a.blamed) return;
+    if (!a.out || a.blamed) {
+      return;
+    }
     const bool repeatable = r.cls->repeat == Repeat::kSafe || r.cls->repeat == Repeat::kKeyed;
     if (repeatable && retries_ >= 1 && settings_.may_cancel && a.server->owing_since <= a.sent) {
       retries_ -= 1;
@@ -343,45 +441,66 @@
 
   void on(const AttemptEnded& e) {
     Request* found = find(e.id);
-    if (!found || e.attempt < 0 || e.attempt >= int(found->attempts.size())) return;
+    if (!found || e.attempt < 0 || e.attempt >= int(found->attempts.size())) {
+      return;
+    }
     Request& r = *found;
     Attempt& a = r.attempts[std::size_t(e.attempt)];
-    if (!std::exchange(a.out, false)) return;
+    if (!std::exchange(a.out, false)) {
+      return;
+    }
     --r.out;
     --r.customer->open;
     using O = Outcome;
-    a.may_have_run = !(e.outcome == O::kFull || e.outcome == O::kConnectFailed || e.outcome == O::kNotSent);
+    a.may_have_run =
+        !(e.outcome == O::kFull || e.outcome == O::kConnectFailed || e.outcome == O::kNotSent);
     if (e.outcome == O::kOk) {
       const double gain = std::max(kMeanGain, 1 / (kMeanPrior + ++r.cls->answers));
       r.cls->mean = mean_of(*r.cls) + gain * (double(e.duration) - mean_of(*r.cls));
     }
     const double mean = mean_of(*r.cls);
-    // Danger: a gateway that stood still finds answers old; what they say they took counts, not the clock.
-    const double over_aim = double(e.duration) / double(std::max<Micros>(1, r.cls->aim)) * mean / r.expected;
-    if (a.with_server) servers_.occupy(now_, *a.server, -1);
-    if (servers_.ended(now_, *a.server, e.outcome, double(e.duration) / r.expected, over_aim, mean, a.blamed,
-                       e.load))
+    // Danger: a gateway that stood still finds answers old; what they say they took counts, not the
+    // clock.
+    const double over_aim =
+        double(e.duration) / double(std::max<Micros>(1, r.cls->aim)) * mean / r.expected;
+    if (a.with_server) {
+      servers_.occupy(now_, *a.server, -1);
+    }
+    if (servers_.ended(now_, *a.server, e.outcome, double(e.duration) / r.expected, over_aim, mean,
+                       a.blamed, e.load)) {
       log("server", a.server->entry.server + " ejected: it fails");
-    if (settings_.settles_later && e.billed > 0 && !r.over) slices_.take(*r.customer, e.billed - r.units);
-    if (e.finished) finish(r);
+    }
+    if (settings_.settles_later && e.billed > 0 && !r.over) {
+      slices_.take(*r.customer, e.billed - r.units);
+    }
+    if (e.finished) {
+      finish(r);
+    }
     if (!r.done && r.out == 0) {
       // A connection that was reset at once cost its server next to nothing.
       const bool cheap = !a.may_have_run || a.blamed ||
                          (e.outcome == O::kReset && double(e.duration) < kAtOnce * r.expected);
       const bool again = (cheap || retries_ >= 1) && int(r.attempts.size()) < most_attempts(r);
-      if (again && !cheap) retries_ -= 1;
-      // Danger: a keyed request that may have run has few servers to go to, which are soon all taken.
-      if (again && !send(r) && servers_.any(now_, [&](const Server& to) { return may_go(r, to); }))
+      if (again && !cheap) {
+        retries_ -= 1;
+      }
+      // Danger: a keyed request that may have run has few servers to go to, which are soon all
+      // taken.
+      if (again && !send(r) &&
+          servers_.any(now_, [&](const Server& to) { return may_go(r, to); })) {
         hold(r);
-      else if (r.out == 0)
+      } else if (r.out == 0) {
         end(r);
+      }
     }
     forget(r);
   }
 
   // The one final answer of a request that no server will answer.
   void end(Request& r) {
-    if (r.done) return;
+    if (r.done) {
+      return;
+    }
     if (may_refuse(r)) {
       ++refusals_.servers;
       emit(Refuse{r.id, Micros(mean_of(*r.cls))});
@@ -395,10 +514,17 @@
     r.done = true;
     // What was never sent on took nothing. Danger: units of all that waits in vain would be gone.
     const auto from = std::exchange(r.taken_from, nullptr);
-    if (from && r.attempts.empty()) slices_.give_back(*r.customer, from, r.quota_units);
-    if (!settings_.may_cancel) return;
-    for (std::size_t i = 0; i < r.attempts.size(); ++i)
-      if (r.attempts[i].out && !r.cls->streamed) emit(CancelAttempt{r.id, int(i)});
+    if (from && r.attempts.empty()) {
+      slices_.give_back(*r.customer, from, r.quota_units);
+    }
+    if (!settings_.may_cancel) {
+      return;
+    }
+    for (std::size_t i = 0; i < r.attempts.size(); ++i) {
+      if (r.attempts[i].out && !r.cls->streamed) {
+        emit(CancelAttempt{r.id, int(i)});
+      }
+    }
   }
 
   void close(Request& r) {
@@ -406,15 +532,22 @@
     forget(r);
   }
   void forget(const Request& r) {
-    if (!r.done || r.out > 0 || r.held) return;
-    for (const Attempt& a : r.attempts) --a.server->named;
+    if (!r.done || r.out > 0 || r.held) {
+      return;
+    }
+    for (const Attempt& a : r.attempts) {
+      --a.server->named;
+    }
     requests_.erase(requests_.find(r.id));
   }
 
-  // A request inside its quota that finds the servers full waits here for a part of its aim, dear ones first.
+  // A request inside its quota that finds the servers full waits here for a part of its aim, dear
+  // ones first.
   void hold(Request& r) {
     r.held = true;
-    const auto dearer = [&](double value, const std::string& id) { return value > requests_.at(id).value; };
+    const auto dearer = [&](double value, const std::string& id) {
+      return value > requests_.at(id).value;
+    };
     held_.insert(std::upper_bound(held_.begin(), held_.end(), r.value, dearer), r.id);
     log("full", "servers are full; requests wait or are refused");
     const Micros since = r.attempts.empty() ? r.arrived : now_;
@@ -424,14 +557,17 @@
   }
 
   void drain_held() {
-    if (held_.empty()) return;
+    if (held_.empty()) {
+      return;
+    }
     std::vector<std::string> keep;
     double ahead = 0;  // us of answers that dearer ones will take
     for (const std::string& id : held_) {
       Request& r = requests_.at(id);
       r.held = false;
       if (!r.done && !send(r)) {
-        // Danger: who stands behind more than will go out in its time would wait in vain: told so at once.
+        // Danger: who stands behind more than will go out in its time would wait in vain: told so
+        // at once.
         if (double(now_) + ahead / servers_.even() < double(r.hold_until)) {
           ahead += r.expected;
           r.held = true;
@@ -476,6 +612,8 @@
 void Gateway::handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) {
   impl_->handle(now, events, actions);
 }
-int Gateway::avoided() const { return impl_->avoided(); }
+int Gateway::avoided() const {
+  return impl_->avoided();
+}
 
 }  // namespace quota_gateway
--- a/src/policy/quota/shared_pool.hpp
+++ b/src/policy/quota/shared_pool.hpp
@@ -1,6 +1,7 @@
-// Pools that all gateways of an owner share through the counter. Under a name for the owner and this window
-// each gateway adds what it wants, and what lies within the window's pool is its own until the window ends.
-// Keeps the books of names, windows and units; who draws on what and how much is decided in policy/.
+// Pools that all gateways of an owner share through the counter. Under a name for the owner and
+// this window each gateway adds what it wants, and what lies within the window's pool is its own
+// until the window ends. Keeps the books of names, windows and units; who draws on what and how
+// much is decided in policy/.
 #pragma once
 
 #include <cstdint>
@@ -61,25 +62,35 @@
   bool draw(Micros now, Owner& o, const Pool<Owner>& pool, double amount, MayCall may_call,
             std::vector<Action>& out) {
     Drawn& d = o.*pool.drawn;
-    if (d.drawing) return true;
-    if (pool.drained(now, o) || !may_call()) return false;
+    if (d.drawing) {
+      return true;
+    }
+    if (pool.drained(now, o) || !may_call()) {
+      return false;
+    }
     const std::int64_t w = pool.window(now, o);
-    if (std::exchange(d.window, w) != w) d.reserved = 0, d.drained = false;
+    if (std::exchange(d.window, w) != w) {
+      d.reserved = 0, d.drained = false;
+    }
     const auto name = std::int64_t(mix(o.key ^ mix(pool.names ^ std::uint64_t(w))) >> 2);
     pending_[name] = {&o, pool, amount};
     d.drawing = true;
-    out.push_back(AddToCounter{name, amount, std::max<Micros>(1'000'000, 2 * pool.length)});
+    out.emplace_back(AddToCounter{name, amount, std::max<Micros>(1'000'000, 2 * pool.length)});
     return true;
   }
 
   Answer answered(Micros now, const CounterAnswered& a) {
     const auto call = pending_.extract(a.name);
-    if (call.empty()) return {};
+    if (call.empty()) {
+      return {};
+    }
     Answer r = call.mapped();
     Drawn& d = r.owner->*r.pool.drawn;
     d.drawing = false;
     r.counts = a.outcome == CountOutcome::kOk && d.window == r.pool.window(now, *r.owner);
-    if (!r.counts) return r;
+    if (!r.counts) {
+      return r;
+    }
     const double over = std::max(0.0, a.total - r.pool.size);
     d.reserved += std::max(0.0, r.amount - over);
     d.drained = over > 0;
--- a/src/policy/rejection_stats.hpp
+++ b/src/policy/rejection_stats.hpp
@@ -15,8 +15,9 @@
 
   bool any() const { return slice + ceiling + servers > 0; }
   std::string text() const {
-    return join("slice ", slice, " (no total ", blind, ", demand within quota ", within, "), ceiling ",
-                ceiling, " (slice had it ", sliced, "), servers ", servers, " of ", asked, "; ");
+    return join("slice ", slice, " (no total ", blind, ", demand within quota ", within,
+                "), ceiling ", ceiling, " (slice had it ", sliced, "), servers ", servers, " of ",
+                asked, "; ");
   }
 };
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -11,7 +11,9 @@
   std::string line;
   try {
     while (std::getline(std::cin, line)) {
-      if (auto reply = host.answer(line)) std::cout << *reply << '\n' << std::flush;
+      if (auto reply = host.answer(line)) {
+        std::cout << *reply << '\n' << std::flush;
+      }
     }
   } catch (const std::exception& e) {
     std::cerr << "quota_gateway_simulator_adapter: " << e.what() << '\n';
--- a/src/simulator/wire_codec.cpp
+++ b/src/simulator/wire_codec.cpp
@@ -9,14 +9,18 @@
 template <typename T>
 T get(const Json& object, const char* key, T fallback) {
   auto it = object.find(key);
-  if (it == object.end() || it->is_null()) return fallback;
+  if (it == object.end() || it->is_null()) {
+    return fallback;
+  }
   return it->get<T>();
 }
 
 template <typename T>
 T need(const Json& object, const char* key) {
   auto it = object.find(key);
-  if (it == object.end() || it->is_null()) throw WireError(std::string("missing field ") + key);
+  if (it == object.end() || it->is_null()) {
+    throw WireError(std::string("missing field ") + key);
+  }
   return it->get<T>();
 }
 
@@ -27,9 +31,13 @@
 }
 
 template <typename T>
-T word(const std::string& text, std::initializer_list<std::pair<const char*, T>> words, T fallback) {
-  for (const auto& [name, value] : words)
-    if (text == name) return value;
+T word(const std::string& text, std::initializer_list<std::pair<const char*, T>> words,
+       T fallback) {
+  for (const auto& [name, value] : words) {
+    if (text == name) {
+      return value;
+    }
+  }
   return fallback;
 }
 
@@ -39,14 +47,18 @@
       {"LATE", Outcome::kTimeout}, {"RST", Outcome::kReset},    {"NOCONN", Outcome::kConnectFailed},
       {"NOP", Outcome::kNotSent},  {"CXL", Outcome::kCancelled}};
   auto it = words.find(text);
-  if (it == words.end()) throw WireError("unknown outcome " + text);
+  if (it == words.end()) {
+    throw WireError("unknown outcome " + text);
+  }
   return it->second;
 }
 
 LoadReport parse_load(const Json& message) {
   LoadReport load;
   const Json& values = section(message, "Feedback");
-  if (!values.is_object()) throw WireError("Feedback is no object");
+  if (!values.is_object()) {
+    throw WireError("Feedback is no object");
+  }
   load.in_flight = get(values, "active", -1.0);
   load.queued = get(values, "waiting", -1.0);
   load.cpu = get(values, "cpu", -1.0);
@@ -97,14 +109,21 @@
   }
   Json operator()(const Refuse& a) const {
     Json out = {{"what", "Reject"}, {"Id", a.id}};
-    if (a.retry_after > 0) out["StayAwayUs"] = a.retry_after;
+    if (a.retry_after > 0) {
+      out["StayAwayUs"] = a.retry_after;
+    }
     return out;
   }
   Json operator()(const Fail& a) const { return {{"what", "Fail"}, {"Id", a.id}}; }
-  Json operator()(const SetTimer& a) const { return {{"what", "Arm"}, {"AtUs", a.at}, {"Label", a.token}}; }
+  Json operator()(const SetTimer& a) const {
+    return {{"what", "Arm"}, {"AtUs", a.at}, {"Label", a.token}};
+  }
   Json operator()(const SendProbe& a) const { return {{"what", "Inspect"}, {"Server", a.server}}; }
   Json operator()(const AddToCounter& a) const {
-    return {{"what", "Tally"}, {"Cname", a.name}, {"Amount", a.amount}, {"ForgetAfterUs", a.forget_after}};
+    return {{"what", "Tally"},
+            {"Cname", a.name},
+            {"Amount", a.amount},
+            {"ForgetAfterUs", a.forget_after}};
   }
   Json operator()(const LogLine& a) const { return {{"what", "NoteDown"}, {"BodyText", a.text}}; }
 };
@@ -112,11 +131,17 @@
 }  // namespace
 
 Settings parse_settings(const Json& info) {
-  if (!info.is_object()) throw WireError("Info is no object");
+  if (!info.is_object()) {
+    throw WireError("Info is no object");
+  }
   Settings s;
   s.zone = get<std::string>(info, "Az", "");
-  for (const Json& c : section(info, "Classes")) s.classes.push_back(parse_class(c));
-  for (const Json& p : section(info, "TiersOfService")) s.plans.push_back(parse_plan(p));
+  for (const Json& c : section(info, "Classes")) {
+    s.classes.push_back(parse_class(c));
+  }
+  for (const Json& p : section(info, "TiersOfService")) {
+    s.plans.push_back(parse_plan(p));
+  }
   s.gateways = get(info, "ReplicasOfMe", 1);
   s.position = get(info, "Position", 0);
   s.tick = get<Micros>(info, "TickUs", s.tick);
@@ -143,7 +168,9 @@
 }
 
 std::vector<ServerEntry> parse_entries(const Json& entries) {
-  if (!entries.is_array()) throw WireError("Entries is no list");
+  if (!entries.is_array()) {
+    throw WireError("Entries is no list");
+  }
   std::vector<ServerEntry> out;
   for (const Json& e : entries) {
     ServerEntry entry;
@@ -153,7 +180,8 @@
     entry.cell = get<std::int64_t>(e, "Cohort", 0);
     entry.state = word<ServerState>(
         get<std::string>(e, "Mode", "up"),
-        {{"draining", ServerState::kDraining}, {"removed", ServerState::kRemoved}}, ServerState::kUp);
+        {{"draining", ServerState::kDraining}, {"removed", ServerState::kRemoved}},
+        ServerState::kUp);
     entry.weight = get(e, "Heft", 1.0);
     entry.started_at = get<Micros>(e, "ReadyAtUs", 0);
     out.push_back(std::move(entry));
@@ -189,29 +217,39 @@
     e.load = parse_load(m);
     return e;
   }
-  if (what == "Alarm") return TimerFired{need<std::int64_t>(m, "Label")};
-  if (what == "TimedOutClient") return ClientGone{need<std::string>(m, "Id")};
+  if (what == "Alarm") {
+    return TimerFired{need<std::int64_t>(m, "Label")};
+  }
+  if (what == "TimedOutClient") {
+    return ClientGone{need<std::string>(m, "Id")};
+  }
   if (what == "CounterReply") {
     CounterAnswered e;
     e.name = need<std::int64_t>(m, "Cname");
     e.total = get(m, "Total", 0.0);
     e.duration = get<Micros>(m, "DurationUs", 0);
-    e.outcome = word<CountOutcome>(
-        need<std::string>(m, "Disposition"),
-        {{"GOOD", CountOutcome::kOk}, {"FULL", CountOutcome::kNotAdded}, {"NOCONN", CountOutcome::kNotAdded}},
-        CountOutcome::kUnknown);
+    e.outcome = word<CountOutcome>(need<std::string>(m, "Disposition"),
+                                   {{"GOOD", CountOutcome::kOk},
+                                    {"FULL", CountOutcome::kNotAdded},
+                                    {"NOCONN", CountOutcome::kNotAdded}},
+                                   CountOutcome::kUnknown);
     return e;
   }
   if (what == "DirectoryUpdate") {
     using Kind = ServerListUpdate::Kind;
     ServerListUpdate e;
-    e.kind = word<Kind>(
-        need<std::string>(m, "Kind"),
-        {{"Partial", Kind::kPartial}, {"Complete", Kind::kComplete}, {"Persisted", Kind::kPersisted}},
-        Kind::kError);
-    if (e.kind == Kind::kError) return e;
+    e.kind = word<Kind>(need<std::string>(m, "Kind"),
+                        {{"Partial", Kind::kPartial},
+                         {"Complete", Kind::kComplete},
+                         {"Persisted", Kind::kPersisted}},
+                        Kind::kError);
+    if (e.kind == Kind::kError) {
+      return e;
+    }
     auto pool = pools.find(need<std::int64_t>(m, "List"));
-    if (pool == pools.end()) throw WireError("list update names an unknown list");
+    if (pool == pools.end()) {
+      throw WireError("list update names an unknown list");
+    }
     e.entries = pool->second;
     return e;
   }
@@ -223,18 +261,26 @@
     e.load = parse_load(m);
     return e;
   }
-  if (what == "Begun")
-    return StreamStarted{need<std::string>(m, "Id"), get(m, "Go", 0), get<std::string>(m, "Server", "")};
+  if (what == "Begun") {
+    return StreamStarted{need<std::string>(m, "Id"), get(m, "Go", 0),
+                         get<std::string>(m, "Server", "")};
+  }
   return std::nullopt;
 }
 
-Json write_action(const Action& action) { return std::visit(Writer{}, action); }
+Json write_action(const Action& action) {
+  return std::visit(Writer{}, action);
+}
 
-void Host::take(const Json& m) { pools_[need<std::int64_t>(m, "List")] = parse_entries(m.at("Entries")); }
+void Host::take(const Json& m) {
+  pools_[need<std::int64_t>(m, "List")] = parse_entries(m.at("Entries"));
+}
 
 std::optional<std::string> Host::answer(const std::string& line) {
   const Json batch = Json::parse(line);
-  if (!batch.is_object()) throw WireError("a line holds no object");
+  if (!batch.is_object()) {
+    throw WireError("a line holds no object");
+  }
   if (get<std::string>(batch, "what", "") == "Pool") {
     take(batch);
     return std::nullopt;
@@ -242,20 +288,28 @@
   const Micros now = need<Micros>(batch, "ClockUs");
   Json reply = {{"parts", Json::array()}};
   const Json& parts = batch.at("parts");
-  if (!parts.is_array()) throw WireError("parts is no list");
+  if (!parts.is_array()) {
+    throw WireError("parts is no list");
+  }
   for (const Json& part : parts) {
     const std::string who = need<std::string>(part, "Who");
     std::vector<Event> events;
     std::vector<Action> actions;
     auto run = [&] {
       auto it = gateways_.find(who);
-      if (it != gateways_.end() && !events.empty()) it->second.handle(now, events, actions);
+      if (it != gateways_.end() && !events.empty()) {
+        it->second.handle(now, events, actions);
+      }
       events.clear();
     };
     const Json& input = part.at("input");
-    if (!input.is_array()) throw WireError("input is no list");
+    if (!input.is_array()) {
+      throw WireError("input is no list");
+    }
     for (const Json& m : input) {
-      if (!m.is_object()) throw WireError("an event is no object");
+      if (!m.is_object()) {
+        throw WireError("an event is no object");
+      }
       const std::string what = need<std::string>(m, "what");
       if (what == "Pool") {
         take(m);
@@ -266,16 +320,20 @@
       } else if (what == "Enlist") {
         events.clear();
         actions.clear();
-        gateways_.insert_or_assign(who,
-                                   Gateway(parse_settings(m.at("Info")), need<std::uint64_t>(m, "Entropy")));
+        gateways_.insert_or_assign(
+            who, Gateway(parse_settings(m.at("Info")), need<std::uint64_t>(m, "Entropy")));
       } else if (auto event = parse_event(m, pools_)) {
         events.push_back(std::move(*event));
       }
     }
     run();
-    if (actions.empty()) continue;
+    if (actions.empty()) {
+      continue;
+    }
     Json steps = Json::array();
-    for (const Action& a : actions) steps.push_back(write_action(a));
+    for (const Action& a : actions) {
+      steps.push_back(write_action(a));
+    }
     reply["parts"].push_back({{"Who", who}, {"steps", std::move(steps)}});
   }
   return reply.dump();
--- a/src/util/numbers.hpp
+++ b/src/util/numbers.hpp
@@ -21,13 +21,19 @@
 
 inline std::uint64_t hash_text(const std::string& text) {
   std::uint64_t h = 0xcbf29ce484222325ULL;
-  for (unsigned char ch : text) h = (h ^ ch) * 0x100000001b3ULL;
+  for (unsigned char ch : text) {
+    h = (h ^ ch) * 0x100000001b3ULL;
+  }
   return mix(h);
 }
 
-inline double fade(Micros age, Micros memory) { return std::exp(-double(age) / double(memory)); }
+inline double fade(Micros age, Micros memory) {
+  return std::exp(-double(age) / double(memory));
+}
 
-inline double uniform(std::uint64_t& random) { return double((random = mix(random)) >> 11) * 0x1p-53; }
+inline double uniform(std::uint64_t& random) {
+  return double((random = mix(random)) >> 11) * 0x1p-53;
+}
 
 // A mean whose evidence fades.
 class FadingMean {
@@ -40,7 +46,9 @@
   }
   // With so many samples of 1 beside it.
   double mean(Micros now, Micros memory, double samples) const {
-    if (weight_ <= 0) return 1;
+    if (weight_ <= 0) {
+      return 1;
+    }
     const double keep = fade(now - at_, memory);
     return (sum_ * keep + samples) / (weight_ * keep + samples);
   }
@@ -59,7 +67,9 @@
   double within(Micros now, double span) {
     std::erase_if(spent_, [&](const auto& e) { return double(now - e.first) >= span; });
     double sum = 0;
-    for (const auto& [at, amount] : spent_) sum += amount;
+    for (const auto& [at, amount] : spent_) {
+      sum += amount;
+    }
     return sum;
   }
 
--- a/src/util/string_interner.hpp
+++ b/src/util/string_interner.hpp
@@ -15,10 +15,13 @@
 // A text of any bytes that never changes, in one pointer and as many bytes as it needs.
 class CompactText {
  public:
-  explicit CompactText(std::string_view text) : bytes_(new char[sizeof(std::uint32_t) + text.size()]) {
+  explicit CompactText(std::string_view text)
+      : bytes_(new char[sizeof(std::uint32_t) + text.size()]) {
     const auto size = std::uint32_t(text.size());
     std::memcpy(bytes_.get(), &size, sizeof size);
-    if (size > 0) std::memcpy(bytes_.get() + sizeof size, text.data(), size);
+    if (size > 0) {
+      std::memcpy(bytes_.get() + sizeof size, text.data(), size);
+    }
   }
   operator std::string_view() const {
     std::uint32_t size = 0;
@@ -41,12 +44,16 @@
     } else if (fresh) {
       texts_.emplace_back();
     }
-    if (fresh) texts_[at->second].text = text;
+    if (fresh) {
+      texts_[at->second].text = text;
+    }
     ++texts_[at->second].held;
     return at->second;
   }
   void drop(std::uint32_t number) {
-    if (--texts_[number].held > 0) return;
+    if (--texts_[number].held > 0) {
+      return;
+    }
     numbers_.erase(texts_[number].text);
     texts_[number].text = {};
     free_.push_back(number);
--- a/src/util/weighted_sample.hpp
+++ b/src/util/weighted_sample.hpp
@@ -14,10 +14,12 @@
   bool empty() const { return draws_.empty(); }
   void add(double key, double cost, T* item) { draws_.push_back({key, cost, item}); }
 
-  // Of the `few` (at least 1) with the least keys the one that costs least, and of equal ones the first by
-  // key; null if there are none.
+  // Of the `few` (at least 1) with the least keys the one that costs least, and of equal ones the
+  // first by key; null if there are none.
   T* best_of(std::size_t few) {
-    if (draws_.empty()) return nullptr;
+    if (draws_.empty()) {
+      return nullptr;
+    }
     const auto end = draws_.begin() + std::ptrdiff_t(std::min(few, draws_.size()));
     std::nth_element(draws_.begin(), end - 1, draws_.end(),
                      [](const Draw& a, const Draw& b) { return a.key < b.key; });
--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -19,7 +19,8 @@
     Client c = caller();
     c.send(text);
     const auto answer = c.receive();
-    return answer ? std::pair(int(answer->result_int()), answer->body()) : std::pair(0, std::string());
+    return answer ? std::pair(int(answer->result_int()), answer->body())
+                  : std::pair(0, std::string());
   }
   int readiness() { return call("GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n").first; }
   int figure(const std::string& name) {
@@ -117,7 +118,9 @@
   rig.config.sockets = 64;
   rig.start();
   std::list<Client> crowd;
-  for (int i = 0; i < 100; ++i) crowd.emplace_back(rig.client()).send("GET /profile");
+  for (int i = 0; i < 100; ++i) {
+    crowd.emplace_back(rig.client()).send("GET /profile");
+  }
   EXPECT_EQ(figure("targets"), 1);
 }
 
@@ -127,7 +130,8 @@
   rig.config.settings.gateways = 3;
   rig.know(member("s1", s1));
   rig.start();
-  int served = 0, refused = 0;
+  int served = 0;
+  int refused = 0;
   for (int i = 0; i < 8; ++i) {
     Client c = rig.client();
     c.send(get(label("t", i)));
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -20,21 +20,23 @@
 }
 
 std::string file(const std::string& members, const std::string& more = "") {
-  return R"({"name":"n0",)" + more + R"("known":{"revision":41,"complete":true,"members":[)" + members +
-         R"(]},"settings":{"members":[{"Name":"x"}]}})";
+  return R"({"name":"n0",)" + more + R"("known":{"revision":41,"complete":true,"members":[)" +
+         members + R"(]},"settings":{"members":[{"Name":"x"}]}})";
 }
 
 TEST(ConfigFile, MembersAreKeptAndTheTreeHoldsOneOfEachShape) {
   const auto out = read(file(fleet(1000)));
   EXPECT_EQ(out.known.revision, 41);
   EXPECT_TRUE(out.known.complete);
-  EXPECT_EQ(out.known.members.size(), 1000u);
-  EXPECT_EQ(out.tree["known"]["members"].size(), 1u);
-  EXPECT_EQ(out.tree["settings"]["members"].size(), 1u);
+  EXPECT_EQ(out.known.members.size(), 1000U);
+  EXPECT_EQ(out.tree["known"]["members"].size(), 1U);
+  EXPECT_EQ(out.tree["settings"]["members"].size(), 1U);
   const auto checked = read(file(fleet(1000)), Known::kOnlyChecked);
   EXPECT_EQ(checked.tree, out.tree);
   EXPECT_TRUE(checked.known.members.empty());
-  for (const char* none : {R"({"name":"n0"})", R"({"known":null})"}) EXPECT_EQ(read(none).known.revision, 0);
+  for (const char* none : {R"({"name":"n0"})", R"({"known":null})"}) {
+    EXPECT_EQ(read(none).known.revision, 0);
+  }
 }
 
 TEST(ConfigFile, WhatIsMalformedThrowsAlsoWhereMembersAreOnlyChecked) {
@@ -47,22 +49,30 @@
        {std::string(), std::string("[]"), whole + "x", whole.substr(0, whole.size() - 1),
         whole.substr(0, whole.size() / 2), edited(R"("phase":"up")", R"("phase":"odd")"),
         edited(R"("phase":"up",)", ""), edited(":8081", ""), edited(R"("revision":41,)", ""),
-        edited(R"("size":1.0)", R"("size":)")})
-    for (const Known known : {Known::kKept, Known::kOnlyChecked}) EXPECT_ANY_THROW(read(text, known));
+        edited(R"("size":1.0)", R"("size":)")}) {
+    for (const Known known : {Known::kKept, Known::kOnlyChecked}) {
+      EXPECT_ANY_THROW(read(text, known));
+    }
+  }
 }
 
 TEST(ConfigFile, AKeyThatAllMembersHadIsMissedInAnyOfThem) {
   // Guards against a check of the first member alone, and against one of keys that only some had.
-  const std::string with = R"({"id":"a","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0})";
+  const std::string with =
+      R"({"id":"a","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0})";
   const std::string without = R"({"id":"b","phase":"up","host_port":"10.0.0.1:8","size":1.0})";
-  const std::string text = R"({"id":"c","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0,"x":"1"})";
-  const std::string other = R"({"id":"d","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0,"x":1})";
+  const std::string text =
+      R"({"id":"c","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0,"x":"1"})";
+  const std::string other =
+      R"({"id":"d","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0,"x":1})";
   const auto check = [](const std::string& was, const std::string& is) {
     check_complete(read(file(was)).tree, read(file(is), Known::kOnlyChecked).tree);
   };
   const auto many = [](const std::string& member, const std::string& last) {
     std::string out;
-    for (int i = 0; i < 100; ++i) out += member + ",";
+    for (int i = 0; i < 100; ++i) {
+      out += member + ",";
+    }
     return out + last;
   };
   EXPECT_ANY_THROW(check(with, many(with, without)));
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -26,7 +26,9 @@
   // Calls until one is answered: a connection that comes back does so in its own time.
   bool comes_back() {
     for (int i = 0; i < 10'000; ++i) {
-      if (add(77).outcome == CountOutcome::kOk) return true;
+      if (add(77).outcome == CountOutcome::kOk) {
+        return true;
+      }
       io.restart();
       io.run_one_for(std::chrono::milliseconds(5));
     }
@@ -49,7 +51,7 @@
   EXPECT_DOUBLE_EQ(a.total, 1.5);
   EXPECT_EQ(a.name, 9);
   EXPECT_EQ(fake->calls.at(0), (std::vector<std::string>{"CNT.ADD", "9", "2.5", "4000"}));
-  EXPECT_EQ(fake->peers.size(), 1u);
+  EXPECT_EQ(fake->peers.size(), 1U);
 }
 
 TEST_F(CounterTest, TurnedAwayIsKnownNotAdded) {
@@ -64,7 +66,9 @@
   make();
   ASSERT_EQ(add(1).outcome, CountOutcome::kOk);
   fake->stop();
-  while (add(1).outcome == CountOutcome::kUnknown) continue;  // at most the one that met the reset
+  while (add(1).outcome == CountOutcome::kUnknown) {
+    continue;  // at most the one that met the reset
+  }
   EXPECT_EQ(answers.back().outcome, CountOutcome::kNotAdded);
 }
 
@@ -90,7 +94,8 @@
   fake->last->write("$3\r\n222\r\n");  // call 2's, after its time
   ASSERT_TRUE(until(io, [&] { return answers.size() == 3; }));
   EXPECT_EQ(answers[2].name, 3);
-  if (answers[2].outcome == CountOutcome::kOk) {  // else this machine stood still for a call's time-out
+  if (answers[2].outcome ==
+      CountOutcome::kOk) {  // else this machine stood still for a call's time-out
     EXPECT_DOUBLE_EQ(answers[2].total, 5);
   }
 }
@@ -116,7 +121,7 @@
   fake.reset();
   fake.emplace(io, address);
   EXPECT_TRUE(comes_back());
-  EXPECT_EQ(fake->peers.size(), 1u);
+  EXPECT_EQ(fake->peers.size(), 1U);
 }
 
 TEST_F(CounterTest, AReplyWithoutANumberEndsTheConnection) {
@@ -124,7 +129,8 @@
   make();
   ASSERT_EQ(add(1).outcome, CountOutcome::kOk);
   std::size_t peers = 1;
-  for (const char* spoilt : {"$3\r\nnan\r\n", "$-1\r\n", ":12\r\n", "+OK\r\n", "-ODD\r\n", "$0\r\n\r\n"}) {
+  for (const char* spoilt :
+       {"$3\r\nnan\r\n", "$-1\r\n", ":12\r\n", "+OK\r\n", "-ODD\r\n", "$0\r\n\r\n"}) {
     fake->answer = spoilt;
     EXPECT_EQ(add(1).outcome, CountOutcome::kUnknown) << spoilt;
     fake->answer.reset();
@@ -147,7 +153,7 @@
   EXPECT_EQ(answers[2].outcome, CountOutcome::kOk);
   EXPECT_DOUBLE_EQ(answers[2].total, 5);
   EXPECT_TRUE(until(io, [&] { return fake->peers[0]->over; }));
-  EXPECT_EQ(fake->peers.size(), 1u);
+  EXPECT_EQ(fake->peers.size(), 1U);
 }
 
 TEST_F(CounterTest, OneThatRetiresWithoutAnAnswerClosesAllTheSame) {
@@ -160,11 +166,12 @@
 }
 
 TEST_F(CounterTest, ALyingCounterIsNoCrash) {
-  // Guards against nonsense for a total, and against a length that would have the reader allocate it.
+  // Guards against nonsense for a total, and against a length that would have the reader allocate
+  // it.
   make();
-  for (const char* lie : {"$3\r\nnan\r\n", "$3\r\ninf\r\n", "$4\r\n12x4\r\n", "$-1\r\n", ":12\r\n", "+OK\r\n",
-                          "*2147483647\r\n", "*2\r\n:1\r\n:2\r\n", "$99999999999\r\n", "nonsense\r\n",
-                          "$3\r\n1.5\r\n$3\r\n1.5\r\n"}) {
+  for (const char* lie : {"$3\r\nnan\r\n", "$3\r\ninf\r\n", "$4\r\n12x4\r\n", "$-1\r\n", ":12\r\n",
+                          "+OK\r\n", "*2147483647\r\n", "*2\r\n:1\r\n:2\r\n", "$99999999999\r\n",
+                          "nonsense\r\n", "$3\r\n1.5\r\n$3\r\n1.5\r\n"}) {
     ASSERT_TRUE(comes_back()) << lie;
     fake->answer = lie;
     const auto outcome = add(1).outcome;
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -40,29 +40,35 @@
   const std::string line = list(44, true, entry("s1", "127.0.0.1:9"));
   const std::string bytes = FakeDiscovery::chunk("\n") + FakeDiscovery::chunk(line.substr(0, 20)) +
                             FakeDiscovery::chunk(line.substr(20) + line.substr(0, 9));
-  for (const char byte : bytes) fake.raw(std::string(1, byte));
+  for (const char byte : bytes) {
+    fake.raw(std::string(1, byte));
+  }
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
   EXPECT_TRUE(told[0].complete);
 }
 
 TEST_F(DiscoveryTest, ListsMayComeIndented) {
-  // Guards against a list that is cut where its lines end, and asked for for ever. Brackets and quotes in a
-  // text end nothing.
-  const auto indented = [](const std::string& line) { return nlohmann::json::parse(line).dump(2) + "\n\n"; };
+  // Guards against a list that is cut where its lines end, and asked for for ever. Brackets and
+  // quotes in a text end nothing.
+  const auto indented = [](const std::string& line) {
+    return nlohmann::json::parse(line).dump(2) + "\n\n";
+  };
   std::string odd = list(43, true, entry(R"(s}]\"{)", "127.0.0.1:9"));
   fake.first = indented(odd) + "\n" + indented(list(44, false, entry("s2", "127.0.0.1:9")));
   ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
   EXPECT_EQ(told[0].members.at(0).entry.server, "s}]\"{");
   EXPECT_EQ(told[1].members.at(0).entry.server, "s2");
-  for (const char byte : indented(list(45, true, entry("s3", "127.0.0.1:9"))))
+  for (const char byte : indented(list(45, true, entry("s3", "127.0.0.1:9")))) {
     fake.tell(std::string(1, byte));
+  }
   ASSERT_TRUE(until(io, [&] { return told.size() == 3; }));
   EXPECT_EQ(told[2].revision, 45);
-  EXPECT_EQ(fake.asked.size(), 1u);
+  EXPECT_EQ(fake.asked.size(), 1U);
 }
 
 TEST_F(DiscoveryTest, AListThatBreaksOffIsAskedForWhole) {
-  // Guards against waiting for the end of a list behind which heartbeats go on: what it held would be missed.
+  // Guards against waiting for the end of a list behind which heartbeats go on: what it held would
+  // be missed.
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
   const std::string whole = list(43, true, entry("s1", "127.0.0.1:9"));
   fake.first = whole;
@@ -109,7 +115,7 @@
   ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
   EXPECT_EQ(other.asked.at(0), "/catalog/members?watch=1");
   EXPECT_TRUE(until(io, [&] { return fake.peers[0]->over; }));
-  EXPECT_EQ(fake.peers.size(), 1u);
+  EXPECT_EQ(fake.peers.size(), 1U);
 }
 
 TEST(Members, WrongShapesThrow) {
@@ -117,8 +123,9 @@
        {"[]", "{}", R"({"revision":1,"members":[{}]})", R"({"revision":1,"members":[1]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"127.0.0.1:99999"}]})",
-        R"({"revision":1,"members":[{"id":"s","phase":"odd","host_port":"127.0.0.1:9"}]})"})
+        R"({"revision":1,"members":[{"id":"s","phase":"odd","host_port":"127.0.0.1:9"}]})"}) {
     EXPECT_ANY_THROW(parse_members(nlohmann::json::parse(text))) << text;
+  }
 }
 
 TEST_F(DiscoveryTest, AnEmptyListLeavesTheKnownOneAndIsAskedForAnew) {
@@ -132,14 +139,16 @@
 }
 
 TEST(AskedDiscovery, WhoIsTurnedAwayWaitsAsLongAsToldAndHasItsWatchBack) {
-  // Guards against asking anew at once, whatever a 503 says. The list that is known stays meanwhile.
+  // Guards against asking anew at once, whatever a 503 says. The list that is known stays
+  // meanwhile.
   asio::io_context io;
   Clock clock;
   Timers timers{io, clock};
   FakeDiscovery fake{io};
   std::vector<MemberList> told;
   Discovery discovery{
-      io, timers, clock, fake.address(), 41, [&](const MemberList& l) { told.push_back(l); }, 0, 16'000'000};
+      io, timers,    clock, fake.address(), 41, [&](const MemberList& l) { told.push_back(l); },
+      0,  16'000'000};
   fake.refuse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
   discovery.start();
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
@@ -152,12 +161,13 @@
 }
 
 TEST_F(DiscoveryTest, APushedListIsThereWithinTheGraceWheneverItsAgentComesBack) {
-  // Guards against a wait during which the agent is back and all it has counts as told. However an agent
-  // sends us away, and however often, the next try is never further off than the grace.
+  // Guards against a wait during which the agent is back and all it has counts as told. However an
+  // agent sends us away, and however often, the next try is never further off than the grace.
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
   for (const bool resets : {true, false}) {
     fake.mute = resets;
-    fake.refuse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 10\r\nContent-Length: 0\r\n\r\n";
+    fake.refuse =
+        "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 10\r\nContent-Length: 0\r\n\r\n";
     for (int i = 0; i < 12; ++i) {
       const std::size_t asked = fake.asked.size();
       fake.peers.back()->reset();
@@ -169,7 +179,8 @@
 }
 
 TEST_F(DiscoveryTest, AWatchThatFallsSilentIsReplacedInTimeThoughItsAgentAcceptsAndSaysNothing) {
-  // Guards against a clock that starts anew with each connection: 6 s after the silence all counts as told.
+  // Guards against a clock that starts anew with each connection: 6 s after the silence all counts
+  // as told.
   fake.first = list(43, true, entry("s1", "127.0.0.1:9"));
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
   const Micros silent = clock.now();
@@ -196,27 +207,37 @@
   std::vector<std::set<Micros>> waits(5);
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Backoff b(100'000, 1'600'000, seed);
-    for (int round = 0; round < 2; ++round, b.reset())
+    for (int round = 0; round < 2; ++round, b.reset()) {
       for (std::size_t i = 0; i < waits.size(); ++i) {
-        const Micros most = std::min<Micros>(1'600'000, 100'000 << (2 * i)), wait = b.next();
+        const Micros most = std::min<Micros>(1'600'000, 100'000 << (2 * i));
+        const Micros wait = b.next();
         EXPECT_GE(wait, 0);
         EXPECT_LE(wait, most);
         waits[i].insert(wait * 10 / most);
       }
+    }
+  }
+  for (const auto& different : waits) {
+    EXPECT_GE(different.size(), 10U);
   }
-  for (const auto& different : waits) EXPECT_GE(different.size(), 10u);
 }
 
 TEST(BackoffTest, CallsOfAFleetThatIsTurnedAwayThinOut) {
-  // As gateways are added, and whatever moment they start at, none asks more often than the bound lets it.
+  // As gateways are added, and whatever moment they start at, none asks more often than the bound
+  // lets it.
   for (const int gateways : {2, 20, 100}) {
     std::vector<int> in_second(60);
     for (int g = 0; g < gateways; ++g) {
       Backoff b(1'000'000, 16'000'000, std::uint64_t(g + 1));
-      for (Micros at = 0; at < 60'000'000; at += b.next()) ++in_second[std::size_t(at / 1'000'000)];
+      for (Micros at = 0; at < 60'000'000; at += b.next()) {
+        ++in_second[std::size_t(at / 1'000'000)];
+      }
+    }
+    int most = 0;
+    int later = 0;
+    for (std::size_t s = 10; s < 60; ++s) {
+      most = std::max(most, in_second[s]), later += in_second[s];
     }
-    int most = 0, later = 0;
-    for (std::size_t s = 10; s < 60; ++s) most = std::max(most, in_second[s]), later += in_second[s];
     EXPECT_LE(later, gateways * 50 / 4) << gateways;
     EXPECT_LE(most, 3 + gateways / 3) << gateways;
     EXPECT_GE(later, gateways * 2) << gateways;
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -11,19 +11,25 @@
 
 MemberList read(const std::vector<std::string_view>& pieces, ReadLimits limits = {}) {
   MemberReader reader({"members"}, limits);
-  for (const auto piece : pieces)
-    if (reader.take(piece) != piece.size()) throw std::runtime_error("ended early");
-  if (!reader.done()) throw std::runtime_error("not over");
+  for (const auto piece : pieces) {
+    if (reader.take(piece) != piece.size()) {
+      throw std::runtime_error("ended early");
+    }
+  }
+  if (!reader.done()) {
+    throw std::runtime_error("not over");
+  }
   return reader.list(reader.rest());
 }
 
 std::string text_of(const MemberList& list) {
   std::string out = std::to_string(list.revision) + (list.complete ? " whole" : "");
-  for (const Member& m : list.members)
+  for (const Member& m : list.members) {
     out += '\n' + m.entry.server + ' ' + m.entry.zone + ' ' + std::to_string(m.entry.cell) + ' ' +
            std::to_string(int(m.entry.state)) + ' ' + std::to_string(m.entry.weight) + ' ' +
            std::to_string(m.entry.started_at) + ' ' + m.address.address().to_string() + ' ' +
            std::to_string(m.address.port());
+  }
   return out;
 }
 
@@ -36,24 +42,27 @@
     R"({"id":"v6","host_port":"::1:9","phase":"up"}],"revision":43,"complete":true})";
 
 TEST(MemberReader, TakesAListInAnyTwoPiecesAndByteByByte) {
-  // Guards against a cut in the middle of a member, of a text, of an escape or of a key; `revision` and
-  // `complete` come last, and members of another object are none of the list.
+  // Guards against a cut in the middle of a member, of a text, of an escape or of a key; `revision`
+  // and `complete` come last, and members of another object are none of the list.
   const std::string expected =
       "43 whole\ns}]\"{\\ a\u00e9 0 0 2.000000 1500000 10.0.0.1 80\n"
       "second  -4 2 1.000000 0 0.0.0.0 0\nv6  0 0 1.000000 0 ::1 9";
   const std::string_view all = kOdd;
   EXPECT_EQ(text_of(read({all})), expected);
-  for (std::size_t cut = 1; cut < all.size(); ++cut)
+  for (std::size_t cut = 1; cut < all.size(); ++cut) {
     ASSERT_EQ(text_of(read({all.substr(0, cut), all.substr(cut)})), expected) << cut;
+  }
   std::vector<std::string_view> bytes;
-  for (std::size_t i = 0; i < all.size(); ++i) bytes.push_back(all.substr(i, 1));
+  for (std::size_t i = 0; i < all.size(); ++i) {
+    bytes.push_back(all.substr(i, 1));
+  }
   EXPECT_EQ(text_of(read(bytes)), expected);
 }
 
 TEST(MemberReader, AKeyMayBeWrittenWithEscapes) {
-  const auto list =
-      read({R"({"revision":1,"\u006dembers":[{"\u0069d":"s","phase":"up","host_port":"10.0.0.1:8"}]})"});
-  ASSERT_EQ(list.members.size(), 1u);
+  const auto list = read(
+      {R"({"revision":1,"\u006dembers":[{"\u0069d":"s","phase":"up","host_port":"10.0.0.1:8"}]})"});
+  ASSERT_EQ(list.members.size(), 1U);
   EXPECT_EQ(list.members[0].entry.server, "s");
 }
 
@@ -62,7 +71,7 @@
   const auto with = [](const std::string& members) {
     return R"({"revision":1,"members":[)" + members + "]}";
   };
-  ASSERT_EQ(read({with(good + "," + good)}).members.size(), 2u);
+  ASSERT_EQ(read({with(good + "," + good)}).members.size(), 2U);
   const auto edited = [&](const std::string& from, const std::string& to) {
     std::string text = good;
     return text.replace(text.find(from), from.size(), to);
@@ -98,8 +107,9 @@
                                   std::string(R"({"members":[]})"),
                                   std::string(R"({"revision":1 2,"members":[]})"),
                                   std::string(R"({"revision":1,"members":[],"members":[]})"),
-                                  std::string(R"({"revision":1,"complete":7,"members":[]})")})
+                                  std::string(R"({"revision":1,"complete":7,"members":[]})")}) {
     EXPECT_ANY_THROW(read({text})) << text;
+  }
 }
 
 TEST(MemberReader, WhatHasNoEndIsLeftWhicheverPartOfItGoesOn) {
@@ -122,11 +132,13 @@
     MemberReader reader({"members"}, limits);
     reader.take(first);
     bool left = false;
-    for (std::size_t i = 0; i < 300'000 && !left; ++i) try {
+    for (std::size_t i = 0; i < 300'000 && !left; ++i) {
+      try {
         reader.take(then);
       } catch (const TooLarge&) {
         left = true;
       }
+    }
     EXPECT_TRUE(left) << first;
     EXPECT_LE(reader.bytes(), limits.bytes + then.size()) << first;
   }
@@ -135,16 +147,17 @@
 TEST(MemberReader, KeepsAMemberOfEachShapeForWhoComparesThem) {
   MemberReader reader({"known", "members"}, {}, MemberReader::Keep::kSamples);
   std::string text = R"({"members":[1],"known":{"revision":3,"members":[)";
-  for (int i = 0; i < 1000; ++i)
+  for (int i = 0; i < 1000; ++i) {
     text += std::string(i ? "," : "") + R"({"id":"s)" + std::to_string(i) +
             R"(","phase":"up","host_port":"10.0.0.1:8")" + (i == 500 ? R"(,"cell":1})" : "}");
+  }
   text += "]}}";
   ASSERT_EQ(reader.take(text), text.size());
   const auto rest = reader.rest();
-  ASSERT_EQ(rest["known"]["members"].size(), 2u);
+  ASSERT_EQ(rest["known"]["members"].size(), 2U);
   EXPECT_EQ(rest["known"]["members"][1]["id"], "s500");
-  EXPECT_EQ(rest["members"].size(), 1u);
-  EXPECT_EQ(reader.list(rest["known"]).members.size(), 1000u);
+  EXPECT_EQ(rest["members"].size(), 1U);
+  EXPECT_EQ(reader.list(rest["known"]).members.size(), 1000U);
 }
 
 // One line a run, for those who look.
@@ -153,20 +166,24 @@
   const auto cost = [](int members) {
     std::string text = list(1, true, fleet(members));
     text.pop_back();
-    const std::size_t bytes = text.size(), before = resident();
+    const std::size_t bytes = text.size();
+    const std::size_t before = resident();
     const auto start = processor_time();
     MemberReader reader({"members"});
-    for (std::size_t at = 0; at < bytes; at += 16384) reader.take(std::string_view(text).substr(at, 16384));
+    for (std::size_t at = 0; at < bytes; at += 16384) {
+      reader.take(std::string_view(text).substr(at, 16384));
+    }
     const MemberList list = reader.list(reader.rest());
     const auto spent = processor_time() - start;
     EXPECT_EQ(list.members.size(), std::size_t(members));
     const std::size_t grown = resident() - std::min(before, resident());
-    std::cout << members << " members, " << bytes << " bytes: " << spent << " us, resident " << grown / 1024
-              << " KiB more, " << sizeof(Member) << " bytes a member\n";
+    std::cout << members << " members, " << bytes << " bytes: " << spent << " us, resident "
+              << grown / 1024 << " KiB more, " << sizeof(Member) << " bytes a member\n";
     return double(spent) / members;
   };
   cost(20'000);
-  const double small = cost(20'000), large = cost(170'000);
+  const double small = cost(20'000);
+  const double large = cost(170'000);
   EXPECT_LT(large, 3 * small);
 }
 
