--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -24,7 +24,8 @@
 #endif
 constexpr int kWorld = 170'000;  // servers, of which 24,000 are a zone
 
-Member at(const std::string& id, int place, Micros started_at = 0, ServerState state = ServerState::kUp) {
+Member at(const std::string& id, int place, Micros started_at = 0,
+          ServerState state = ServerState::kUp) {
   Member m;
   m.entry.server = id;
   m.entry.zone = "a";
@@ -39,11 +40,17 @@
   m.entry.state = ServerState::kRemoved;
   return m;
 }
-MemberList changes(Members members) { return {0, false, std::move(members)}; }
-MemberList whole(Members members) { return {0, true, std::move(members)}; }
+MemberList changes(Members members) {
+  return {0, false, std::move(members)};
+}
+MemberList whole(Members members) {
+  return {0, true, std::move(members)};
+}
 Members many(int count) {
   Members out;
-  for (int i = 0; i < count; ++i) out.push_back(at(label("s-", i), i, 1 + i));
+  for (int i = 0; i < count; ++i) {
+    out.push_back(at(label("s-", i), i, 1 + i));
+  }
   return out;
 }
 
@@ -71,7 +78,9 @@
 }
 Briefs told(Catalog& catalog, MemberList list) {
   Briefs out;
-  for (const auto& e : take(catalog, std::move(list)).entries) out.push_back(brief(e));
+  for (const auto& e : take(catalog, std::move(list)).entries) {
+    out.push_back(brief(e));
+  }
   return out;
 }
 double cpu_us() {
@@ -97,12 +106,14 @@
             (Briefs{"+a", "+b", "+c", "+d"}));
   Member heavier = at("b", 2);
   heavier.entry.weight = 2;
-  EXPECT_EQ(told(c, whole({at("a", 1), heavier, at("e", 5), at("d", 4, 0, ServerState::kDraining)})),
-            (Briefs{"~d", "-c", "+b", "+e"}));
-  EXPECT_EQ(c.size(), 4u);
-  EXPECT_EQ(c.up(), 3u);
-  EXPECT_EQ(told(c, whole({at("d", 4, 0, ServerState::kDraining), at("e", 5), heavier, at("a", 1)})),
-            Briefs{});
+  EXPECT_EQ(
+      told(c, whole({at("a", 1), heavier, at("e", 5), at("d", 4, 0, ServerState::kDraining)})),
+      (Briefs{"~d", "-c", "+b", "+e"}));
+  EXPECT_EQ(c.size(), 4U);
+  EXPECT_EQ(c.up(), 3U);
+  EXPECT_EQ(
+      told(c, whole({at("d", 4, 0, ServerState::kDraining), at("e", 5), heavier, at("a", 1)})),
+      Briefs{});
   EXPECT_FALSE(c.find("c"));
   EXPECT_TRUE(c.find("a")->up);
   EXPECT_FALSE(c.find("d")->up);
@@ -127,9 +138,10 @@
 TEST(CatalogTest, ConnectionsToWhatMovedRestartedOrWentMeanNothingAnyMore) {
   Catalog c;
   take(c, whole({at("a", 1), at("b", 2), at("c", 3), at("d", 4), at("e", 5)}));
-  const auto d =
-      take(c, changes({at("a", 11), at("b", 2, 5), gone("c"), at("d", 4, 0, ServerState::kDraining)}));
-  EXPECT_EQ(std::set<std::string>(d.closed.begin(), d.closed.end()), (std::set<std::string>{"a", "b", "c"}));
+  const auto d = take(
+      c, changes({at("a", 11), at("b", 2, 5), gone("c"), at("d", 4, 0, ServerState::kDraining)}));
+  EXPECT_EQ(std::set<std::string>(d.closed.begin(), d.closed.end()),
+            (std::set<std::string>{"a", "b", "c"}));
   EXPECT_TRUE(d.replaced.empty());
   EXPECT_EQ(c.find("a")->address, at("a", 11).address);
   EXPECT_EQ(c.find("b")->started_at, 5);
@@ -145,12 +157,12 @@
   EXPECT_EQ(brief(d.entries.at(1)), "+new");
   d = take(c, changes({at("moves", 1, 9)}));
   EXPECT_EQ(d.replaced, Briefs{"new"});
-  EXPECT_EQ(c.size(), 1u);
+  EXPECT_EQ(c.size(), 1U);
   // Who started earlier than the one that is there is not there, whatever is told.
   EXPECT_EQ(told(c, changes({at("late news", 1, 3)})), Briefs{});
   // Of equals it is the one that is told now, even as it was.
   take(c, whole({at("x", 1, 3), at("y", 1, 3)}));
-  EXPECT_EQ(c.size(), 2u);
+  EXPECT_EQ(c.size(), 2U);
   EXPECT_EQ(take(c, changes({at("x", 1, 3)})).replaced, Briefs{"y"});
 }
 
@@ -160,16 +172,17 @@
     take(c, whole({at("a", 1), at("b", 2), at("c", 3)}));
     const auto d = take(c, {0, complete, {at("a", 2), at("b", 3), at("c", 1)}});
     EXPECT_TRUE(d.replaced.empty());
-    EXPECT_EQ(d.entries.size(), 3u);
+    EXPECT_EQ(d.entries.size(), 3U);
     EXPECT_EQ(c.find("a")->address, at("", 2).address);
     EXPECT_EQ(c.find("c")->address, at("", 1).address);
-    EXPECT_EQ(c.up(), 3u);
+    EXPECT_EQ(c.up(), 3U);
   }
 }
 
 TEST(CatalogTest, AddressesOfTheOtherKindAreServersToo) {
   Catalog c;
-  Member six = at("six", 1), also = six;
+  Member six = at("six", 1);
+  Member also = six;
   six.address.address(asio::ip::make_address("fd00::1"));
   also.address.address(asio::ip::make_address("fd00::2"));
   EXPECT_EQ(told(c, whole({six})), Briefs{"+six"});
@@ -213,12 +226,14 @@
     replaced.entry.started_at += 100'000'000;
   }
   c.take(whole(next));
-  std::size_t seen = 0, slices = 0;
+  std::size_t seen = 0;
+  std::size_t slices = 0;
   for (; !c.settled(); ++slices) {
     const auto d = c.apply();
     EXPECT_LE(d.entries.size(), Catalog::kSlice + 1);
-    for (const auto& e : d.entries)
+    for (const auto& e : d.entries) {
       EXPECT_TRUE(++seen > urgent.size() || urgent.count(brief(e)) == 1) << brief(e);
+    }
   }
   EXPECT_EQ(seen, urgent.size() + std::size_t(n) + 100);
   EXPECT_GE(slices, std::size_t(n) / Catalog::kSlice);
@@ -226,8 +241,8 @@
 }
 
 TEST(CatalogTest, AListThatComesWhileSlicesWaitIsNotOverwrittenByThem) {
-  // Guards against a stale entry: an addition that still waits must not bring back who drains or is gone by
-  // now.
+  // Guards against a stale entry: an addition that still waits must not bring back who drains or is
+  // gone by now.
   const int n = 5'000;
   Catalog c;
   take(c, whole({at("there", -1)}));
@@ -237,12 +252,17 @@
   while (c.apply().entries.empty()) {  // until the additions have begun
   }
   ASSERT_FALSE(c.settled());
-  const std::string drains = label("s-", n - 1), removed = label("s-", n - 2), moved = label("s-", n - 3),
-                    replaced = label("s-", n - 4);
+  const std::string drains = label("s-", n - 1);
+  const std::string removed = label("s-", n - 2);
+  const std::string moved = label("s-", n - 3);
+  const std::string replaced = label("s-", n - 4);
   Member drained = at(drains, n - 1, n, ServerState::kDraining);
-  c.take(changes({drained, gone(removed), at(moved, 2 * n, n), at("new", n - 4, 2 * n), gone("there")}));
+  c.take(changes(
+      {drained, gone(removed), at(moved, 2 * n, n), at("new", n - 4, 2 * n), gone("there")}));
   Briefs next;
-  for (const auto& e : c.apply().entries) next.push_back(brief(e));
+  for (const auto& e : c.apply().entries) {
+    next.push_back(brief(e));
+  }
   EXPECT_EQ(next.at(0), "-there");  // not behind the first list's additions
   for (const auto& e : all_of(c).entries) {
     EXPECT_NE(brief(e), "+" + drains);
@@ -264,14 +284,14 @@
   c.apply();
   c.take(changes({at("between", -1)}));
   take(c, whole({at("s-0", 0, 1), at("last", -2)}));
-  EXPECT_EQ(c.size(), 2u);
+  EXPECT_EQ(c.size(), 2U);
   EXPECT_TRUE(c.find("s-0"));
   EXPECT_TRUE(c.find("last"));
 }
 
 TEST(CatalogTest, AsTheListsSayWhateverComesAndHoweverSliced) {
-  // Against a plain map, told of each list at once. Guards against indices that lose or keep what they should
-  // not, over many changes of slots.
+  // Against a plain map, told of each list at once. Guards against indices that lose or keep what
+  // they should not, over many changes of slots.
   std::mt19937 random(5);
   const auto pick = [&](int n) { return int(random() % unsigned(n)); };
   Catalog c;
@@ -282,32 +302,46 @@
     list.complete = pick(10) == 0;
     const int size = pick(list.complete ? 6'000 : 1'500);
     std::set<int> ids;
-    for (int i = 0; i < size; ++i) ids.insert(pick(6'000));
+    for (int i = 0; i < size; ++i) {
+      ids.insert(pick(6'000));
+    }
     for (const int id : ids) {
-      Member m = at(label("s-", id), id + 10'000 * pick(2), 1 + pick(2));  // each has two places of its own
+      Member m = at(label("s-", id), id + 10'000 * pick(2),
+                    1 + pick(2));  // each has two places of its own
       m.entry.zone = label("z", pick(5));
       const int state = pick(10);
-      if (state == 0) m.entry.state = ServerState::kDraining;
-      if (state == 1 && !list.complete) m = gone(m.entry.server);
+      if (state == 0) {
+        m.entry.state = ServerState::kDraining;
+      }
+      if (state == 1 && !list.complete) {
+        m = gone(m.entry.server);
+      }
       list.members.push_back(m);
     }
-    if (list.complete) plain.clear();
+    if (list.complete) {
+      plain.clear();
+    }
     for (const Member& m : list.members) {
-      if (m.entry.state == ServerState::kRemoved)
+      if (m.entry.state == ServerState::kRemoved) {
         plain.erase(m.entry.server);
-      else
+      } else {
         plain[m.entry.server] = m;
+      }
     }
     c.take(std::move(list));
     const bool rest = round % 7 == 0;  // else some slices wait when the next list comes
-    for (int slices = pick(4); (rest || slices-- > 0) && !c.settled();)
+    for (int slices = pick(4); (rest || slices-- > 0) && !c.settled();) {
       for (const auto& e : c.apply().entries) {
-        if (e.state == ServerState::kRemoved)
+        if (e.state == ServerState::kRemoved) {
           module.erase(e.server);
-        else
+        } else {
           module[e.server] = e;
+        }
       }
-    if (!c.settled()) continue;
+    }
+    if (!c.settled()) {
+      continue;
+    }
     ASSERT_EQ(c.size(), plain.size()) << round;
     ASSERT_EQ(module.size(), plain.size()) << round;
     for (const auto& [id, m] : plain) {
@@ -322,9 +356,11 @@
   }
 }
 
-// ---- Cost ---------------------------------------------------------------------------------------------
+// ---- Cost
+// ---------------------------------------------------------------------------------------------
 TEST(CatalogCost, OneChangeOfManyCostsAsMuchAsOfFew) {
-  // One takes 13 ms through a set of all addresses at 20,000 servers. Caches make the rest of the difference.
+  // One takes 13 ms through a set of all addresses at 20,000 servers. Caches make the rest of the
+  // difference.
   std::map<int, double> us;
   for (const int n : {200, kWorld}) {
     Catalog c;
@@ -339,14 +375,15 @@
                          }) /
             200;
   }
-  std::cerr << "one change: " << us[200] << " us at 200, " << us[kWorld] << " us at " << kWorld << '\n';
+  std::cerr << "one change: " << us[200] << " us at 200, " << us[kWorld] << " us at " << kWorld
+            << '\n';
   EXPECT_LT(us[kWorld], 8 * us[200] + kSlower);
   EXPECT_LT(us[kWorld], kSlower * 50);
 }
 
 TEST(CatalogCost, NoSliceTakesLong) {
-  // Guards against a burst that holds requests up. At 170,000 servers: a first whole list, the same again,
-  // and a zone of 24,000 that restarts. Each has the least of three runs, slice by slice.
+  // Guards against a burst that holds requests up. At 170,000 servers: a first whole list, the same
+  // again, and a zone of 24,000 that restarts. Each has the least of three runs, slice by slice.
   std::map<std::string, std::vector<double>> least;
   for (int run = 0; run < 3; ++run) {
     Catalog c;
@@ -357,14 +394,18 @@
         const double began = cpu_us();
         c.apply();
         const double took = cpu_us() - began;
-        if (i == of.size()) of.push_back(took);
+        if (i == of.size()) {
+          of.push_back(took);
+        }
         of[i] = std::min(of[i], took);
       }
     };
     slices("first", whole(many(kWorld)));
     slices("same", whole(many(kWorld)));
     auto zone = changes(many(24'000));
-    for (Member& m : zone.members) m.entry.started_at += 1'000'000'000;
+    for (Member& m : zone.members) {
+      m.entry.started_at += 1'000'000'000;
+    }
     slices("zone", zone);
   }
   for (const auto& [what, us] : least) {
--- a/tests/net/hot_restart/hot_restart_test.cpp
+++ b/tests/net/hot_restart/hot_restart_test.cpp
@@ -22,7 +22,8 @@
   ~SuccessionTest() override { std::filesystem::remove_all(folder); }
   std::string file() const { return folder + "/cottonroad.sock"; }
   std::string configured(std::uint16_t mgmt) {
-    return config(port, server, discovery, R"("mgmt":"127.0.0.1:)" + std::to_string(mgmt) + R"(",)");
+    return config(port, server, discovery,
+                  R"("mgmt":"127.0.0.1:)" + std::to_string(mgmt) + R"(",)");
   }
   bool ready(std::uint16_t mgmt) {
     Client c(io, {asio::ip::address_v4::loopback(), mgmt});
@@ -35,14 +36,17 @@
   std::pair<int, bool> ask(Client& c) {
     c.send(get(label("t", ++asked)));
     const auto answer = c.receive();
-    return answer ? std::pair(int(answer->result_int()), answer->keep_alive()) : std::pair(0, false);
+    return answer ? std::pair(int(answer->result_int()), answer->keep_alive())
+                  : std::pair(0, false);
   }
   int served(int n) {
     int out = 0;
     for (int i = 0; i < n; ++i) {
       Client c = client();
       const int status = ask(c).first;
-      if (status != 200) ADD_FAILURE() << status;
+      if (status != 200) {
+        ADD_FAILURE() << status;
+      }
       out += status == 200;
     }
     return out;
@@ -61,7 +65,8 @@
   Process old(configured(old_mgmt), folder);
   old.log_until("ready");
   ASSERT_TRUE(until(io, [&] { return ready(old_mgmt); }));
-  Client kept = client(), idle = client();
+  Client kept = client();
+  Client idle = client();
   EXPECT_EQ(ask(kept), std::pair(200, true));
   EXPECT_EQ(ask(idle), std::pair(200, true));
   Process young(configured(new_mgmt), folder);
@@ -72,7 +77,8 @@
   ASSERT_TRUE(until(io, [&] { return !ready(old_mgmt); }));
   EXPECT_EQ(ask(kept), std::pair(200, false));
   EXPECT_TRUE(kept.ended());
-  // What comes while the old one ends and the new one stands still waits in the queue that both hold.
+  // What comes while the old one ends and the new one stands still waits in the queue that both
+  // hold.
   young.kill(SIGSTOP);
   Client between = client();
   between.send(get("between"));
@@ -82,7 +88,7 @@
   young.kill(SIGCONT);
   const auto answer = between.receive();
   ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200u);
+  EXPECT_EQ(answer->result_int(), 200U);
   EXPECT_EQ(served(2), 2);
   // And the next one finds it.
   Process third(configured(old_mgmt), folder);
@@ -96,7 +102,8 @@
   FakeDiscovery mute(io);
   mute.mute = true;
   FakeServer none(io);
-  std::string blind = config(port, none, mute, R"("mgmt":"127.0.0.1:)" + std::to_string(new_mgmt) + R"(",)");
+  std::string blind =
+      config(port, none, mute, R"("mgmt":"127.0.0.1:)" + std::to_string(new_mgmt) + R"(",)");
   const std::string phase = R"("phase":"up")";
   blind.replace(blind.find(phase), phase.size(), R"("phase":"draining")");
   Process young(blind, folder);
@@ -141,7 +148,8 @@
   EXPECT_TRUE(starts()) << "a folder";
   std::filesystem::remove_all(file());
   // A stranger: it takes the connection, and says nothing or what nobody understands.
-  for (const std::string& says : {std::string(), std::string("hello"), std::string("quota_gateway/1 welcome")}) {
+  for (const std::string& says :
+       {std::string(), std::string("hello"), std::string("quota_gateway/1 welcome")}) {
     sockaddr_un at{};
     at.sun_family = AF_UNIX;
     std::strncpy(at.sun_path, file().c_str(), sizeof at.sun_path - 1);
@@ -152,9 +160,12 @@
     Process p(configured(old_mgmt), folder);
     int guest = -1;
     ASSERT_TRUE(until(io, [&] { return (guest = ::accept(stranger, nullptr, nullptr)) >= 0; }));
-    if (!says.empty()) ::send(guest, says.data(), says.size(), MSG_NOSIGNAL);
+    if (!says.empty()) {
+      ::send(guest, says.data(), says.size(), MSG_NOSIGNAL);
+    }
     p.log_until("ready");
-    EXPECT_TRUE(until(io, [&] { return ready(old_mgmt); }) && served(1) == 1) << "a stranger: " << says;
+    EXPECT_TRUE(until(io, [&] { return ready(old_mgmt); }) && served(1) == 1)
+        << "a stranger: " << says;
     ::close(guest);
     ::close(stranger);
   }
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -1,4 +1,5 @@
-// Long bodies and answers, on a whole gateway: they pass in pieces, and never seem whole when they are not.
+// Long bodies and answers, on a whole gateway: they pass in pieces, and never seem whole when they
+// are not.
 #include <gtest/gtest.h>
 
 #include "support/loopback.hpp"
@@ -26,12 +27,16 @@
     boost::beast::flat_buffer buffer;
     std::optional<error_code> done;
     http::async_read(c.socket, buffer, parser, [&](error_code ec, std::size_t) { done = ec; });
-    if (!until(io, [&] { return done.has_value(); }) || *done) return std::nullopt;
+    if (!until(io, [&] { return done.has_value(); }) || *done) {
+      return std::nullopt;
+    }
     return parser.release();
   }
   static std::string body_of(std::size_t size) {
     std::string out(size, 0);
-    for (std::size_t i = 0; i < size; ++i) out[i] = char('a' + i % 23);
+    for (std::size_t i = 0; i < size; ++i) {
+      out[i] = char('a' + i % 23);
+    }
     return out;
   }
   static std::string long_post(const std::string& framing) {
@@ -44,7 +49,8 @@
 };
 
 TEST_F(BulkTest, ALongAnswerPassesUnchangedAndOnlyAsFastAsItIsTaken) {
-  const std::string body = body_of(32 << 20), text = reply("200 OK", "", body);
+  const std::string body = body_of(32 << 20);
+  const std::string text = reply("200 OK", "", body);
   std::size_t written = 0;
   bool all = false;
   std::shared_ptr<Peer> peer;
@@ -52,7 +58,9 @@
     peer->socket.async_write_some(asio::buffer(text) + written, [&](error_code ec, std::size_t n) {
       written += n;
       all = written == text.size();
-      if (!ec && !all) go();
+      if (!ec && !all) {
+        go();
+      }
     });
   };
   s1.on_request = [&](Peer& p, const Request_&) {
@@ -93,7 +101,9 @@
   std::function<void()> read = [&] {
     c.socket.async_read_some(asio::buffer(chunk), [&](error_code ec, std::size_t n) {
       seen.append(chunk, n);
-      if (!ec) read();
+      if (!ec) {
+        read();
+      }
     });
   };
   read();
@@ -111,7 +121,8 @@
                                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" +
                                       std::string(size) + "\r\n" + half + "\r\n"}) {
     Rig one;
-    FakeServer a{one.io}, b{one.io};
+    FakeServer a{one.io};
+    FakeServer b{one.io};
     int asked = 0;
     const auto cut = [&](Peer& p, const Request_&) {
       ++asked;
@@ -133,8 +144,9 @@
   const std::string body = body_of(300'000);
   s1.on_request = [&](Peer& p, const Request_&) {
     p.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n");
-    for (std::size_t i = 0; i < body.size(); i += 30'000)
+    for (std::size_t i = 0; i < body.size(); i += 30'000) {
       p.write("7530;part=" + std::to_string(i) + "\r\n" + body.substr(i, 30'000) + "\r\n");
+    }
     p.write("0\r\nX-Sum: 1\r\n\r\n");
   };
   rig.start();
@@ -150,12 +162,13 @@
 TEST_F(BulkTest, ALongBodyArrivesUnchangedWhateverItsFraming) {
   const std::string body = body_of(1'000'000);
   std::string chunks;
-  for (std::size_t i = 0; i < body.size(); i += 50'000)
+  for (std::size_t i = 0; i < body.size(); i += 50'000) {
     chunks += "c350\r\n" + body.substr(i, 50'000) + "\r\n";
+  }
   chunks += "0\r\n\r\n";
   int told = 0;
-  for (const std::string& text :
-       {long_post("Content-Length: 1000000") + body, long_post("Transfer-Encoding: chunked") + chunks}) {
+  for (const std::string& text : {long_post("Content-Length: 1000000") + body,
+                                  long_post("Transfer-Encoding: chunked") + chunks}) {
     Rig one;
     FakeServer a{one.io};
     std::string got;
@@ -169,11 +182,11 @@
     asio::async_write(c.socket, asio::buffer(text), [&](error_code, std::size_t) { ++told; });
     const auto answer = c.receive();
     ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->result_int(), 200u);
+    EXPECT_EQ(answer->result_int(), 200U);
     EXPECT_EQ(answer->body(), "done");
     EXPECT_TRUE(answer->keep_alive());
     EXPECT_TRUE(got == body);
-    EXPECT_EQ(a.requests.size(), 1u);
+    EXPECT_EQ(a.requests.size(), 1U);
   }
   EXPECT_EQ(told, 2);
 }
@@ -193,7 +206,7 @@
     asio::async_write(c.socket, asio::buffer(text), [](error_code, std::size_t) {});
     const auto answer = c.receive();
     ASSERT_TRUE(answer);
-    EXPECT_EQ(answer->result_int(), 200u);
+    EXPECT_EQ(answer->result_int(), 200U);
     EXPECT_EQ(answer->body(), "500000");
   }
 }
@@ -226,7 +239,7 @@
   c.send("hello");
   const auto answer = c.receive();
   ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200u);
+  EXPECT_EQ(answer->result_int(), 200U);
 }
 
 }  // namespace
--- a/tests/net/server/moments_test.cpp
+++ b/tests/net/server/moments_test.cpp
@@ -1,5 +1,5 @@
-// The instants in which something is still owed: each test holds bytes or events back, so that the bad order
-// comes every time.
+// The instants in which something is still owed: each test holds bytes or events back, so that the
+// bad order comes every time.
 #include <gtest/gtest.h>
 
 #include <list>
@@ -15,7 +15,9 @@
 class MomentsTest : public ::testing::Test {
  protected:
   MomentsTest() {
-    for (ClassSettings& c : rig.config.settings.classes) c.aim = 3'000'000;  // room to wait for a server
+    for (ClassSettings& c : rig.config.settings.classes) {
+      c.aim = 3'000'000;  // room to wait for a server
+    }
   }
   int status(Client& c) {
     const auto answer = c.receive();
@@ -27,13 +29,16 @@
   FakeServer s1{rig.io}, s2{rig.io};
 };
 
-// ---- The start ----------------------------------------------------------------------------------------
+// ---- The start
+// ----------------------------------------------------------------------------------------
 TEST_F(MomentsTest, ANewProcessSendsNothingByItsOldListBeforeItsAgentHasSpoken) {
-  // Guards against requests to a server that the agent has long had as draining, and against being taken in.
+  // Guards against requests to a server that the agent has long had as draining, and against being
+  // taken in.
   rig.know(member("s1", s1));
   rig.discovery.mute = true;
   rig.start();
-  Client c = rig.client(), front = rig.client();
+  Client c = rig.client();
+  Client front = rig.client();
   c.send(get("a"));
   front.send(kHealth);
   EXPECT_EQ(status(front), 503);
@@ -41,10 +46,11 @@
   ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
   EXPECT_TRUE(s1.requests.empty());
   rig.discovery.mute = false;
-  rig.discovery.first = list(42, false, entry("s1", s1.text(), "draining") + "," + entry("s2", s2.text()));
+  rig.discovery.first =
+      list(42, false, entry("s1", s1.text(), "draining") + "," + entry("s2", s2.text()));
   EXPECT_EQ(status(c), 200);
   EXPECT_TRUE(s1.requests.empty());
-  EXPECT_EQ(s2.requests.size(), 1u);
+  EXPECT_EQ(s2.requests.size(), 1U);
   front.send(kHealth);
   EXPECT_EQ(status(front), 200);
 }
@@ -62,15 +68,18 @@
     EXPECT_EQ(status(c), 200);
     c.send(get("a"));
     EXPECT_EQ(status(c), 200);
-    EXPECT_EQ(server.requests.size(), 1u);
+    EXPECT_EQ(server.requests.size(), 1U);
   }
 }
 
-// ---- SIGTERM ------------------------------------------------------------------------------------------
+// ---- SIGTERM
+// ------------------------------------------------------------------------------------------
 TEST_F(MomentsTest, WhatLiesUnreadOrWaitsToBeLetInHasItsAnswerBeforeTheEnd) {
   // Guards against an end that comes in the same turn of the loop as the last requests.
   std::list<FakeServer> servers;
-  for (int i = 0; i < 6; ++i) rig.know(member(label("s", i), servers.emplace_back(rig.io)));
+  for (int i = 0; i < 6; ++i) {
+    rig.know(member(label("s", i), servers.emplace_back(rig.io)));
+  }
   Driver& driver = rig.start();
   bool done = false;
   Client early = rig.client();  // connected before, and silent so far
@@ -79,17 +88,24 @@
   ASSERT_TRUE(rig.until([&] { return Clock().now() - asked > 900'000; }));
   ASSERT_FALSE(done);
   std::vector<Client> queue;
-  for (int i = 0; i < 3; ++i) queue.push_back(rig.client());
-  for (int i = 0; i < 3; ++i) queue[std::size_t(i)].send(get(label("q", i)));
+  for (int i = 0; i < 3; ++i) {
+    queue.push_back(rig.client());
+  }
+  for (int i = 0; i < 3; ++i) {
+    queue[std::size_t(i)].send(get(label("q", i)));
+  }
   early.send(get("e"));
   stand_still(std::chrono::milliseconds(300));
-  for (Client& c : queue) EXPECT_EQ(status(c), 200);
+  for (Client& c : queue) {
+    EXPECT_EQ(status(c), 200);
+  }
   EXPECT_EQ(status(early), 200);
   ASSERT_TRUE(rig.until([&] { return done; }));
 }
 
 TEST_F(MomentsTest, AnAnswerThatItsClientHasNotTakenKeepsTheProcess) {
-  // Guards against an exit that resets a connection on which more has come, and takes the answer with it.
+  // Guards against an exit that resets a connection on which more has come, and takes the answer
+  // with it.
   std::shared_ptr<Peer> held;
   s1.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
   rig.know(member("s1", s1));
@@ -112,12 +128,13 @@
 }
 
 TEST_F(MomentsTest, WhatNoServerAnswersIsAnsweredBeforeSigkillCouldCome) {
-  // SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s; these are 4 s, and one came
-  // before.
+  // SIGKILL comes 3.7 s after SIGTERM where deadlines are longer than 3 s; these are 4 s, and one
+  // came before.
   s1.on_request = [](Peer&, const Request_&) {};
   rig.know(member("s1", s1));
   Driver& driver = rig.start();
-  Client before = rig.client(), open = rig.client();
+  Client before = rig.client();
+  Client open = rig.client();
   before.send(post("a"));
   ASSERT_TRUE(rig.until([&] { return s1.requests.size() == 1; }));
   bool done = false;
@@ -131,7 +148,8 @@
   EXPECT_LT(Clock().now() - asked, 3'700'000);
 }
 
-// ---- Servers ------------------------------------------------------------------------------------------
+// ---- Servers
+// ------------------------------------------------------------------------------------------
 TEST_F(MomentsTest, AnAnswerThatTricklesForEverHasItsEndInTimeAndKeepsNothing) {
   // A byte every 10 ms, in a chunk of its own, so that it never is quiet and never whole.
   s1.on_request = [](Peer& p, const Request_&) {
@@ -145,25 +163,29 @@
   Micros wrote = asked;
   ASSERT_TRUE(rig.until([&] {
     const bool due = Clock().now() - wrote > 10'000 && !s1.requests.empty() && !s1.peers[0]->over;
-    if (due) s1.peers[0]->write("1\r\nx\r\n"), wrote = Clock().now();
+    if (due)
+      s1.peers[0]->write("1\r\nx\r\n"), wrote = Clock().now();
     return c.socket.available() > 0;
   }));
   EXPECT_LT(Clock().now() - asked, 600'000);
   EXPECT_EQ(status(c), 504);
-  EXPECT_EQ(s1.requests.size(), 1u);
+  EXPECT_EQ(s1.requests.size(), 1U);
   ASSERT_TRUE(rig.until([&] { return s1.peers.at(0)->over; }));
 }
 
-// ---- Clients ------------------------------------------------------------------------------------------
+// ---- Clients
+// ------------------------------------------------------------------------------------------
 TEST_F(MomentsTest, AClientThatSentMuchAheadAndLeftIsNotSentOn) {
   // Guards against an end that lies unread behind what was sent ahead, be it in order or a reset.
   const std::string ahead(200'000, 'x');
-  for (const bool resets : {true, false})
+  for (const bool resets : {true, false}) {
     for (const bool uploads : {true, false}) {
       Rig held;  // no request goes out while its agent is mute
       FakeServer server(held.io);
       held.know(member("s1", server));
-      for (ClassSettings& c : held.config.settings.classes) c.aim = 3'000'000;
+      for (ClassSettings& c : held.config.settings.classes) {
+        c.aim = 3'000'000;
+      }
       held.discovery.mute = true;
       held.start();
       const auto open = [&](int n) {
@@ -171,28 +193,39 @@
       };
       Client c = held.client();
       std::string text = uploads ? post("u") : get("g");
-      if (uploads) text.replace(text.find("Length: 5"), 9, "Length: 900000");
+      if (uploads) {
+        text.replace(text.find("Length: 5"), 9, "Length: 900000");
+      }
       c.send(text);
       ASSERT_TRUE(held.until([&] { return open(1) || uploads; }));
       bool sent = false;
-      asio::async_write(c.socket, asio::buffer(ahead), [&](error_code, std::size_t) { sent = true; });
+      asio::async_write(c.socket, asio::buffer(ahead),
+                        [&](error_code, std::size_t) { sent = true; });
       ASSERT_TRUE(held.until([&] { return open(1) && (sent || uploads); }));
-      if (resets) c.socket.set_option(asio::socket_base::linger(true, 0));
+      if (resets) {
+        c.socket.set_option(asio::socket_base::linger(true, 0));
+      }
       const Micros left = Clock().now();
       c.socket.close();
-      // The end of a long body that is not taken yet is not there to be seen; it never gets to a server
-      // whole.
-      if (uploads && !resets) continue;
+      // The end of a long body that is not taken yet is not there to be seen; it never gets to a
+      // server whole.
+      if (uploads && !resets) {
+        continue;
+      }
       ASSERT_TRUE(held.until([&] { return open(0); }));
       EXPECT_LT(Clock().now() - left, 300'000) << resets << uploads;
       EXPECT_TRUE(server.requests.empty()) << resets << uploads;
     }
+  }
 }
 
 TEST_F(MomentsTest, AFullHouseMakesNoRoomByEndingWhoseLastByteHasCome) {
-  // Guards against an eviction between a request's last byte and its reading: the new client comes first.
+  // Guards against an eviction between a request's last byte and its reading: the new client comes
+  // first.
   std::list<FakeServer> servers;
-  for (int i = 0; i < 60; ++i) rig.know(member(label("s", i), servers.emplace_back(rig.io)));
+  for (int i = 0; i < 60; ++i) {
+    rig.know(member(label("s", i), servers.emplace_back(rig.io)));
+  }
   rig.config.sockets = 64;  // 24 clients
   rig.start();
   std::vector<Client> crowd;
@@ -201,15 +234,23 @@
     crowd.back().send(get(label("c", i)).substr(0, 60));
   }
   // All are let in and their beginnings read: what each gets after is its own.
-  for (int turn = 0; turn < 5; ++turn) rig.io.restart(), rig.io.poll();
+  for (int turn = 0; turn < 5; ++turn) {
+    rig.io.restart(), rig.io.poll();
+  }
   std::vector<Client> more;
   for (int i = 0; i < 3; ++i) {
     more.push_back(rig.client());
     more.back().send(get(label("m", i)));
   }
-  for (std::size_t i = 0; i < crowd.size(); ++i) crowd[i].send(get(label("c", int(i))).substr(60));
-  for (Client& c : crowd) EXPECT_GE(status(c), 200);
-  for (Client& c : more) EXPECT_GE(status(c), 200);
+  for (std::size_t i = 0; i < crowd.size(); ++i) {
+    crowd[i].send(get(label("c", int(i))).substr(60));
+  }
+  for (Client& c : crowd) {
+    EXPECT_GE(status(c), 200);
+  }
+  for (Client& c : more) {
+    EXPECT_GE(status(c), 200);
+  }
 }
 
 }  // namespace
--- a/tests/net/server/process_test.cpp
+++ b/tests/net/server/process_test.cpp
@@ -41,8 +41,10 @@
 TEST(Process, SighupMovesToNewAddressesAndKeepsTheOldOnesOnAnError) {
   asio::io_context io;
   FakeServer server(io);
-  FakeDiscovery first(io), second(io);
-  FakeCounter counter(io), next(io);
+  FakeDiscovery first(io);
+  FakeDiscovery second(io);
+  FakeCounter counter(io);
+  FakeCounter next(io);
   const auto port = free_port(io);
   const auto with = [](const Listener& l) { return R"("counter":")" + l.text() + R"(",)"; };
   Process p(config(port, server, first, with(counter)));
@@ -68,8 +70,8 @@
   ASSERT_TRUE(until(io, [&] { return second.asked.size() == 1 && next.peers.size() == 1; }));
   EXPECT_EQ(second.asked[0], "/catalog/members?watch=1");
   ASSERT_TRUE(until(io, [&] { return first.peers[0]->over && counter.peers[0]->over; }));
-  EXPECT_EQ(first.asked.size(), 1u);
-  EXPECT_EQ(counter.peers.size(), 1u);
+  EXPECT_EQ(first.asked.size(), 1U);
+  EXPECT_EQ(counter.peers.size(), 1U);
   held->write(reply("200 OK", "", "held"));
   const auto answer = c.receive();
   ASSERT_TRUE(answer);
@@ -99,25 +101,29 @@
     return answer ? int(answer->result_int()) : 0;
   };
   // Each names another class too, which must not be taken with the rest turned down.
-  const std::string other = R"("Name":"profile-next")", name = R"("Name":"profile-read")";
-  const std::vector<std::string> broken = {"",
-                                           first.substr(0, first.size() / 2),
-                                           first.substr(0, first.size() - 1),
-                                           edited(name + ",", ""),
-                                           edited(R"("GiveUpUs":4000000,)", ""),
-                                           edited(R"("Limits":{"MaxAttempts":4})", R"("Limits":{})"),
-                                           edited(R"(,"Limits":{"MaxAttempts":4})", ""),
-                                           edited(R"("ReplicasOfMe":3,)", ""),
-                                           edited(R"("seed":"8c1f30d27a5be964",)", ""),
-                                           edited(R"("QuotaRate":900,)", ""),
-                                           edited(R"("GiveUpUs":4000000)", R"("GiveUpUs":0)"),
-                                           edited(R"("GiveUpUs":4000000)", R"("GiveUpUs":-5)"),
-                                           edited(R"("GiveUpUs":4000000)", R"("GiveUpUs":"x")"),
-                                           edited(R"("MaxAttempts":4)", R"("MaxAttempts":0)"),
-                                           edited(R"("MaxAttempts":4)", R"("MaxAttempts":-1)")};
+  const std::string other = R"("Name":"profile-next")";
+  const std::string name = R"("Name":"profile-read")";
+  const std::vector<std::string> broken = {
+      "",
+      first.substr(0, first.size() / 2),
+      first.substr(0, first.size() - 1),
+      edited(name + ",", ""),
+      edited(R"("GiveUpUs":4000000,)", ""),
+      edited(R"("Limits":{"MaxAttempts":4})", R"("Limits":{})"),
+      edited(R"(,"Limits":{"MaxAttempts":4})", ""),
+      edited(R"("ReplicasOfMe":3,)", ""),
+      edited(R"("seed":"8c1f30d27a5be964",)", ""),
+      edited(R"("QuotaRate":900,)", ""),
+      edited(R"("GiveUpUs":4000000)", R"("GiveUpUs":0)"),
+      edited(R"("GiveUpUs":4000000)", R"("GiveUpUs":-5)"),
+      edited(R"("GiveUpUs":4000000)", R"("GiveUpUs":"x")"),
+      edited(R"("MaxAttempts":4)", R"("MaxAttempts":0)"),
+      edited(R"("MaxAttempts":4)", R"("MaxAttempts":-1)")};
   int n = 0;
   for (std::string text : broken) {
-    if (const auto at = text.find(name); at != std::string::npos) text.replace(at, name.size(), other);
+    if (const auto at = text.find(name); at != std::string::npos) {
+      text.replace(at, name.size(), other);
+    }
     p.configure(text);
     p.hang_up();
     ASSERT_NE(p.log_until("configuration").find("kept"), std::string::npos) << text;
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -22,7 +22,9 @@
     list.members = {member("s", server)};
     upstream->update(list);
   }
-  void send(std::uint64_t request) { upstream->send({request, 0}, "s", outgoing, clock.now() + 10'000'000); }
+  void send(std::uint64_t request) {
+    upstream->send({request, 0}, "s", outgoing, clock.now() + 10'000'000);
+  }
   // Sends and waits for the result.
   AttemptResult result(std::uint64_t request) {
     send(request);
@@ -33,7 +35,9 @@
   Outcome outcome_of(const std::string& raw, bool close = false) {
     server.on_request = [=](Peer& p, const Request_&) {
       p.write(raw);
-      if (close) p.close();
+      if (close) {
+        p.close();
+      }
     };
     make();
     return result(1).outcome;
@@ -50,7 +54,8 @@
 
 TEST_F(UpstreamTest, ServedWithTheBodyAndTheLoad) {
   server.on_request = [](Peer& p, const Request_&) {
-    p.write(reply("200 OK", "Endpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, odd=x\r\n", "body"));
+    p.write(reply("200 OK", "Endpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, odd=x\r\n",
+                  "body"));
   };
   make();
   const auto r = result(1);
@@ -87,7 +92,9 @@
   EXPECT_EQ(r.meter, 0);
 }
 
-TEST_F(UpstreamTest, AnErrorMayHaveRun) { EXPECT_EQ(outcome_of(reply("500 Oops")), Outcome::kError); }
+TEST_F(UpstreamTest, AnErrorMayHaveRun) {
+  EXPECT_EQ(outcome_of(reply("500 Oops")), Outcome::kError);
+}
 
 TEST_F(UpstreamTest, TurnedAwayOnlyWithTheProof) {
   // Guards against taking a proxy's or a busy server's own 503 for proof that nothing ran.
@@ -127,14 +134,17 @@
     full.accept(late, ec);
     char byte;
     error_code ended;
-    if (!ec) ++accepted, late.read_some(asio::buffer(&byte, 1), ended);
+    if (!ec) {
+      ++accepted, late.read_some(asio::buffer(&byte, 1), ended);
+    }
     EXPECT_TRUE(ec || ended);
   }
-  EXPECT_GE(accepted, 1u);
+  EXPECT_GE(accepted, 1U);
 }
 
 TEST_F(UpstreamTest, BrokenBeforeTheLastByteNeverRan) {
-  // The request is larger than what the socket takes; the server reads little and breaks the connection.
+  // The request is larger than what the socket takes; the server reads little and breaks the
+  // connection.
   outgoing.body.assign(32 << 20, 'x');
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
@@ -159,19 +169,22 @@
   EXPECT_EQ(outcome_of("\x01\x02 nonsense\r\n\r\n"), Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nContent-Length: 999999999\r\n\r\n"), Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nX: " + std::string(100'000, 'x')), Outcome::kReset);
-  EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"), Outcome::kReset);
+  EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n"),
+            Outcome::kReset);
 }
 
 TEST_F(UpstreamTest, InterimAnswersArePassedOver) {
   // Guards against statuses that the library has no name for, such as 103.
-  for (const char* status : {"100 Continue", "102 Processing", "103 Early Hints", "199 Odd"})
+  for (const char* status : {"100 Continue", "102 Processing", "103 Early Hints", "199 Odd"}) {
     EXPECT_EQ(outcome_of(std::string("HTTP/1.1 ") + status + "\r\n\r\n" + reply("200 OK", "", "x")),
               Outcome::kOk);
+  }
 }
 
 TEST_F(UpstreamTest, ALengthOverTheLimitIsNotTakenIn) {
   // Guards against an answer whose first bytes come with its head and whose rest never ends.
-  EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"), Outcome::kReset);
+  EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"),
+            Outcome::kReset);
   EXPECT_TRUE(until(io, [&] { return server.peers.back()->over; }));
 }
 
@@ -185,14 +198,17 @@
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 4\r\n\r\n"
                        "4\r\nfour\r\n0\r\n\r\n"),
             Outcome::kReset);
-  EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: odd\r\n\r\nfour", true), Outcome::kReset);
+  EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\nTransfer-Encoding: odd\r\n\r\nfour", true),
+            Outcome::kReset);
   EXPECT_EQ(outcome_of("HTTP/1.1 200 OK\r\n\r\nfour", true), Outcome::kReset);
 }
 
 TEST_F(UpstreamTest, MoreThanAnAnswerIsServedOnceAndEndsTheConnection) {
-  // Guards against a second copy or noise behind an answer that is read as that to the next request.
+  // Guards against a second copy or noise behind an answer that is read as that to the next
+  // request.
   const std::string good = reply("200 OK", "", "good");
-  const std::string chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n";
+  const std::string chunked =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n";
   for (const std::string& raw : {good + good, chunked + chunked, chunked + "noise"}) {
     server.on_request = [=](Peer& p, const Request_&) { p.write(raw); };
     make();
@@ -208,20 +224,23 @@
   make({}, 10'000'000);
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   ASSERT_EQ(result(2).outcome, Outcome::kOk);
-  EXPECT_EQ(server.peers.size(), 2u);
+  EXPECT_EQ(server.peers.size(), 2U);
   server.peers[0]->write("noise");
   EXPECT_TRUE(until(io, [&] { return server.peers[0]->over; }));
 }
 
 TEST_F(UpstreamTest, InterimAnswersWithoutEndEndTheAttempt) {
   std::string many;
-  for (int i = 0; i < 100; ++i) many += "HTTP/1.1 103 Early Hints\r\n\r\n";
+  for (int i = 0; i < 100; ++i) {
+    many += "HTTP/1.1 103 Early Hints\r\n\r\n";
+  }
   EXPECT_EQ(outcome_of(many), Outcome::kReset);
 }
 
 TEST_F(UpstreamTest, AReportThatCannotBeReadSaysNothing) {
-  for (const char* report : {"TEXT queue=2, util=oops", "TEXT queue=-1", "TEXT queue=nan", "TEXT queue=1e99",
-                             "TEXT queue=2x", "TEXT queue", "TEXT ?", "%%%", ""}) {
+  for (const char* report :
+       {"TEXT queue=2, util=oops", "TEXT queue=-1", "TEXT queue=nan", "TEXT queue=1e99",
+        "TEXT queue=2x", "TEXT queue", "TEXT ?", "%%%", ""}) {
     server.on_request = [=](Peer& p, const Request_&) {
       p.write(reply("200 OK", std::string("Endpoint-Load-Metrics: ") + report + "\r\n", "body"));
     };
@@ -233,8 +252,8 @@
 }
 
 TEST_F(UpstreamTest, ServersThatAreNoLongerListedAreLetGo) {
-  // Guards against connections to those that a whole list leaves out, and to one whose address has a new
-  // owner.
+  // Guards against connections to those that a whole list leaves out, and to one whose address has
+  // a new owner.
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   list.members[0] = member("new", server);
@@ -266,19 +285,21 @@
 
 TEST_F(UpstreamTest, ConnectionsAreKeptAndReused) {
   make();
-  for (int i = 1; i <= 5; ++i) EXPECT_EQ(result(std::uint64_t(i)).outcome, Outcome::kOk);
-  EXPECT_EQ(server.peers.size(), 1u);
+  for (int i = 1; i <= 5; ++i) {
+    EXPECT_EQ(result(std::uint64_t(i)).outcome, Outcome::kOk);
+  }
+  EXPECT_EQ(server.peers.size(), 1U);
 }
 
 TEST_F(UpstreamTest, AStaleKeepAliveIsNotWrittenTo) {
-  // Guards against writing to a connection whose close is there but not yet read: the request would end as a
-  // reset that may have run, which costs a keyed one its retry anywhere else.
+  // Guards against writing to a connection whose close is there but not yet read: the request would
+  // end as a reset that may have run, which costs a keyed one its retry anywhere else.
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   server.peers[0]->close();  // no turn of the loop between this and the send
   EXPECT_EQ(result(2).outcome, Outcome::kOk);
-  EXPECT_EQ(server.peers.size(), 2u);
-  EXPECT_EQ(server.requests.size(), 2u);
+  EXPECT_EQ(server.peers.size(), 2U);
+  EXPECT_EQ(server.requests.size(), 2U);
 }
 
 TEST_F(UpstreamTest, IdleConnectionsAreRetiredBeforeTheServersLimit) {
@@ -288,15 +309,17 @@
 }
 
 TEST_F(UpstreamTest, KeptConnectionsRestNoLongerThanSeenToLast) {
-  // Guards against requests written to connections that were closed without a word while they rested: after
-  // one such reset the bound is 100 ms, so the next that has rested longer is let go of unasked.
+  // Guards against requests written to connections that were closed without a word while they
+  // rested: after one such reset the bound is 100 ms, so the next that has rested longer is let go
+  // of unasked.
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   server.on_request = [](Peer& p, const Request_&) { p.reset(); };
   ASSERT_EQ(result(2).outcome, Outcome::kReset);
   server.on_request = [](Peer& p, const Request_&) { p.write(reply("200 OK", "", "x")); };
   ASSERT_EQ(result(3).outcome, Outcome::kOk);
-  EXPECT_TRUE(until(io, [&] { return server.peers.back()->over; }));  // far from the 6 s that it began with
+  EXPECT_TRUE(
+      until(io, [&] { return server.peers.back()->over; }));  // far from the 6 s that it began with
   EXPECT_EQ(result(4).outcome, Outcome::kOk);
 }
 
@@ -307,7 +330,7 @@
   make();
   EXPECT_EQ(result(1).outcome, Outcome::kOk);
   EXPECT_EQ(result(2).outcome, Outcome::kOk);
-  EXPECT_EQ(server.peers.size(), 2u);
+  EXPECT_EQ(server.peers.size(), 2U);
 }
 
 TEST_F(UpstreamTest, ADrainDuringTheConnectIsKept) {
@@ -324,15 +347,20 @@
 }
 
 TEST_F(UpstreamTest, AServerThatMovesOrRestartsDuringTheConnectIsSentNothingThere) {
-  // Guards against a first byte to a process that is gone from the list, or to a cold one in its place.
+  // Guards against a first byte to a process that is gone from the list, or to a cold one in its
+  // place.
   FakeServer moved(io);
   for (const bool moves : {true, false}) {
     results.clear();
     make();
     send(1);
     list.complete = false;
-    if (moves) list.members[0].address = moved.address();
-    if (!moves) list.members[0].entry.started_at = clock.now();
+    if (moves) {
+      list.members[0].address = moved.address();
+    }
+    if (!moves) {
+      list.members[0].entry.started_at = clock.now();
+    }
     upstream->update(list);
     ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
     EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent) << moves;
@@ -359,11 +387,11 @@
   list.members[0].entry.started_at = clock.now();
   upstream->update(list);
   ASSERT_EQ(result(2).outcome, Outcome::kOk);
-  EXPECT_EQ(server.peers.size(), 2u);
+  EXPECT_EQ(server.peers.size(), 2U);
   list.members[0].address = moved.address();
   upstream->update(list);
   ASSERT_EQ(result(3).outcome, Outcome::kOk);
-  EXPECT_EQ(moved.requests.size(), 1u);
+  EXPECT_EQ(moved.requests.size(), 1U);
 }
 
 TEST_F(UpstreamTest, TheNumberOfConnectionsIsBounded) {
@@ -375,8 +403,8 @@
 }
 
 TEST_F(UpstreamTest, AChangeOfAnotherServerCostsAsMuchAmongManyAsAmongFew) {
-  // Guards against walks over all that is listed: 13 ms at 20,000 servers, of the processor's time. The least
-  // of some runs; what else the machine does only adds to it.
+  // Guards against walks over all that is listed: 13 ms at 20,000 servers, of the processor's time.
+  // The least of some runs; what else the machine does only adds to it.
   const auto cpu_us = [] {
     timespec t;
     ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
@@ -402,7 +430,8 @@
     }
     return least;
   };
-  const double few = change_us(200), many = change_us(170'000);
+  const double few = change_us(200);
+  const double many = change_us(170'000);
   EXPECT_LT(many, 10 * few + 5);
   EXPECT_LT(many, 1'000);
 }
@@ -418,7 +447,7 @@
   list.members[0].entry.started_at = 5;
   EXPECT_EQ(upstream->update(list), std::vector<std::string>{"other"});
   ASSERT_EQ(result(2).outcome, Outcome::kOk);
-  EXPECT_EQ(server.peers.size(), 1u);
+  EXPECT_EQ(server.peers.size(), 1U);
 }
 
 TEST_F(UpstreamTest, AListOfManyIsPutInForceSliceBySlice) {
@@ -433,13 +462,17 @@
   many.members.back().entry.state = ServerState::kDraining;
   upstream->take(std::move(many));
   Difference first;
-  while (first.entries.empty() && !upstream->settled()) first = upstream->apply();
+  while (first.entries.empty() && !upstream->settled()) {
+    first = upstream->apply();
+  }
   EXPECT_EQ(first.entries.at(0).server, "s");
   EXPECT_LE(first.entries.size(), Catalog::kSlice);
   EXPECT_FALSE(upstream->settled());
   EXPECT_EQ(result(2).outcome, Outcome::kNotSent);
-  while (!upstream->settled()) upstream->apply();
-  EXPECT_EQ(upstream->listed(), 3'001u);
+  while (!upstream->settled()) {
+    upstream->apply();
+  }
+  EXPECT_EQ(upstream->listed(), 3'001U);
 }
 
 }  // namespace
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -1,4 +1,5 @@
-// The list of servers at all sizes: containers, cost, memory, parts. Each test is named after its danger.
+// The list of servers at all sizes: containers, cost, memory, parts. Each test is named after its
+// danger.
 #include "policy/endpoints/load_balancer.hpp"
 
 #include <gtest/gtest.h>
@@ -14,8 +15,8 @@
 #include <vector>
 
 #include "quota_gateway/gateway.hpp"
-#include "util/order_statistic_ring.hpp"
 #include "util/numbers.hpp"
+#include "util/order_statistic_ring.hpp"
 #include "util/string_interner.hpp"
 
 namespace quota_gateway {
@@ -29,9 +30,13 @@
 using Model = std::map<std::pair<std::uint64_t, std::string>, bool>;  // counted, by place and name
 
 std::vector<std::string> counted_from(const Model& model, std::uint64_t from) {
-  std::vector<std::string> before, after;
-  for (const auto& [key, counted] : model)
-    if (counted) (key.first < from ? before : after).push_back(key.second);
+  std::vector<std::string> before;
+  std::vector<std::string> after;
+  for (const auto& [key, counted] : model) {
+    if (counted) {
+      (key.first < from ? before : after).push_back(key.second);
+    }
+  }
   after.insert(after.end(), before.begin(), before.end());
   return after;
 }
@@ -46,7 +51,8 @@
 }
 
 TEST(CountedRing, IsTheSameAsASortedMapThroughAnyChanges) {
-  // Guards against items lost where blocks split and merge, and where places are shared by several names.
+  // Guards against items lost where blocks split and merge, and where places are shared by several
+  // names.
   std::uint64_t random = 5;
   Ring ring;
   Model model;
@@ -59,7 +65,9 @@
     ASSERT_EQ(found, model.count({place, name}) > 0);
     const bool counted = uniform(random) < 0.8;
     if (!found && (grows || counted)) {
-      if (!grows) continue;
+      if (!grows) {
+        continue;
+      }
       const auto now_at = ring.insert(at, place, {name, counted});
       ASSERT_EQ(ring.at(now_at).name, name);
       model[{place, name}] = counted;
@@ -70,15 +78,18 @@
       ring.erase(at);
       model.erase({place, name});
     }
-    if (i % 500 != 0) continue;
+    if (i % 500 != 0) {
+      continue;
+    }
     ASSERT_EQ(ring.size(), model.size());
     const std::uint64_t from = mix(random);
     const auto expected = counted_from(model, from);
     ASSERT_EQ(walked_from(ring, from), expected);
     ASSERT_EQ(ring.counted(), expected.size());
     const auto in_order = counted_from(model, 0);
-    for (std::size_t rank = 0; rank < in_order.size(); rank += 1 + in_order.size() / 7)
+    for (std::size_t rank = 0; rank < in_order.size(); rank += 1 + in_order.size() / 7) {
       ASSERT_EQ(ring.select(rank), hash_text(in_order[rank]) >> 52 << 52);
+    }
   }
   ring.erase_if([](const Item& item) { return item.counted; });
   std::erase_if(model, [](const auto& e) { return e.second; });
@@ -87,26 +98,30 @@
   ring.each([&](Ring::Position) { ++visited; });
   EXPECT_EQ(visited, model.size());
   ring.erase_if([](const Item&) { return true; });
-  EXPECT_EQ(ring.size(), 0u);
+  EXPECT_EQ(ring.size(), 0U);
   EXPECT_TRUE(walked_from(ring, 0).empty());
 }
 
 TEST(Interned, KeepsEachTextOnceAndOnlyWhileItIsHeld) {
   Interned zones;
-  const auto a = zones.take("a"), b = zones.take("b");
+  const auto a = zones.take("a");
+  const auto b = zones.take("b");
   EXPECT_EQ(zones.take("a"), a);
   EXPECT_NE(a, b);
   zones.drop(a);
   zones.drop(b);
   EXPECT_EQ(zones[a], "a");
-  EXPECT_EQ(zones.size(), 1u);
-  for (int i = 0; i < 100; ++i) zones.drop(zones.take("passing"));
+  EXPECT_EQ(zones.size(), 1U);
+  for (int i = 0; i < 100; ++i) {
+    zones.drop(zones.take("passing"));
+  }
   EXPECT_EQ(zones.take("c"), b);  // numbers are used again
 }
 
 TEST(CompactText, HoldsAnyBytes) {
-  for (const std::string& text : {std::string(), std::string("a\0b", 3), std::string(300, 'x')})
+  for (const std::string& text : {std::string(), std::string("a\0b", 3), std::string(300, 'x')}) {
     EXPECT_EQ(std::string_view(CompactText(text)), text);
+  }
 }
 
 constexpr Micros kMs = 1'000;
@@ -153,7 +168,9 @@
 
 std::vector<ServerEntry> entries(int from, int to, ServerState state = ServerState::kUp) {
   std::vector<ServerEntry> out;
-  for (int i = from; i < to; ++i) out.push_back(entry(i, state));
+  for (int i = from; i < to; ++i) {
+    out.push_back(entry(i, state));
+  }
   return out;
 }
 
@@ -173,7 +190,9 @@
  public:
   Site(int gateways, int servers) : gateway_(settings_of(gateways), 7) {
     step({ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, servers)}});
-    for (int i = 0; i < 300; ++i) request();
+    for (int i = 0; i < 300; ++i) {
+      request();
+    }
   }
   const std::vector<Action>& step(const std::vector<Event>& events) {
     actions_.clear();
@@ -189,14 +208,19 @@
         ++sent_;
       }
       const auto* timer = std::get_if<SetTimer>(&a);
-      if (timer && timer->token == 0) look_at_ = timer->at;
+      if (timer && timer->token == 0) {
+        look_at_ = timer->at;
+      }
     }
     return actions_;
   }
   void request() {
-    for (now_ += 4 * kMs; !ends_.empty() && ends_.front().first <= now_; ends_.pop_front())
+    for (now_ += 4 * kMs; !ends_.empty() && ends_.front().first <= now_; ends_.pop_front()) {
       step({Event{AttemptEnded{ends_.front().second}}});
-    if (look_at_ <= now_) step({TimerFired{0}});
+    }
+    if (look_at_ <= now_) {
+      step({TimerFired{0}});
+    }
     step({arrival("read")});
   }
   RequestArrived arrival(const std::string& request_class) {
@@ -211,7 +235,9 @@
   // us of processor each, the requests included that no change is part of.
   double requests(int n) {
     const double before = cpu_us();
-    for (int i = 0; i < n; ++i) request();
+    for (int i = 0; i < n; ++i) {
+      request();
+    }
     return (cpu_us() - before) / n;
   }
   double change(const std::vector<ServerEntry>& entries) {
@@ -238,24 +264,30 @@
   double times;  // the cost at the first size; the median of the rounds
 };
 
-// Sites of several sizes take turns, and each round is compared in itself: all meet the same machine.
+// Sites of several sizes take turns, and each round is compared in itself: all meet the same
+// machine.
 template <typename Cost>
-std::vector<Costs> compare(const std::vector<int>& sizes, int gateways, const char* what, Cost cost) {
+std::vector<Costs> compare(const std::vector<int>& sizes, int gateways, const char* what,
+                           Cost cost) {
   constexpr int kRounds = 61;
   std::vector<std::unique_ptr<Site>> sites;
-  for (const int n : sizes) sites.push_back(std::make_unique<Site>(gateways, n));
-  std::vector<std::vector<double>> costs(sizes.size()), times(sizes.size());
-  for (int round = 0; round < kRounds; ++round)
+  for (const int n : sizes) {
+    sites.push_back(std::make_unique<Site>(gateways, n));
+  }
+  std::vector<std::vector<double>> costs(sizes.size());
+  std::vector<std::vector<double>> times(sizes.size());
+  for (int round = 0; round < kRounds; ++round) {
     for (std::size_t i = 0; i < sizes.size(); ++i) {
       costs[i].push_back(cost(*sites[i], sizes[i], round));
       times[i].push_back(costs[i].back() / costs[0].back());
     }
+  }
   std::vector<Costs> out;
   for (std::size_t i = 0; i < sizes.size(); ++i) {
     std::nth_element(times[i].begin(), times[i].begin() + kRounds / 2, times[i].end());
     out.push_back({*std::min_element(costs[i].begin(), costs[i].end()), times[i][kRounds / 2]});
-    std::printf("%d gateways, %d servers: %.2f us a %s at the least, %.2f times\n", gateways, sizes[i],
-                out[i].least, what, out[i].times);
+    std::printf("%d gateways, %d servers: %.2f us a %s at the least, %.2f times\n", gateways,
+                sizes[i], out[i].least, what, out[i].times);
     EXPECT_GE(sites[i]->sent(), sites[i]->asked() * 9 / 10);
   }
   return out;
@@ -266,44 +298,64 @@
   for (const int gateways : {300, 7'400}) {
     const auto costs = compare({200, 2'000, 20'000, 170'000}, gateways, "request",
                                [](Site& site, int, int) { return site.requests(200); });
-    for (const Costs& c : costs) EXPECT_LE(c.times, 2);
+    for (const Costs& c : costs) {
+      EXPECT_LE(c.times, 2);
+    }
   }
 }
 
 TEST(ServersCost, AChangeCostsAboutTheSameHoweverManyAreListed) {
   // A ring sorted anew for each change: 4,000 times at 170,000.
-  const auto costs = compare({200, 20'000, 170'000}, 7'400, "change", [](Site& site, int size, int round) {
-    double sum = 0;
-    for (int i = 0; i < 50; ++i) {
-      ServerEntry e = entry(int(mix(std::uint64_t(round * 50 + i)) % std::uint64_t(size)));
-      if (i % 5 == 0) e.state = ServerState::kDraining;
-      if (i % 5 == 1) e.state = ServerState::kRemoved;
-      if (i % 5 == 2) e.started_at = site.now();
-      if (i % 5 == 3) e = entry(size + round * 50 + i);
-      sum += site.change({e});
-      site.request();
-    }
-    return sum / 50;
-  });
-  for (const Costs& c : costs)
+  const auto costs =
+      compare({200, 20'000, 170'000}, 7'400, "change", [](Site& site, int size, int round) {
+        double sum = 0;
+        for (int i = 0; i < 50; ++i) {
+          ServerEntry e = entry(int(mix(std::uint64_t(round * 50 + i)) % std::uint64_t(size)));
+          if (i % 5 == 0) {
+            e.state = ServerState::kDraining;
+          }
+          if (i % 5 == 1) {
+            e.state = ServerState::kRemoved;
+          }
+          if (i % 5 == 2) {
+            e.started_at = site.now();
+          }
+          if (i % 5 == 3) {
+            e = entry(size + round * 50 + i);
+          }
+          sum += site.change({e});
+          site.request();
+        }
+        return sum / 50;
+      });
+  for (const Costs& c : costs) {
     EXPECT_LE(c.times, 6);  // memory that lies far apart; it was thousands of times
+  }
 }
 
 TEST(ServersCost, AZoneInSlicesCostsWhatItsSlicesHold) {
-  // Each slice of a lost zone, and the request after it, must cost by the slice and not by the list.
+  // Each slice of a lost zone, and the request after it, must cost by the slice and not by the
+  // list.
   for (const int gateways : {300, 7'400}) {
-    Site large(gateways, 170'000), small(gateways, 24'000);
-    double sum[2] = {0, 0}, most = 0, sum_of_requests = 0;
+    Site large(gateways, 170'000);
+    Site small(gateways, 24'000);
+    double sum[2] = {0, 0};
+    double most = 0;
+    double sum_of_requests = 0;
     for (int from = 0; from < 24'000; from += 300) {
       const auto slice = entries(from, from + 300, ServerState::kRemoved);
       const double cost = large.change(slice);
       sum[0] += cost;
       most = std::max(most, cost);
       sum_of_requests += large.requests(1);
-      if (from < 20'000) sum[1] += small.change(slice);
+      if (from < 20'000) {
+        sum[1] += small.change(slice);
+      }
     }
-    std::printf("%d gateways: 24,000 removed in %.1f ms, the worst slice %.2f ms, requests between %.2f ms\n",
-                gateways, sum[0] / 1e3, most / 1e3, sum_of_requests / 1e3);
+    std::printf(
+        "%d gateways: 24,000 removed in %.1f ms, the worst slice %.2f ms, requests between %.2f "
+        "ms\n",
+        gateways, sum[0] / 1e3, most / 1e3, sum_of_requests / 1e3);
     EXPECT_LE(sum[0], 6 * sum[1]);
   }
 }
@@ -346,7 +398,9 @@
   }
   std::vector<std::uint64_t> part(std::size_t gateway) const {
     std::vector<std::uint64_t> out;
-    for (std::size_t i = 0; i < size; ++i) out.push_back(place(gateway, i));
+    for (std::size_t i = 0; i < size; ++i) {
+      out.push_back(place(gateway, i));
+    }
     std::sort(out.begin(), out.end());
     return out;
   }
@@ -357,9 +411,11 @@
   std::size_t out = 0;
   for (std::size_t i = 0; i < before.firsts.size(); ++i) {
     if (before.size == after.size && before.place(i, 0) == after.place(i, 0) &&
-        before.place(i, before.size - 1) == after.place(i, after.size - 1))
+        before.place(i, before.size - 1) == after.place(i, after.size - 1)) {
       continue;
-    const auto had = before.part(i), has = after.part(i);
+    }
+    const auto had = before.part(i);
+    const auto has = after.part(i);
     std::vector<std::uint64_t> fresh;
     std::set_difference(has.begin(), has.end(), had.begin(), had.end(), std::back_inserter(fresh));
     out += fresh.size();
@@ -378,9 +434,15 @@
   void change(const ServerListUpdate& update) {
     std::vector<std::uint64_t> came;
     list_.update(update, [&](const policy::List::Change& c) {
-      for (RankMark& start : starts_) start.moved(c.place, c.came);
-      if (c.came > 0) came.push_back(c.place);
-      if (c.came < 0) places_.erase(std::lower_bound(places_.begin(), places_.end(), c.place));
+      for (RankMark& start : starts_) {
+        start.moved(c.place, c.came);
+      }
+      if (c.came > 0) {
+        came.push_back(c.place);
+      }
+      if (c.came < 0) {
+        places_.erase(std::lower_bound(places_.begin(), places_.end(), c.place));
+      }
     });
     std::sort(came.begin(), came.end());
     const auto old = std::ptrdiff_t(places_.size());
@@ -393,7 +455,8 @@
     settle();
   }
   Stretches stretches() const {
-    Stretches out{places_, {}, std::min(places_.size(), std::size_t(policy::part_size(list_, settings_)))};
+    Stretches out{
+        places_, {}, std::min(places_.size(), std::size_t(policy::part_size(list_, settings_)))};
     for (const RankMark& start : starts_) {
       const auto at = std::lower_bound(places_.begin(), places_.end(), start.place());
       out.firsts.push_back(std::size_t(at - places_.begin()) % places_.size());
@@ -419,31 +482,38 @@
   struct Shape {
     int gateways, servers;
     double least, most;  // gateways of a server, over the mean
-    double by_server;    // new pairs for one server more or less, over the mean gateways of a server
-    double by_gateway;   // for one gateway more, of all pairs
+    double by_server;   // new pairs for one server more or less, over the mean gateways of a server
+    double by_gateway;  // for one gateway more, of all pairs
   };
-  for (const Shape& shape : {Shape{300, 200, 0.8, 1.2, 16, 0.01}, Shape{7'400, 20'000, 0.6, 1.4, 60, 0.01},
-                             Shape{7'400, 170'000, 0.6, 1.4, 25, 0.01}}) {
+  for (const Shape& shape :
+       {Shape{300, 200, 0.8, 1.2, 16, 0.01}, Shape{7'400, 20'000, 0.6, 1.4, 60, 0.01},
+        Shape{7'400, 170'000, 0.6, 1.4, 25, 0.01}}) {
     Parts parts(shape.gateways, shape.servers);
     const auto told = [&](const char* when) {
       const Stretches now = parts.stretches();
       std::vector<int> sorted(now.places.size());
-      for (const std::size_t first : now.firsts)
-        for (std::size_t i = 0; i < now.size; ++i) ++sorted[(first + i) % sorted.size()];
+      for (const std::size_t first : now.firsts) {
+        for (std::size_t i = 0; i < now.size; ++i) {
+          ++sorted[(first + i) % sorted.size()];
+        }
+      }
       std::sort(sorted.begin(), sorted.end());
       const double pairs = std::accumulate(sorted.begin(), sorted.end(), 0.0);
       const double mean = pairs / double(sorted.size());
-      std::printf("%d gateways, %d servers, %s: least %d, median %d, most %d gateways a server, mean %.2f\n",
-                  shape.gateways, shape.servers, when, sorted.front(), sorted[sorted.size() / 2],
-                  sorted.back(), mean);
+      std::printf(
+          "%d gateways, %d servers, %s: least %d, median %d, most %d gateways a server, mean "
+          "%.2f\n",
+          shape.gateways, shape.servers, when, sorted.front(), sorted[sorted.size() / 2],
+          sorted.back(), mean);
       EXPECT_GE(sorted.front(), std::floor(shape.least * mean)) << when;
       EXPECT_LE(sorted.back(), std::ceil(shape.most * mean)) << when;
       return mean;
     };
     const double mean = told("at first");
     // A tenth, or 600, are replaced, one by one: starts then lie anywhere within their slack.
-    for (int i = 0; i < std::min(shape.servers / 10, 600); ++i)
+    for (int i = 0; i < std::min(shape.servers / 10, 600); ++i) {
       parts.change(changes({entry(i + 1'000'000), entry(i * 9 + 1, ServerState::kRemoved)}));
+    }
     told("after a tenth, or 600, were replaced");
     double by_server = 0;
     const auto change = [&](const ServerEntry& e) {
@@ -459,8 +529,8 @@
     parts.add_gateway();
     const auto by_gateway = moved(before, parts.stretches());
     told("with a gateway more");
-    std::printf("  new pairs: %.1f for one server more or less, %zu for one gateway more\n", by_server,
-                by_gateway);
+    std::printf("  new pairs: %.1f for one server more or less, %zu for one gateway more\n",
+                by_server, by_gateway);
     EXPECT_LE(by_server, shape.by_server * mean);
     EXPECT_LE(double(by_gateway), shape.by_gateway * mean * shape.servers);
   }
@@ -468,26 +538,38 @@
 
 TEST(Parts, AreThoseThatTheModuleUses) {
   // Guards against a part that is kept although the list has changed under it.
-  for (const auto& [gateways, servers] : {std::pair{300, 200}, std::pair{60, 2'000}, std::pair{5, 40}}) {
+  for (const auto& [gateways, servers] :
+       {std::pair{300, 200}, std::pair{60, 2'000}, std::pair{5, 40}}) {
     Parts parts(gateways, servers);
     std::vector<Settings> settings;
-    for (int position = 0; position < gateways; position += 1 + gateways / 6)
+    for (int position = 0; position < gateways; position += 1 + gateways / 6) {
       settings.push_back(settings_of(gateways, position));
+    }
     std::vector<std::unique_ptr<policy::Servers>> modules;
-    for (const Settings& s : settings) modules.push_back(std::make_unique<policy::Servers>(s, 1));
+    for (const Settings& s : settings) {
+      modules.push_back(std::make_unique<policy::Servers>(s, 1));
+    }
     const ServerListUpdate whole{ServerListUpdate::Kind::kComplete, entries(0, servers)};
-    for (auto& m : modules) m->update(0, whole);
+    for (auto& m : modules) {
+      m->update(0, whole);
+    }
     for (int i = 0; i < 400; ++i) {
       ServerEntry e = entry(int(mix(std::uint64_t(i)) % std::uint64_t(servers)));
-      if (i % 3 == 0) e.state = i % 2 == 0 ? ServerState::kDraining : ServerState::kRemoved;
-      if (i % 7 == 0) e = entry(servers + i);
+      if (i % 3 == 0) {
+        e.state = i % 2 == 0 ? ServerState::kDraining : ServerState::kRemoved;
+      }
+      if (i % 7 == 0) {
+        e = entry(servers + i);
+      }
       const auto update = changes({e});
       parts.change(update);
       const Stretches now = parts.stretches();
       for (std::size_t k = 0; k < modules.size(); ++k) {
         modules[k]->update(i * kMs, update);
         std::vector<std::uint64_t> used;
-        for (const policy::Server* s : modules[k]->part(i * kMs)) used.push_back(s->place);
+        for (const policy::Server* s : modules[k]->part(i * kMs)) {
+          used.push_back(s->place);
+        }
         std::sort(used.begin(), used.end());
         ASSERT_EQ(used, now.part(std::size_t(settings[k].position))) << i;
       }
@@ -505,11 +587,14 @@
     std::vector<Action> actions;
     std::uint64_t random = 11;
     const auto known = [&](std::vector<ServerEntry> list) {
-      for (const ServerEntry& e : list) state[e.server] = e.state;
+      for (const ServerEntry& e : list) {
+        state[e.server] = e.state;
+      }
       return list;
     };
-    gateway.handle(0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, known(entries(0, kServers))}},
-                   actions);
+    gateway.handle(
+        0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, known(entries(0, kServers))}},
+        actions);
     int sent = 0;
     for (int i = 1; i <= 3'000; ++i) {
       const Micros now = i * 20 * kMs;
@@ -520,29 +605,36 @@
         list.push_back(entry(int(uniform(random) * kServers), kind < 0.1   ? ServerState::kDraining
                                                               : kind < 0.2 ? ServerState::kRemoved
                                                                            : ServerState::kUp));
-        if (kind > 0.8) list.back().started_at = now;
+        if (kind > 0.8) {
+          list.back().started_at = now;
+        }
       }
       if (i % 500 == 0) {
-        for (auto& [name, s] : state) s = ServerState::kRemoved;
-        events.push_back(ServerListUpdate{ServerListUpdate::Kind::kComplete, known(entries(i / 50, 550))});
+        for (auto& [name, s] : state) {
+          s = ServerState::kRemoved;
+        }
+        events.emplace_back(
+            ServerListUpdate{ServerListUpdate::Kind::kComplete, known(entries(i / 50, 550))});
       } else {
-        events.push_back(changes(known(list)));
+        events.emplace_back(changes(known(list)));
       }
       if (i % 700 == 0) {
         settings.position += 5;
-        events.push_back(SettingsChanged{settings});
+        events.emplace_back(SettingsChanged{settings});
       }
       RequestArrived r;
       r.id = std::to_string(i);
       r.plan = "plan";
       r.request_class = "read";
       r.deadline = now + 2 * kS;
-      events.push_back(r);
-      if (i % 50 == 0) events.push_back(TimerFired{0});
+      events.emplace_back(r);
+      if (i % 50 == 0) {
+        events.emplace_back(TimerFired{0});
+      }
       for (int attempt = 0; !events.empty(); ++attempt) {
         actions.clear();
         gateway.handle(now, std::exchange(events, {}), actions);
-        for (const Action& a : actions)
+        for (const Action& a : actions) {
           if (const auto* to = std::get_if<SendAttempt>(&a)) {
             ASSERT_EQ(state[to->server], ServerState::kUp) << to->server;
             ++sent;
@@ -553,15 +645,22 @@
             end.outcome = uniform(random) < 0.3 ? Outcome::kConnectFailed : Outcome::kOk;
             end.duration = 5 * kMs;
             end.finished = end.outcome == Outcome::kOk;
-            if (end.id == r.id) events.push_back(end);
+            if (end.id == r.id) {
+              events.emplace_back(end);
+            }
           }
+        }
       }
     }
     EXPECT_GE(sent, 3'000);
     int avoided = 0;
-    for (const auto& [name, s] : state) avoided += s == ServerState::kDraining;
+    for (const auto& [name, s] : state) {
+      avoided += s == ServerState::kDraining;
+    }
     EXPECT_GE(gateway.avoided(), avoided);
-    for (auto& [name, s] : state) s = ServerState::kRemoved;
+    for (auto& [name, s] : state) {
+      s = ServerState::kRemoved;
+    }
     gateway.handle(3'100 * 20 * kMs, {ServerListUpdate{}}, actions);
     EXPECT_EQ(gateway.avoided(), 0);
   }
@@ -590,16 +689,19 @@
     r.deadline = 2 * kS;
     gateway.handle(kMs, {changes(gone), r}, actions);
     int sent = 0;
-    for (const Action& a : actions)
+    for (const Action& a : actions) {
       if (const auto* to = std::get_if<SendAttempt>(&a)) {
         ++sent;
-        EXPECT_EQ(names.count(to->server), 0u);
+        EXPECT_EQ(names.count(to->server), 0U);
       }
+    }
     EXPECT_EQ(sent, 1) << servers;
     // And one that fails instead is made up for at once.
     const std::size_t size = module.part(kMs).size();
     const std::string failing = module.part(kMs).front()->entry.server;
-    while (!module.cut(kMs, failing)) continue;
+    while (!module.cut(kMs, failing)) {
+      continue;
+    }
     EXPECT_EQ(module.part(kMs).size(), size + 1) << servers;
   }
 }
@@ -622,7 +724,9 @@
   module.settings_changed();
   for (int second = 2; second < 200; ++second) {
     module.look(second * kS);
-    for (const policy::Server* other : module.part(second * kS)) ASSERT_NE(other->entry.server, cold.server);
+    for (const policy::Server* other : module.part(second * kS)) {
+      ASSERT_NE(other->entry.server, cold.server);
+    }
   }
   settings.position -= 300;
   module.settings_changed();
@@ -639,13 +743,14 @@
     ++settings.position;
     module.settings_changed();
     module.look(second * kS);
-    EXPECT_LE(module.used(), 70u * 100);
+    EXPECT_LE(module.used(), 70U * 100);
     ASSERT_LE(module.used(), module.part(second * kS).size() * 70);
   }
 }
 
 TEST(ServersRules, AnAnswerThatIsStreamedOutlivesItsServerInTheList) {
-  // A minute after its server has left the list. Guards against attempts that point to what is gone.
+  // A minute after its server has left the list. Guards against attempts that point to what is
+  // gone.
   Gateway gateway(settings_of(1), 1);
   std::vector<Action> actions;
   gateway.handle(0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, 3)}}, actions);
@@ -656,15 +761,20 @@
   r.deadline = 2 * kS;
   gateway.handle(kMs, {r}, actions);
   std::string server;
-  for (const Action& a : actions)
-    if (const auto* to = std::get_if<SendAttempt>(&a)) server = to->server;
+  for (const Action& a : actions) {
+    if (const auto* to = std::get_if<SendAttempt>(&a)) {
+      server = to->server;
+    }
+  }
   ASSERT_FALSE(server.empty());
   gateway.handle(2 * kMs, {StreamStarted{"r", 0, server}}, actions);
   ServerEntry gone;
   gone.server = server;
   gone.state = ServerState::kRemoved;
   gateway.handle(3 * kMs, {changes({gone})}, actions);
-  for (int second = 1; second < 300; ++second) gateway.handle(second * kS, {TimerFired{0}}, actions);
+  for (int second = 1; second < 300; ++second) {
+    gateway.handle(second * kS, {TimerFired{0}}, actions);
+  }
   AttemptEnded end;
   end.id = "r";
   end.server = server;
@@ -673,12 +783,14 @@
   end.finished = true;
   actions.clear();
   gateway.handle(300 * kS, {end}, actions);
-  for (const Action& a : actions) EXPECT_FALSE(std::holds_alternative<SendAttempt>(a));
+  for (const Action& a : actions) {
+    EXPECT_FALSE(std::holds_alternative<SendAttempt>(a));
+  }
 }
 
 TEST(ServersRules, AnAnswerThatIsCutLateEjectsNoServerThatIsThenForgotten) {
-  // A minute after the last use of a server. Guards against an ejection that ends when what was kept of its
-  // server is gone; the sanitized build sees it.
+  // A minute after the last use of a server. Guards against an ejection that ends when what was
+  // kept of its server is gone; the sanitized build sees it.
   Gateway gateway(settings_of(1), 1);
   std::vector<Action> actions;
   gateway.handle(0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, 3)}}, actions);
@@ -688,15 +800,20 @@
   gone.state = ServerState::kRemoved;
   gateway.handle(2 * kMs, {TimerFired{0}}, actions);  // a look, so that all three are used
   gateway.handle(3 * kMs, {changes({gone})}, actions);
-  for (int second = 1; second < 64; ++second) gateway.handle(second * kS, {TimerFired{0}}, actions);
+  for (int second = 1; second < 64; ++second) {
+    gateway.handle(second * kS, {TimerFired{0}}, actions);
+  }
   actions.clear();
-  gateway.handle(63 * kS + 500 * kMs, {AnswerCut{server}, AnswerCut{server}, AnswerCut{server}}, actions);
+  gateway.handle(63 * kS + 500 * kMs, {AnswerCut{server}, AnswerCut{server}, AnswerCut{server}},
+                 actions);
   const auto told = [&](const Action& a) {
     const auto* line = std::get_if<LogLine>(&a);
     return line && line->text.find("ejected") != std::string::npos;
   };
   ASSERT_TRUE(std::any_of(actions.begin(), actions.end(), told));
-  for (int second = 64; second < 70; ++second) gateway.handle(second * kS, {TimerFired{0}}, actions);
+  for (int second = 64; second < 70; ++second) {
+    gateway.handle(second * kS, {TimerFired{0}}, actions);
+  }
   EXPECT_EQ(gateway.avoided(), 0);
 }
 
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The module alone, through its interface, with hand-written events. Each test is named after its danger.
+// The module alone, through its interface, with hand-written events. Each test is named after its
+// danger.
 #include "quota_gateway/gateway.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +16,9 @@
 constexpr Micros kMs = 1'000;
 constexpr Micros kS = 1'000'000;
 
-std::string label(std::string prefix, Micros n) { return prefix.append(std::to_string(n)); }
+std::string label(std::string prefix, Micros n) {
+  return prefix.append(std::to_string(n));
+}
 
 Settings basic_settings() {
   Settings s;
@@ -47,16 +50,19 @@
 template <typename T>
 std::vector<T> all(const std::vector<Action>& actions) {
   std::vector<T> out;
-  for (const Action& a : actions)
-    if (const T* t = std::get_if<T>(&a)) out.push_back(*t);
+  for (const Action& a : actions) {
+    if (const T* t = std::get_if<T>(&a)) {
+      out.push_back(*t);
+    }
+  }
   return out;
 }
 
 // Drives one gateway, and keeps its timers.
 class Driver {
  public:
-  explicit Driver(Settings s = basic_settings(), std::vector<ServerEntry> servers = up({"a", "b", "c"}),
-                  std::uint64_t seed = 7)
+  explicit Driver(Settings s = basic_settings(),
+                  std::vector<ServerEntry> servers = up({"a", "b", "c"}), std::uint64_t seed = 7)
       : gateway_(std::move(s), seed) {
     ServerListUpdate list;
     list.entries = std::move(servers);
@@ -74,7 +80,9 @@
   std::vector<Action> step(Micros now, const std::vector<Event>& events) {
     std::vector<Action> out;
     gateway_.handle(now, events, out);
-    for (const SetTimer& t : all<SetTimer>(out)) timers_.emplace(t.at, t.token);
+    for (const SetTimer& t : all<SetTimer>(out)) {
+      timers_.emplace(t.at, t.token);
+    }
     log_.insert(log_.end(), out.begin(), out.end());
     return out;
   }
@@ -92,7 +100,8 @@
   std::vector<Action> arrive(Micros now, const std::string& id, double units = 1) {
     return step(now, {request(id, now, units)});
   }
-  std::vector<Action> end(Micros now, const SendAttempt& a, Outcome o, int attempt = 0, Micros took = kMs) {
+  std::vector<Action> end(Micros now, const SendAttempt& a, Outcome o, int attempt = 0,
+                          Micros took = kMs) {
     AttemptEnded e;
     e.id = a.id;
     e.server = a.server;
@@ -136,7 +145,8 @@
 TEST(QuotaSlices, BeyondTheSliceIsRefusedEarlyWithAShortRetryAfter) {
   // Burst 20 over two gateways, nothing known: the even part and one more.
   Driver d;
-  int sent = 0, refused = 0;
+  int sent = 0;
+  int refused = 0;
   for (int i = 0; i < 25; ++i) {
     auto out = d.arrive(kMs, label("r", i));
     for (const SendAttempt& a : all<SendAttempt>(out)) {
@@ -163,11 +173,11 @@
   Driver d(counted_settings());
   auto out = d.arrive(100 * kMs, "r");
   auto calls = all<AddToCounter>(out);
-  ASSERT_EQ(calls.size(), 1u);
+  ASSERT_EQ(calls.size(), 1U);
   EXPECT_EQ(calls[0].amount, 1);
   EXPECT_LE(calls[0].forget_after, 60 * kS);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
-  EXPECT_EQ(all<SendAttempt>(d.run(160 * kMs)).size(), 1u);  // nobody answered
+  EXPECT_EQ(all<SendAttempt>(d.run(160 * kMs)).size(), 1U);  // nobody answered
 }
 
 TEST(QuotaSlices, ARequestMetAfterAStallNearItsDeadlineIsAnsweredAtOnce) {
@@ -175,20 +185,23 @@
   RequestArrived r = Driver::request("r", kS);
   r.deadline = kS;  // its gateway stood still meanwhile
   auto out = d.step(kS, {r});
-  EXPECT_EQ(all<Refuse>(out).size(), 1u);
+  EXPECT_EQ(all<Refuse>(out).size(), 1U);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
 }
 
 TEST(QuotaSlices, GatewaysAgreeOnTheNames) {
-  Driver one(counted_settings(), Driver::up({"a"}), 1), two(counted_settings(), Driver::up({"a"}), 2);
-  auto a = all<AddToCounter>(one.arrive(kS, "r")), b = all<AddToCounter>(two.arrive(1050 * kMs, "r"));
-  ASSERT_EQ(a.size(), 1u);
-  ASSERT_EQ(b.size(), 1u);
+  Driver one(counted_settings(), Driver::up({"a"}), 1);
+  Driver two(counted_settings(), Driver::up({"a"}), 2);
+  auto a = all<AddToCounter>(one.arrive(kS, "r"));
+  auto b = all<AddToCounter>(two.arrive(1050 * kMs, "r"));
+  ASSERT_EQ(a.size(), 1U);
+  ASSERT_EQ(b.size(), 1U);
   EXPECT_EQ(a[0].name, b[0].name);
 }
 
-// Asks twelve units a second of a quota of ten, one in `gateways`, while the others ask `others` a second;
-// what is let in of the last `judged` seconds. The counter fails with `fail` from second `from` on.
+// Asks twelve units a second of a quota of ten, one in `gateways`, while the others ask `others` a
+// second; what is let in of the last `judged` seconds. The counter fails with `fail` from second
+// `from` on.
 struct Played {
   double share = 0;
   std::size_t calls = 0;
@@ -201,7 +214,8 @@
   std::map<std::int64_t, double> totals;
   std::map<std::int64_t, Micros> begun;
   std::size_t calls = 0;
-  int sent = 0, asked = 0;
+  int sent = 0;
+  int asked = 0;
   const int steps = int(20 * own);
   for (int i = 0; i < steps; ++i) {
     const Micros now = 1000 * kS + Micros(double(i) / own * double(kS));
@@ -222,16 +236,22 @@
         const bool failing = now >= (1000 + from) * kS && fail != CountOutcome::kOk;
         a.outcome = failing ? fail : CountOutcome::kOk;
         a.total = own_total + others * double(now - begun[call->name]) / double(kS);
-        if (forget && i > steps / 2) a.total = 0.5 * call->amount;
+        if (forget && i > steps / 2) {
+          a.total = 0.5 * call->amount;
+        }
         auto more = d.step(now, {a});
         out.insert(out.end(), more.begin(), more.end());
       }
       if (const auto* a = std::get_if<SendAttempt>(&out[k])) {
-        if (i >= steps / 2) ++sent;
+        if (i >= steps / 2) {
+          ++sent;
+        }
         d.end(now, SendAttempt(*a), Outcome::kOk);
       }
     }
-    if (i >= steps / 2) ++asked;
+    if (i >= steps / 2) {
+      ++asked;
+    }
   }
   return {double(sent) / asked, calls};
 }
@@ -242,14 +262,17 @@
 }
 
 TEST(QuotaSlices, ASliceOfAHundredthPassesItsPartAndNotNothing) {
-  // One request in five seconds, of a customer that asks four times its quota through a hundred gateways.
+  // One request in five seconds, of a customer that asks four times its quota through a hundred
+  // gateways.
   EXPECT_NEAR(play(40, 100, CountOutcome::kOk, 0, false, 5).share, 10.0 / 45, 0.08);
-  EXPECT_GT(play(2, 100, CountOutcome::kOk, 0, false, 2).share, 0.95);  // and all of it while there is room
+  EXPECT_GT(play(2, 100, CountOutcome::kOk, 0, false, 2).share,
+            0.95);  // and all of it while there is room
 }
 
 TEST(QuotaSlices, ASilentOrRefusingCounterLeavesTheLastTotals) {
-  for (CountOutcome o : {CountOutcome::kUnknown, CountOutcome::kNotAdded})
+  for (CountOutcome o : {CountOutcome::kUnknown, CountOutcome::kNotAdded}) {
     EXPECT_NEAR(play(36, 2, o, 8).share, 10.0 / 48, 0.08);
+  }
 }
 
 TEST(QuotaSlices, WithNoTotalEverAnEvenPart) {
@@ -266,7 +289,8 @@
   EXPECT_LT(play(36, 2, CountOutcome::kUnknown).calls, play(36).calls * 2);
   Settings s = counted_settings();
   Driver d(s);
-  std::size_t early = 0, late = 0;
+  std::size_t early = 0;
+  std::size_t late = 0;
   for (int i = 0; i < 4000; ++i) {
     RequestArrived r = Driver::request(label("x", i), i * 5 * kMs);
     r.customer = label("c", i);
@@ -278,13 +302,14 @@
       d.step(i * 5 * kMs, {a});
     }
   }
-  EXPECT_GT(late, 5u);  // it is asked on, to notice its return
-  EXPECT_LT(late, 25u);
+  EXPECT_GT(late, 5U);  // it is asked on, to notice its return
+  EXPECT_LT(late, 25U);
   EXPECT_GT(early, late);
 }
 
 TEST(QuotaSlices, CallsLostWithTheirConnectionDoNotSlowTheOthers) {
-  // A reset under one call in five says nothing of the line at the counter; a fifth unanswered would.
+  // A reset under one call in five says nothing of the line at the counter; a fifth unanswered
+  // would.
   const auto calls = [](Micros lost_after) {
     Driver d(counted_settings());
     std::size_t made = 0;
@@ -293,14 +318,16 @@
       r.customer = label("c", i);
       for (const AddToCounter& c : all<AddToCounter>(d.step(i * 5 * kMs, {r}))) {
         CounterAnswered a{c.name, c.amount, CountOutcome::kOk, kMs};
-        if (++made % 5 == 0) a = {c.name, 0, CountOutcome::kUnknown, lost_after};
+        if (++made % 5 == 0) {
+          a = {c.name, 0, CountOutcome::kUnknown, lost_after};
+        }
         d.step(i * 5 * kMs + kMs, {a});
       }
     }
     return made;
   };
-  EXPECT_GT(calls(kMs), 2000u);
-  EXPECT_LT(calls(counted_settings().counter_timeout), 400u);
+  EXPECT_GT(calls(kMs), 2000U);
+  EXPECT_LT(calls(counted_settings().counter_timeout), 400U);
 }
 
 TEST(QuotaSlices, AtAStartTheFirstCustomersAllGetATotal) {
@@ -315,12 +342,13 @@
     }
     return all<AddToCounter>(d.log()).size();
   };
-  EXPECT_EQ(asked_first(4), 20u);
-  EXPECT_LE(asked_first(100), 4u);  // a hundred gateways would crowd it
+  EXPECT_EQ(asked_first(4), 20U);
+  EXPECT_LE(asked_first(100), 4U);  // a hundred gateways would crowd it
 }
 
 TEST(QuotaSlices, CallsLateAtAStartDoNotHoldThePaceForLong) {
-  // Guards against a herd that crowds the counter in its first second, and asks once a second ever after.
+  // Guards against a herd that crowds the counter in its first second, and asks once a second ever
+  // after.
   Settings s = counted_settings();
   s.gateways = 100;
   Driver d(s);
@@ -331,32 +359,40 @@
     RequestArrived r = Driver::request(label("x", i), now);
     r.customer = label("c", i);
     for (const AddToCounter& c : all<AddToCounter>(d.step(now, {r}))) {
-      if (now > 3 * kS) ++calls;
+      if (now > 3 * kS) {
+        ++calls;
+      }
       const Micros took = crowded ? s.counter_timeout : kMs;
-      d.step(now + took, {CounterAnswered{c.name, crowded ? 0 : c.amount,
-                                          crowded ? CountOutcome::kUnknown : CountOutcome::kOk, took}});
+      d.step(now + took,
+             {CounterAnswered{c.name, crowded ? 0 : c.amount,
+                              crowded ? CountOutcome::kUnknown : CountOutcome::kOk, took}});
     }
   }
-  EXPECT_GE(calls, 15u);  // in 5 s
+  EXPECT_GE(calls, 15U);  // in 5 s
 }
 
 TEST(QuotaSlices, TheCallsOfAllGatewaysStayWithinWhatTheCounterTakes) {
-  // A counter that serves 400 calls a second in turn, and gateways that meet 2,000 customers a second.
+  // A counter that serves 400 calls a second in turn, and gateways that meet 2,000 customers a
+  // second.
   const Micros serves = 2'500;
   for (const int gateways : {4, 20, 100}) {
     Settings s = counted_settings();
     s.gateways = gateways;
     s.counter_timeout = 30 * kMs;
     std::vector<Driver> fleet;
-    for (int i = 0; i < gateways; ++i)
+    for (int i = 0; i < gateways; ++i) {
       fleet.emplace_back(s, Driver::up({"a", "b", "c"}), std::uint64_t(i + 1));
+    }
     std::multimap<Micros, std::pair<int, CounterAnswered>> answers;
     Micros free = 0;
-    int calls = 0, late = 0;
+    int calls = 0;
+    int late = 0;
     for (int i = 0; i < 24'000; ++i) {
       const Micros now = (i + 1) * 500;
-      for (; !answers.empty() && answers.begin()->first <= now; answers.erase(answers.begin()))
-        fleet[std::size_t(answers.begin()->second.first)].step(now, {answers.begin()->second.second});
+      for (; !answers.empty() && answers.begin()->first <= now; answers.erase(answers.begin())) {
+        fleet[std::size_t(answers.begin()->second.first)].step(now,
+                                                               {answers.begin()->second.second});
+      }
       const int at = int((std::uint64_t(i) * 7919) % std::uint64_t(gateways));
       RequestArrived r = Driver::request(label("x", i), now);
       r.customer = label("c", i);
@@ -368,7 +404,9 @@
             now + took,
             std::pair{at, CounterAnswered{c.name, ok ? c.amount : 0,
                                           ok ? CountOutcome::kOk : CountOutcome::kUnknown, took}});
-        if (now > 6 * kS) ++calls, late += !ok;
+        if (now > 6 * kS) {
+          ++calls, late += !ok;
+        }
       }
     }
     EXPECT_GE(calls, 6 * 80) << gateways;  // it is used
@@ -384,13 +422,18 @@
     r.customer = customer;
     return all<AddToCounter>(d.step(now, {r}));
   };
-  for (int i = 0; i < 600; ++i)
-    for (const AddToCounter& c : ask((i + 1) * 100 * kMs, label("quiet", i)))
-      d.step((i + 1) * 100 * kMs + kMs, {CounterAnswered{c.name, c.amount, CountOutcome::kOk, kMs}});
+  for (int i = 0; i < 600; ++i) {
+    for (const AddToCounter& c : ask((i + 1) * 100 * kMs, label("quiet", i))) {
+      d.step((i + 1) * 100 * kMs + kMs,
+             {CounterAnswered{c.name, c.amount, CountOutcome::kOk, kMs}});
+    }
+  }
   std::size_t calls = 0;
-  for (int i = 0; i < 1000; ++i) calls += ask(61 * kS, label("crowd", i)).size();
-  EXPECT_LE(calls, 100u);  // our half of what all gateways may call at first
-  EXPECT_GE(calls, 20u);
+  for (int i = 0; i < 1000; ++i) {
+    calls += ask(61 * kS, label("crowd", i)).size();
+  }
+  EXPECT_LE(calls, 100U);  // our half of what all gateways may call at first
+  EXPECT_GE(calls, 20U);
 }
 
 TEST(QuotaSlices, AfterASilenceCallsDoNotBeginAnew) {
@@ -405,13 +448,14 @@
     for (const AddToCounter& c : all<AddToCounter>(d.step(now, {r}))) {
       ++made[phase];
       const Micros took = phase == 1 ? counted_settings().counter_timeout : kMs;
-      d.step(now + took, {CounterAnswered{c.name, phase == 1 ? 0 : c.amount,
-                                          phase == 1 ? CountOutcome::kUnknown : CountOutcome::kOk, took}});
+      d.step(now + took,
+             {CounterAnswered{c.name, phase == 1 ? 0 : c.amount,
+                              phase == 1 ? CountOutcome::kUnknown : CountOutcome::kOk, took}});
     }
   }
-  EXPECT_GT(made[0], 200u);
-  EXPECT_LT(made[1], 400u);
-  EXPECT_GT(made[2], 100u);  // in the last 3 s
+  EXPECT_GT(made[0], 200U);
+  EXPECT_LT(made[1], 400U);
+  EXPECT_GT(made[2], 100U);  // in the last 3 s
 }
 
 TEST(QuotaSlices, ASpikeElsewhereLeavesTheStoreWithTheTotalThatTellsOfIt) {
@@ -419,41 +463,51 @@
   Driver d(counted_settings());
   const auto total = [&](Micros now, const std::vector<Action>& actions, double others) {
     const auto calls = all<AddToCounter>(actions);
-    if (!calls.empty())
-      d.step(now, {CounterAnswered{calls[0].name, calls[0].amount + others, CountOutcome::kOk, kMs}});
+    if (!calls.empty()) {
+      d.step(now,
+             {CounterAnswered{calls[0].name, calls[0].amount + others, CountOutcome::kOk, kMs}});
+    }
     return !calls.empty();
   };
   const Micros start = 1000 * kS;
   ASSERT_TRUE(total(start, d.arrive(start, "a"), 0));
   const auto again = d.arrive(start + 1100 * kMs, "b");
-  ASSERT_TRUE(total(start + 1100 * kMs, again, 41));  // a whole burst, and twice what a second brings
+  ASSERT_TRUE(
+      total(start + 1100 * kMs, again, 41));  // a whole burst, and twice what a second brings
   int sent = 0;
-  for (int i = 0; i < 10; ++i)
+  for (int i = 0; i < 10; ++i) {
     sent += int(all<SendAttempt>(d.arrive(start + 1101 * kMs, label("c", i))).size());
+  }
   EXPECT_LE(sent, 5);  // our slice of what is asked now
 }
 
 TEST(QuotaSlices, WhoSpendsFastIsToldOfSooner) {
   Driver d(counted_settings());
   std::vector<Micros> calls;
-  for (Micros now = 1000 * kS; now < 1001 * kS; now += 50 * kMs)
+  for (Micros now = 1000 * kS; now < 1001 * kS; now += 50 * kMs) {
     for (const AddToCounter& c : all<AddToCounter>(d.arrive(now, label("r", now)))) {
       calls.push_back(now - 1000 * kS);
       d.step(now + kMs, {CounterAnswered{c.name, double(calls.size()), CountOutcome::kOk, kMs}});
     }
-  EXPECT_GE(calls.size(), 4u);
+  }
+  EXPECT_GE(calls.size(), 4U);
 }
 
 TEST(QuotaSlices, LargeRequestsArePaidNoMoreThanTheSlice) {
-  // Eight units every two seconds, 12 a second elsewhere: the slice is a quarter of the quota, 5 of each 8.
+  // Eight units every two seconds, 12 a second elsewhere: the slice is a quarter of the quota, 5 of
+  // each 8.
   Driver d(counted_settings());
   std::map<std::int64_t, std::pair<Micros, double>> names;  // begun, our own total
   int sent = 0;
   for (int i = 0; i < 400; ++i) {
     const Micros now = 1001 * kS + i * 2 * kS;
     const auto out = d.arrive(now, label("r", i), 8);
-    if (i >= 100) sent += int(all<SendAttempt>(out).size());
-    for (const SendAttempt& a : all<SendAttempt>(out)) d.end(now, a, Outcome::kOk);
+    if (i >= 100) {
+      sent += int(all<SendAttempt>(out).size());
+    }
+    for (const SendAttempt& a : all<SendAttempt>(out)) {
+      d.end(now, a, Outcome::kOk);
+    }
     for (const AddToCounter& c : all<AddToCounter>(out)) {
       auto& [begun, own] = names.try_emplace(c.name, now - kS, 0).first->second;
       const double total = (own += c.amount) + 12.0 * double(now - begun) / double(kS);
@@ -470,10 +524,10 @@
   Driver d2(s);
   RequestArrived r = Driver::request("r", kMs, 9);
   r.set_size = 10;
-  EXPECT_EQ(all<SendAttempt>(d2.step(kMs, {r})).size(), 1u);  // an even part and one more hold two
+  EXPECT_EQ(all<SendAttempt>(d2.step(kMs, {r})).size(), 1U);  // an even part and one more hold two
   r.id = "s";
   r.units = 1;
-  EXPECT_EQ(all<SendAttempt>(d2.step(2 * kMs, {r})).size(), 0u);  // and are in debt
+  EXPECT_EQ(all<SendAttempt>(d2.step(2 * kMs, {r})).size(), 0U);  // and are in debt
 }
 
 TEST(QuotaSlices, UnitsSettledLaterAreTakenFromTheStore) {
@@ -500,8 +554,8 @@
 }
 
 TEST(Ceiling, ADrawComesBeforeATotal) {
-  // Guards against a total that uses up the last call: the request is within its slice, has no part of the
-  // ceiling, and is refused. Calls are scarce where many gateways share the counter.
+  // Guards against a total that uses up the last call: the request is within its slice, has no part
+  // of the ceiling, and is refused. Calls are scarce where many gateways share the counter.
   Settings s = counted_settings();
   s.gateways = 100;
   s.plans[0].ceiling_rate = 20;
@@ -517,7 +571,9 @@
       out = d.step((i + 1) * kMs + 100 * (calls + 1),
                    {CounterAnswered{c.name, c.amount, CountOutcome::kOk, 100}});
     }
-    for (const SendAttempt& a : all<SendAttempt>(out)) ++sent, d.end((i + 1) * kMs + 500, a, Outcome::kOk);
+    for (const SendAttempt& a : all<SendAttempt>(out)) {
+      ++sent, d.end((i + 1) * kMs + 500, a, Outcome::kOk);
+    }
   }
   EXPECT_EQ(sent, 3);
 }
@@ -533,7 +589,7 @@
   EXPECT_EQ(d.burst(1500 * kMs, 10), 5);  // ten units a second since the start is our part
   RequestArrived third = Driver::request("third", 10 * kS);
   third.customer = "c3";
-  EXPECT_EQ(all<SendAttempt>(d.step(10 * kS, {third})).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(d.step(10 * kS, {third})).size(), 1U);
 }
 
 TEST(Ceiling, WhoIsRefusedByItIsToldWhenItHasRoom) {
@@ -542,9 +598,10 @@
   s.plans[0].ceiling_burst = 40;
   Driver d(s);
   const auto refused = all<Refuse>(d.arrive(kMs, "r"));
-  ASSERT_EQ(refused.size(), 1u);  // our part, ten units a second, is empty at a start; the slice is full
+  ASSERT_EQ(refused.size(),
+            1U);  // our part, ten units a second, is empty at a start; the slice is full
   EXPECT_NEAR(double(refused[0].retry_after), 100 * kMs, 2 * kMs);
-  EXPECT_EQ(all<SendAttempt>(d.arrive(2 * kMs + refused[0].retry_after, "r2")).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(d.arrive(2 * kMs + refused[0].retry_after, "r2")).size(), 1U);
 }
 
 TEST(Ceiling, HoldsWithADeadCounter) {
@@ -555,17 +612,22 @@
   s.plans[0].ceiling_burst = 40;
   Driver d(s);
   int sent = 0;
-  for (int i = 0; i < 100; ++i) sent += d.burst(i * 50 * kMs, 4);
+  for (int i = 0; i < 100; ++i) {
+    sent += d.burst(i * 50 * kMs, 4);
+  }
   EXPECT_LE(sent, 10 * 5 + 20);
   EXPECT_GE(sent, 40);
 }
 
-// Some gateways of one customer on one counter, whose answers take a millisecond. Servers answer at once.
+// Some gateways of one customer on one counter, whose answers take a millisecond. Servers answer at
+// once.
 class Fleet {
  public:
   Fleet(Settings s, int n) {
     s.gateways = n;
-    for (int i = 0; i < n; ++i) gateways_.emplace_back(s, Driver::up({"a", "b", "c"}), std::uint64_t(i + 1));
+    for (int i = 0; i < n; ++i) {
+      gateways_.emplace_back(s, Driver::up({"a", "b", "c"}), std::uint64_t(i + 1));
+    }
   }
   // Asks so many units of gateway `i`, one by one.
   void ask(std::size_t i, Micros now, int n) {
@@ -590,7 +652,9 @@
     }
     for (const AddToCounter& a : all<AddToCounter>(actions)) {
       totals_[a.name] += a.amount;
-      if (!answers) continue;
+      if (!answers) {
+        continue;
+      }
       const CounterAnswered answer{a.name, totals_[a.name], outcome, kMs};
       act(i, now + kMs, gateways_[i].step(now + kMs, {answer}));
     }
@@ -599,10 +663,10 @@
   std::map<std::int64_t, double> totals_;
 };
 
-// Customers of one plan, each through all of so many gateways, on one counter that serves calls in turn, so
-// many a second, and answers within a millisecond more; a call that waited for the time-out was added,
-// unanswered. Each customer asks `times` its quota, by chance in time, size and gateway. Servers answer at
-// once.
+// Customers of one plan, each through all of so many gateways, on one counter that serves calls in
+// turn, so many a second, and answers within a millisecond more; a call that waited for the
+// time-out was added, unanswered. Each customer asks `times` its quota, by chance in time, size and
+// gateway. Servers answer at once.
 class SpreadQuota {
  public:
   struct Result {
@@ -611,19 +675,22 @@
     double inside = 0;     // units sent on inside the quotas, of what the quotas allow or was asked
     double calls = 0;      // a request
   };
-  SpreadQuota(int gateways, double times, double calls_a_request) : times_(times), service_(calls_a_request) {
+  SpreadQuota(int gateways, double times, double calls_a_request)
+      : times_(times), service_(calls_a_request) {
     Settings s = counted_settings();
     s.plans[0].rate = kRate;
     s.plans[0].burst = kBurst;
     s.largest_units = 4;
     s.gateways = gateways;
     s.counter_timeout = 30 * kMs;
-    for (int i = 0; i < gateways; ++i)
+    for (int i = 0; i < gateways; ++i) {
       gateways_.emplace_back(s, Driver::up({"a", "b", "c", "d"}), std::uint64_t(i + 1));
+    }
     stores_.assign(kCustomers, {kBurst, kStart});
   }
   Result play() {
-    const double gap = 2 / (kRate * times_ * kCustomers);  // s between requests of two units on average
+    const double gap =
+        2 / (kRate * times_ * kCustomers);  // s between requests of two units on average
     service_ = gap / service_;
     const Micros end = kStart + 10 * kS;
     for (double at = 0; kStart + Micros(at * kS) < end; at -= std::log(1 - chance()) * gap) {
@@ -642,7 +709,8 @@
     }
     answer_until(end);
     const double allowed = std::min(units_, kCustomers * (kRate * 10 + kBurst));
-    return {beyond_ / (beyond_ + inside_), with_room_ / units_, inside_ / allowed, double(calls_) / asked_};
+    return {beyond_ / (beyond_ + inside_), with_room_ / units_, inside_ / allowed,
+            double(calls_) / asked_};
   }
 
  private:
@@ -665,7 +733,9 @@
     }
   }
   void act(std::size_t i, Micros now, const std::vector<Action>& actions) {
-    for (const Refuse& a : all<Refuse>(actions)) judge(now, a.id, false);
+    for (const Refuse& a : all<Refuse>(actions)) {
+      judge(now, a.id, false);
+    }
     for (const SendAttempt& a : all<SendAttempt>(actions)) {
       judge(now, a.id, true);
       act(i, now, gateways_[i].end(now, a, Outcome::kOk));
@@ -676,7 +746,9 @@
       const Micros took = Micros(free_at_) - now + kMs / 2;
       const bool late = took > 30 * kMs;
       CounterAnswered answer{a.name, totals_[a.name] += a.amount, CountOutcome::kOk, took};
-      if (late) answer = {a.name, 0, CountOutcome::kUnknown, 30 * kMs};
+      if (late) {
+        answer = {a.name, 0, CountOutcome::kUnknown, 30 * kMs};
+      }
       answers_.emplace(now + answer.duration, std::pair(i, answer));
     }
   }
@@ -685,7 +757,9 @@
     Store& s = stores_[std::size_t(customer)];
     s.units = std::min(kBurst, s.units + kRate * double(now - std::exchange(s.at, now)) / kS);
     const bool room = s.units >= units;
-    if (sent && room) s.units -= units;
+    if (sent && room) {
+      s.units -= units;
+    }
     (sent ? room ? inside_ : beyond_ : room ? with_room_ : nothing_) += units;
   }
   double times_, service_;
@@ -701,29 +775,37 @@
 
 TEST(QuotaSlices, HundredsOfGatewaysRaiseTheErrorOfAQuotaNoFurther) {
   std::printf(
-      "gateways  asked / quota  beyond / sent  refused with room / asked  inside / allowed  calls a "
+      "gateways  asked / quota  beyond / sent  refused with room / asked  inside / allowed  calls "
+      "a "
       "request\n");
   for (const double times : {0.7, 2.0, 4.0}) {
     double ten = 0;
     for (const int gateways : {3, 10, 30, 100, 300}) {
       const auto r = SpreadQuota(gateways, times, 1.2).play();
-      std::printf("%8d %14.1f %14.3f %26.3f %17.3f %16.2f\n", gateways, times, r.beyond, r.with_room,
-                  r.inside, r.calls);
-      if (gateways == 10) ten = r.beyond;
-      if (gateways <= 10) continue;
-      EXPECT_LE(r.beyond, ten + 0.01) << gateways << " gateways, asked " << times << " times the quota";
+      std::printf("%8d %14.1f %14.3f %26.3f %17.3f %16.2f\n", gateways, times, r.beyond,
+                  r.with_room, r.inside, r.calls);
+      if (gateways == 10) {
+        ten = r.beyond;
+      }
+      if (gateways <= 10) {
+        continue;
+      }
+      EXPECT_LE(r.beyond, ten + 0.01)
+          << gateways << " gateways, asked " << times << " times the quota";
       EXPECT_GE(r.inside, 0.85) << gateways << " gateways, asked " << times << " times the quota";
     }
   }
 }
 
-// Under a ceiling of 20 units a second and 40 at once. Each gateway is asked every 50 ms for as many units as
-// `asks` says; what a store of the ceiling's size fell to at the least, and what was sent.
+// Under a ceiling of 20 units a second and 40 at once. Each gateway is asked every 50 ms for as
+// many units as `asks` says; what a store of the ceiling's size fell to at the least, and what was
+// sent.
 struct Ceiled {
   double least = 40;
   int sent = 0, asked = 0;
 };
-Ceiled play_ceiling(const std::vector<int>& asks, double rate, CountOutcome outcome = CountOutcome::kOk) {
+Ceiled play_ceiling(const std::vector<int>& asks, double rate,
+                    CountOutcome outcome = CountOutcome::kOk) {
   Settings s = counted_settings();
   s.plans[0].rate = rate;
   s.plans[0].burst = 2 * rate;
@@ -739,8 +821,11 @@
     filled = now;
     out.least = std::min(out.least, store);
   };
-  for (Micros now = 100 * kMs; now < 12 * kS; now += 50 * kMs)
-    for (std::size_t i = 0; i < asks.size(); ++i) fleet.ask(i, now, asks[i]);
+  for (Micros now = 100 * kMs; now < 12 * kS; now += 50 * kMs) {
+    for (std::size_t i = 0; i < asks.size(); ++i) {
+      fleet.ask(i, now, asks[i]);
+    }
+  }
   out.sent = fleet.sent;
   out.asked = fleet.asked;
   return out;
@@ -771,9 +856,11 @@
     return all<SendAttempt>(d.step(now, {r})).size();
   };
   std::size_t coming = 0;
-  for (int i = 0; i < 5; ++i) coming += sent(kMs, label("long", i), true);
-  EXPECT_EQ(coming, 5u);
-  EXPECT_EQ(sent(2 * kMs, "short", false), 1u);
+  for (int i = 0; i < 5; ++i) {
+    coming += sent(kMs, label("long", i), true);
+  }
+  EXPECT_EQ(coming, 5U);
+  EXPECT_EQ(sent(2 * kMs, "short", false), 1U);
   AttemptEnded e;
   e.id = "short";
   e.server = "a";
@@ -781,19 +868,24 @@
   e.finished = true;
   d.step(3 * kMs, {e});
   // Once all of it has gone there it does.
-  for (int i = 0; i < 5; ++i) d.step(4 * kMs, {AttemptWritten{label("long", i), 0}});
-  EXPECT_EQ(sent(5 * kMs, "next", false), 0u);
+  for (int i = 0; i < 5; ++i) {
+    d.step(4 * kMs, {AttemptWritten{label("long", i), 0}});
+  }
+  EXPECT_EQ(sent(5 * kMs, "next", false), 0U);
 }
 
 TEST(Servers, AnswersThatBreakOffInARowEject) {
   Driver d(basic_settings(), Driver::up({"a", "b"}));
   d.arrive(kMs, "r");
-  for (int i = 0; i < 3; ++i) d.step(2 * kMs, {AnswerCut{"a"}});
-  for (int i = 0; i < 8; ++i)
+  for (int i = 0; i < 3; ++i) {
+    d.step(2 * kMs, {AnswerCut{"a"}});
+  }
+  for (int i = 0; i < 8; ++i) {
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(3 * kMs, label("s", i)))) {
       EXPECT_EQ(a.server, "b");
       d.end(4 * kMs, a, Outcome::kOk);
     }
+  }
 }
 
 // The settings with another effect of the class, and so many attempts.
@@ -803,40 +895,42 @@
   s.max_attempts = attempts;
   return s;
 }
-// What follows when the first attempt of a request is reset, after the settings have changed from `from` to
-// `to`.
+// What follows when the first attempt of a request is reset, after the settings have changed from
+// `from` to `to`.
 std::vector<Action> reset_after_change(const Settings& from, const Settings& to) {
   Driver d(from);
   const auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
-  EXPECT_EQ(sent.size(), 1u);
+  EXPECT_EQ(sent.size(), 1U);
   d.step(2 * kMs, {SettingsChanged{to}});
   return d.end(3 * kMs, sent.at(0), Outcome::kReset);
 }
 
 TEST(SettingsChange, AnOpenRequestKeepsTheEffectItCameWith) {
-  const Settings safe = changed(Repeat::kSafe, 3), unsafe = changed(Repeat::kUnsafe, 3);
-  EXPECT_EQ(all<SendAttempt>(reset_after_change(safe, unsafe)).size(), 1u);
+  const Settings safe = changed(Repeat::kSafe, 3);
+  const Settings unsafe = changed(Repeat::kUnsafe, 3);
+  EXPECT_EQ(all<SendAttempt>(reset_after_change(safe, unsafe)).size(), 1U);
   const auto failed = reset_after_change(unsafe, safe);
   EXPECT_TRUE(all<SendAttempt>(failed).empty());
-  EXPECT_EQ(all<Fail>(failed).size(), 1u);
+  EXPECT_EQ(all<Fail>(failed).size(), 1U);
 }
 
 TEST(SettingsChange, RequestsThatComeLaterHaveTheNewEffect) {
   Driver d(changed(Repeat::kSafe, 3));
   d.step(kMs, {SettingsChanged{changed(Repeat::kUnsafe, 3)}});
   const auto sent = all<SendAttempt>(d.arrive(2 * kMs, "r"));
-  ASSERT_EQ(sent.size(), 1u);
-  EXPECT_EQ(all<Fail>(d.end(3 * kMs, sent[0], Outcome::kReset)).size(), 1u);
+  ASSERT_EQ(sent.size(), 1U);
+  EXPECT_EQ(all<Fail>(d.end(3 * kMs, sent[0], Outcome::kReset)).size(), 1U);
 }
 
 TEST(SettingsChange, AnOpenRequestOfADroppedClassEndsAsItsClassSaid) {
   Settings dropped = basic_settings();
   dropped.classes[0].name = "other";
-  EXPECT_EQ(all<SendAttempt>(reset_after_change(basic_settings(), dropped)).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(reset_after_change(basic_settings(), dropped)).size(), 1U);
 }
 
 TEST(SettingsChange, FewerAttemptsBindAtOnceAndMoreOnlyNewRequests) {
-  const Settings one = changed(Repeat::kSafe, 1), three = changed(Repeat::kSafe, 3);
+  const Settings one = changed(Repeat::kSafe, 1);
+  const Settings three = changed(Repeat::kSafe, 3);
   EXPECT_TRUE(all<SendAttempt>(reset_after_change(three, one)).empty());
   EXPECT_TRUE(all<SendAttempt>(reset_after_change(one, three)).empty());
 }
@@ -858,19 +952,23 @@
   s.plans[0].rate = s.plans[0].burst = 1000;
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver old(s), young(s);
+  Driver old(s);
+  Driver young(s);
   old.arrive(kMs, "first");
   EXPECT_EQ(old.burst(10 * kS, 15), 15);  // our part holds twenty
   old.step(10 * kS, {ProcessesChanged{1}});
   young.step(10 * kS, {ProcessesChanged{1}});
   int sent = 0;
-  for (Micros now = 10 * kS + kMs; now <= 14 * kS; now += 20 * kMs)
+  for (Micros now = 10 * kS + kMs; now <= 14 * kS; now += 20 * kMs) {
     sent += old.burst(now, 3) + young.burst(now, 3);
+  }
   EXPECT_GE(sent, 36);
   EXPECT_LE(sent, 5 + 40);  // what was left, and ten a second
   young.step(14 * kS, {ProcessesChanged{0}});
   sent = 0;
-  for (Micros now = 14 * kS + kMs; now <= 18 * kS; now += 20 * kMs) sent += young.burst(now, 3);
+  for (Micros now = 14 * kS + kMs; now <= 18 * kS; now += 20 * kMs) {
+    sent += young.burst(now, 3);
+  }
   EXPECT_GE(sent, 36);  // the part is its own again
   EXPECT_LE(sent, 41);
 }
@@ -884,7 +982,8 @@
   other.customer = "c2";
   d.step(kS, {other});
   d.step(10 * kS, {ProcessesChanged{1}});
-  EXPECT_EQ(d.burst(11 * kS, 20), 5);  // half of ten a second; the old process may have spent the rest
+  EXPECT_EQ(d.burst(11 * kS, 20),
+            5);  // half of ten a second; the old process may have spent the rest
 }
 
 TEST(Processes, EachSendsAColdServerItsOwnPart) {
@@ -901,7 +1000,9 @@
     Driver d(s, servers);
     d.step(kMs, {ProcessesChanged{others}});
     int n = 0;
-    for (Micros now = 2 * kMs; now < 8 * kS; now += 100 * kMs) n += d.burst(now, 1);
+    for (Micros now = 2 * kMs; now < 8 * kS; now += 100 * kMs) {
+      n += d.burst(now, 1);
+    }
     return n;
   };
   EXPECT_EQ(sent(0), 8);
@@ -919,12 +1020,17 @@
   s.plans[0].rate = 40;
   s.plans[0].burst = 80;
   Fleet fleet(s, 4);
-  for (Micros now = 100 * kMs; now < 3 * kS; now += 200 * kMs)
-    for (std::size_t i = 0; i < 4; ++i) fleet.ask(i, now, 1);  // half of the quota, evenly
+  for (Micros now = 100 * kMs; now < 3 * kS; now += 200 * kMs) {
+    for (std::size_t i = 0; i < 4; ++i) {
+      fleet.ask(i, now, 1);  // half of the quota, evenly
+    }
+  }
   EXPECT_EQ(fleet.sent, fleet.asked);
   fleet.answers = false;
   const int before = fleet.sent;
-  for (std::size_t i = 0; i < 4; ++i) fleet.ask(i, 3 * kS, 100);
+  for (std::size_t i = 0; i < 4; ++i) {
+    fleet.ask(i, 3 * kS, 100);
+  }
   EXPECT_LE(fleet.sent - before, 100);  // of eighty
   EXPECT_GE(fleet.sent - before, 60);
 }
@@ -955,8 +1061,11 @@
   u.entries[0].state = ServerState::kDraining;
   u.entries[1].state = ServerState::kRemoved;
   d.step(kMs, {u});
-  for (int i = 0; i < 5; ++i)
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(2 * kMs, label("r", i)))) EXPECT_EQ(a.server, "c");
+  for (int i = 0; i < 5; ++i) {
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(2 * kMs, label("r", i)))) {
+      EXPECT_EQ(a.server, "c");
+    }
+  }
 }
 
 TEST(Rules, AnEmptyServerListStillAnswersEveryRequestInTime) {
@@ -964,7 +1073,7 @@
   auto out = d.arrive(kMs, "r");
   auto more = d.run(2 * kS);
   out.insert(out.end(), more.begin(), more.end());
-  EXPECT_EQ(all<Refuse>(out).size(), 1u);
+  EXPECT_EQ(all<Refuse>(out).size(), 1U);
   EXPECT_TRUE(all<Fail>(out).empty());
 }
 
@@ -979,13 +1088,15 @@
 
 TEST(Rules, AKeyedRequestThatMayHaveRunIsResentOnlyInItsCell) {
   auto servers = Driver::up({"a", "b", "c", "d"});
-  for (int i = 0; i < 4; ++i) servers[std::size_t(i)].cell = i / 2;
+  for (int i = 0; i < 4; ++i) {
+    servers[std::size_t(i)].cell = i / 2;
+  }
   Driver d(keyed_settings(Repeat::kKeyed), servers);
   auto first = all<SendAttempt>(d.arrive(kMs, "r"));
-  ASSERT_EQ(first.size(), 1u);
+  ASSERT_EQ(first.size(), 1U);
   auto out = d.end(50 * kMs, first[0], Outcome::kReset);
   auto second = all<SendAttempt>(out);
-  ASSERT_EQ(second.size(), 1u);
+  ASSERT_EQ(second.size(), 1U);
   auto cell = [](const std::string& n) { return n == "a" || n == "b"; };
   EXPECT_EQ(cell(first[0].server), cell(second[0].server));
 }
@@ -996,7 +1107,7 @@
   Driver d(s);
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   auto out = d.end(50 * kMs, sent.at(0), Outcome::kReset);
-  EXPECT_EQ(all<Fail>(out).size(), 1u);
+  EXPECT_EQ(all<Fail>(out).size(), 1U);
   EXPECT_TRUE(all<Refuse>(out).empty());
 }
 
@@ -1006,11 +1117,11 @@
     auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
     auto out = d.end(50 * kMs, sent.at(0), o);
     EXPECT_TRUE(all<SendAttempt>(out).empty());
-    EXPECT_EQ(all<Fail>(out).size(), 1u);
+    EXPECT_EQ(all<Fail>(out).size(), 1U);
   }
   Driver d(keyed_settings(Repeat::kUnsafe));
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
-  EXPECT_EQ(all<SendAttempt>(d.end(50 * kMs, sent.at(0), Outcome::kConnectFailed)).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(d.end(50 * kMs, sent.at(0), Outcome::kConnectFailed)).size(), 1U);
 }
 
 TEST(Rules, AColdServerGetsNoMoreThanOneRequestAWindowBeforePeersAreObserved) {
@@ -1023,7 +1134,7 @@
   servers[0].started_at = 1;
   Driver d(s, servers);
   d.burst(kMs, 5);
-  EXPECT_EQ(all<SendAttempt>(d.log()).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(d.log()).size(), 1U);
 }
 
 TEST(Rules, OutcomesTimersAndDeparturesOfEndedRequestsAreIgnored) {
@@ -1032,7 +1143,8 @@
   d.end(2 * kMs, sent.at(0), Outcome::kOk);
   auto out = d.end(3 * kMs, sent[0], Outcome::kTimeout);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
-  EXPECT_TRUE(d.step(4 * kMs, {ClientGone{"r"}, ClientGone{"never seen"}, TimerFired{987654}}).empty());
+  EXPECT_TRUE(
+      d.step(4 * kMs, {ClientGone{"r"}, ClientGone{"never seen"}, TimerFired{987654}}).empty());
   auto late = d.run(2 * kS);
   EXPECT_TRUE(all<SendAttempt>(late).empty());
   EXPECT_TRUE(all<Refuse>(late).empty());
@@ -1041,7 +1153,9 @@
 // Gateways that each serve what comes to them; which servers each has sent to.
 struct Servants {
   Servants(int gateways, int servers, Settings settings = basic_settings()) {
-    for (int i = 0; i < servers; ++i) names.push_back(label("s", i));
+    for (int i = 0; i < servers; ++i) {
+      names.push_back(label("s", i));
+    }
     settings.gateways = gateways;
     settings.plans[0].rate = settings.plans[0].burst = 1e6;
     for (int i = 0; i < gateways; ++i) {
@@ -1058,8 +1172,8 @@
       for (int attempt = 0; !sends.empty(); ++attempt) {
         met[i].insert(sends[0].server);
         ++sent[sends[0].server];
-        sends = quota_gateway::all<SendAttempt>(
-            all[i].end(now + kMs, sends[0], how(sends[0].server), attempt, (10 + now / kMs * 7 % 21) * kMs));
+        sends = quota_gateway::all<SendAttempt>(all[i].end(
+            now + kMs, sends[0], how(sends[0].server), attempt, (10 + now / kMs * 7 % 21) * kMs));
       }
     }
   }
@@ -1073,16 +1187,22 @@
   // Guards against a hundred gateways that each open to each of sixty servers.
   for (const int gateways : {2, 10, 40, 100, 200}) {
     Servants fleet(gateways, 60);
-    for (int i = 1; i <= (gateways > 50 ? 600 : 1'500); ++i)
+    for (int i = 1; i <= (gateways > 50 ? 600 : 1'500); ++i) {
       fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
+    }
     std::map<std::string, int> users;
     for (const auto& met : fleet.met) {
-      EXPECT_GE(met.size(), 6u);
-      for (const auto& server : met) ++users[server];
+      EXPECT_GE(met.size(), 6U);
+      for (const auto& server : met) {
+        ++users[server];
+      }
+    }
+    EXPECT_EQ(users.size(), 60U) << gateways;  // none is left out
+    int least = gateways;
+    int most = 0;
+    for (const auto& [server, n] : users) {
+      least = std::min(least, n), most = std::max(most, n);
     }
-    EXPECT_EQ(users.size(), 60u) << gateways;  // none is left out
-    int least = gateways, most = 0;
-    for (const auto& [server, n] : users) least = std::min(least, n), most = std::max(most, n);
     EXPECT_LE(most, std::max(12, gateways / 10 + 4)) << gateways;
     EXPECT_GE(least, std::min(gateways, 8)) << gateways;
   }
@@ -1091,18 +1211,22 @@
 TEST(Subset, IsWidenedWhenItsServersFail) {
   // Guards against a part of the servers that is lost as a whole, with a zone.
   Servants fleet(100, 60);
-  for (int i = 1; i <= 40; ++i) fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
+  for (int i = 1; i <= 40; ++i) {
+    fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
+  }
   const std::set<std::string> lost = fleet.met[0];
   int served = 0;
   for (int i = 41; i <= 240; ++i) {
     const auto how = [&](const std::string& s) {
-      return lost.count(s) ? Outcome::kConnectFailed : Outcome::kOk;
+      return lost.contains(s) ? Outcome::kConnectFailed : Outcome::kOk;
     };
     auto& gateway = fleet.all[0];
     gateway.run(i * 50 * kMs);
     auto sends = all<SendAttempt>(gateway.arrive(i * 50 * kMs, label("r", i)));
     for (int attempt = 0; !sends.empty(); ++attempt) {
-      if (i > 140 && how(sends[0].server) == Outcome::kOk) ++served;
+      if (i > 140 && how(sends[0].server) == Outcome::kOk) {
+        ++served;
+      }
       sends = all<SendAttempt>(
           gateway.end(i * 50 * kMs + kMs, sends[0], how(sends[0].server), attempt, 20 * kMs));
     }
@@ -1113,18 +1237,29 @@
 TEST(Subset, OneServerMoreLeavesMostOfItAsItWas) {
   // Guards against all gateways that open to other servers with each change of the list.
   Servants fleet(100, 60);
-  for (int i = 1; i <= 40; ++i) fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
+  for (int i = 1; i <= 40; ++i) {
+    fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
+  }
   const auto before = fleet.met;
-  for (auto& met : fleet.met) met.clear();
+  for (auto& met : fleet.met) {
+    met.clear();
+  }
   ServerListUpdate one;
   one.kind = ServerListUpdate::Kind::kPartial;
   one.entries = Driver::up({"fresh"});
-  for (auto& gateway : fleet.all) gateway.step(2'001 * kMs, {one});
-  for (int i = 41; i <= 80; ++i) fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
-  std::size_t kept = 0, had = 0;
+  for (auto& gateway : fleet.all) {
+    gateway.step(2'001 * kMs, {one});
+  }
+  for (int i = 41; i <= 80; ++i) {
+    fleet.round(i * 50 * kMs, [](const auto&) { return Outcome::kOk; });
+  }
+  std::size_t kept = 0;
+  std::size_t had = 0;
   for (std::size_t i = 0; i < before.size(); ++i) {
     had += before[i].size();
-    for (const auto& server : before[i]) kept += fleet.met[i].count(server);
+    for (const auto& server : before[i]) {
+      kept += fleet.met[i].count(server);
+    }
   }
   EXPECT_GE(kept, had * 8 / 10);
 }
@@ -1135,21 +1270,28 @@
     Servants fleet(gateways, 60);
     const std::set<std::string> gone(fleet.names.begin(), fleet.names.begin() + 20);
     const auto how = [&](const std::string& s) {
-      return gone.count(s) ? Outcome::kConnectFailed : Outcome::kOk;
+      return gone.contains(s) ? Outcome::kConnectFailed : Outcome::kOk;
     };
-    for (int i = 1; i <= 25; ++i) fleet.round(i * 200 * kMs, how);
+    for (int i = 1; i <= 25; ++i) {
+      fleet.round(i * 200 * kMs, how);
+    }
     fleet.sent.clear();
-    for (int i = 26; i <= 75; ++i) fleet.round(i * 200 * kMs, how);
+    for (int i = 26; i <= 75; ++i) {
+      fleet.round(i * 200 * kMs, how);
+    }
     int dials = 0;
-    for (const auto& name : gone) dials += fleet.sent[name];
+    for (const auto& name : gone) {
+      dials += fleet.sent[name];
+    }
     // In 10 s; without what was learnt a third of 50 requests at each gateway.
     EXPECT_LE(dials, gateways * 3) << gateways;
   }
 }
 
 TEST(ColdServers, ManyAtOnceAreBroughtInWithoutBeingPushedOver) {
-  // Six in ten of sixty servers start anew at once, for a hundred gateways. Guards against a part of each
-  // one's budget that is under one request and never used, and against all gateways that use theirs at once.
+  // Six in ten of sixty servers start anew at once, for a hundred gateways. Guards against a part
+  // of each one's budget that is under one request and never used, and against all gateways that
+  // use theirs at once.
   Settings s = basic_settings();
   s.cold_share = 0.26;
   s.cold_time = 17 * kS;
@@ -1158,33 +1300,51 @@
   Servants fleet(100, 60, s);
   const auto fine = [](const std::string&) { return Outcome::kOk; };
   int i = 1;
-  for (; i <= 50; ++i) fleet.round(i * 200 * kMs, fine);
+  for (; i <= 50; ++i) {
+    fleet.round(i * 200 * kMs, fine);
+  }
   const Micros started = i * 200 * kMs;
   ServerListUpdate news;
   news.kind = ServerListUpdate::Kind::kPartial;
   news.entries = Driver::up({fleet.names.begin(), fleet.names.begin() + 36});
-  for (auto& entry : news.entries) entry.started_at = started;
-  for (auto& gateway : fleet.all) gateway.step(started, {news});
-  std::map<std::string, int> cold, warm;
+  for (auto& entry : news.entries) {
+    entry.started_at = started;
+  }
+  for (auto& gateway : fleet.all) {
+    gateway.step(started, {news});
+  }
+  std::map<std::string, int> cold;
+  std::map<std::string, int> warm;
   for (int second = 0; second < 8; ++second) {
     fleet.sent.clear();
-    for (const int end = i + 5; i < end; ++i) fleet.round(i * 200 * kMs, fine);
+    for (const int end = i + 5; i < end; ++i) {
+      fleet.round(i * 200 * kMs, fine);
+    }
     int sent = 0;
     for (std::size_t k = 0; k < fleet.names.size(); ++k) {
       const int n = fleet.sent[fleet.names[k]];
       sent += n;
-      // A warm server bears 13 a second, as those of the quiet fleet, which are sent 8, do at least.
+      // A warm server bears 13 a second, as those of the quiet fleet, which are sent 8, do at
+      // least.
       if (k < 36) {
         EXPECT_LE(n, 2.5 * 13 * (0.26 + 0.74 * second / 17));
       }
-      if (second >= 4) (k < 36 ? cold : warm)[fleet.names[k]] += n;
+      if (second >= 4) {
+        (k < 36 ? cold : warm)[fleet.names[k]] += n;
+      }
     }
     EXPECT_GE(sent, 475) << second;  // of 500
   }
-  double to_cold = 0, to_warm = 0;
-  for (const auto& [name, n] : cold) to_cold += n / 36.0;
-  for (const auto& [name, n] : warm) to_warm += n / 24.0;
-  EXPECT_GT(to_cold, 0.2 * to_warm);  // each of the fourteen that share one waits longer than a second
+  double to_cold = 0;
+  double to_warm = 0;
+  for (const auto& [name, n] : cold) {
+    to_cold += n / 36.0;
+  }
+  for (const auto& [name, n] : warm) {
+    to_warm += n / 24.0;
+  }
+  EXPECT_GT(to_cold,
+            0.2 * to_warm);  // each of the fourteen that share one waits longer than a second
 }
 
 TEST(Attempts, AStalledServerIsLeftForAnotherBeforeTheAim) {
@@ -1195,9 +1355,9 @@
   }
   auto sent = all<SendAttempt>(d.arrive(10 * kS, "r"));
   auto out = d.run(10 * kS + 450 * kMs);
-  ASSERT_EQ(all<CancelAttempt>(out).size(), 1u);
+  ASSERT_EQ(all<CancelAttempt>(out).size(), 1U);
   auto again = all<SendAttempt>(d.end(10 * kS + 451 * kMs, sent.at(0), Outcome::kCancelled));
-  ASSERT_EQ(again.size(), 1u);
+  ASSERT_EQ(again.size(), 1U);
   EXPECT_NE(again[0].server, sent[0].server);
 }
 
@@ -1206,17 +1366,19 @@
   Driver d;
   auto first = all<SendAttempt>(d.arrive(0, "first"));
   d.end(0, first.at(0), Outcome::kOk, 0, 2 * kMs);
-  EXPECT_EQ(all<SendAttempt>(d.arrive(kMs, "r")).size(), 1u);
-  EXPECT_EQ(all<CancelAttempt>(d.run(200 * kMs)).size(), 0u);
+  EXPECT_EQ(all<SendAttempt>(d.arrive(kMs, "r")).size(), 1U);
+  EXPECT_EQ(all<CancelAttempt>(d.run(200 * kMs)).size(), 0U);
 }
 
-// One request, and all its attempts one after the other, answered with what `how` says of their servers.
+// One request, and all its attempts one after the other, answered with what `how` says of their
+// servers.
 void serve(Driver& d, int i, const std::function<Outcome(const std::string&)>& how) {
   const Micros now = i * 20 * kMs;
   auto sends = all<SendAttempt>(d.arrive(now, label("r", i)));
-  for (int attempt = 0; !sends.empty(); ++attempt)
-    sends =
-        all<SendAttempt>(d.end(now + kMs, sends[0], how(sends[0].server), attempt, (10 + i * 7 % 21) * kMs));
+  for (int attempt = 0; !sends.empty(); ++attempt) {
+    sends = all<SendAttempt>(
+        d.end(now + kMs, sends[0], how(sends[0].server), attempt, (10 + i * 7 % 21) * kMs));
+  }
 }
 
 Settings unbounded_settings() {
@@ -1226,17 +1388,21 @@
 }
 
 TEST(Servers, OneThatFailsTwiceWhereFailuresAreRareIsLeftAlone) {
-  // Guards against a bad server that each of a hundred gateways must find out by a third failure in a row.
+  // Guards against a bad server that each of a hundred gateways must find out by a third failure in
+  // a row.
   Driver d(unbounded_settings(), Driver::up({"a", "b", "c", "d", "e", "f"}));
   int to_bad = 0;
   std::string sick;
-  for (int i = 0; i < 240; ++i)
+  for (int i = 0; i < 240; ++i) {
     serve(d, i, [&](const std::string& server) {
-      if (i > 100 && sick.empty()) sick = server;
+      if (i > 100 && sick.empty()) {
+        sick = server;
+      }
       const bool bad = server == sick;
       to_bad += bad;
       return bad ? Outcome::kError : Outcome::kOk;
     });
+  }
   EXPECT_EQ(to_bad, 2);
 }
 
@@ -1244,16 +1410,20 @@
   // One attempt in twenty fails at any server, later all do at all of them.
   Driver d(unbounded_settings(), Driver::up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
   std::set<std::string> met[2];
-  int sent[2] = {}, n = 0;
-  for (int i = 0; i < 600; ++i)
+  int sent[2] = {};
+  int n = 0;
+  for (int i = 0; i < 600; ++i) {
     serve(d, i, [&](const std::string& server) {
       const bool all_fail = i >= 400;
-      if (i % 200 >= 100) met[all_fail].insert(server), ++sent[all_fail];
+      if (i % 200 >= 100) {
+        met[all_fail].insert(server), ++sent[all_fail];
+      }
       return all_fail || (++n * 7919) % 20 == 0 ? Outcome::kError : Outcome::kOk;
     });
-  EXPECT_GE(met[0].size(), 7u);  // the bound on ejections is a third
+  }
+  EXPECT_GE(met[0].size(), 7U);  // the bound on ejections is a third
   EXPECT_GE(sent[0], 200);
-  EXPECT_GE(met[1].size(), 6u);
+  EXPECT_GE(met[1].size(), 6U);
   EXPECT_GE(sent[1], 100);
 }
 
@@ -1264,10 +1434,14 @@
     auto out = d.arrive(i * 20 * kMs, label("r", i));
     for (int n = 0; n < 3; ++n) {
       auto sent = all<SendAttempt>(out);
-      if (sent.empty()) break;
-      if (i >= 20) seen.insert(sent[0].server);
-      out =
-          d.end(i * 20 * kMs + 1, sent[0], sent[0].server == "a" ? Outcome::kConnectFailed : Outcome::kOk, n);
+      if (sent.empty()) {
+        break;
+      }
+      if (i >= 20) {
+        seen.insert(sent[0].server);
+      }
+      out = d.end(i * 20 * kMs + 1, sent[0],
+                  sent[0].server == "a" ? Outcome::kConnectFailed : Outcome::kOk, n);
     }
   }
   EXPECT_FALSE(seen.count("a"));
@@ -1284,10 +1458,13 @@
     auto out = d.arrive(now, label("r", i));
     for (int n = 0; n < 3; ++n) {
       const auto sent = all<SendAttempt>(out);
-      if (sent.empty()) break;
+      if (sent.empty()) {
+        break;
+      }
       ++seen[sent[0].server];
       const bool sick = sent[0].server == "a" && seen["a"] % 5 != 0;
-      out = d.end(now + n + 1, sent[0], sick ? Outcome::kError : Outcome::kOk, n, sick ? kMs : 20 * kMs);
+      out = d.end(now + n + 1, sent[0], sick ? Outcome::kError : Outcome::kOk, n,
+                  sick ? kMs : 20 * kMs);
     }
   }
   EXPECT_LT(seen["a"], 60);
@@ -1299,14 +1476,17 @@
   s.plans[0].rate = s.plans[0].burst = 1000;
   Driver d(s);
   std::size_t sent = 0;
-  for (int i = 0; i < 200; ++i) sent += all<SendAttempt>(d.arrive(kMs, label("r", i))).size();
-  EXPECT_LE(sent, 8u);  // five a server over two gateways
-  // Those behind more than will go out in their time are told at once, the others after they waited.
+  for (int i = 0; i < 200; ++i) {
+    sent += all<SendAttempt>(d.arrive(kMs, label("r", i))).size();
+  }
+  EXPECT_LE(sent, 8U);  // five a server over two gateways
+  // Those behind more than will go out in their time are told at once, the others after they
+  // waited.
   const std::size_t at_once = all<Refuse>(d.log()).size();
-  EXPECT_GE(at_once, 150u);
-  EXPECT_LT(at_once + sent, 200u);
+  EXPECT_GE(at_once, 150U);
+  EXPECT_LT(at_once + sent, 200U);
   d.run(2 * kS);
-  EXPECT_EQ(all<Refuse>(d.log()).size() + sent, 200u);
+  EXPECT_EQ(all<Refuse>(d.log()).size() + sent, 200U);
 }
 
 TEST(Servers, AFullAnswerForOnePlanIsTriedElsewhereAndCutsNoLimit) {
@@ -1318,7 +1498,9 @@
     auto out = d.arrive(i * 50 * kMs, label("r", i));
     for (int n = 0; n < 3; ++n) {
       auto sent = all<SendAttempt>(out);
-      if (sent.empty()) break;
+      if (sent.empty()) {
+        break;
+      }
       const bool full = sent[0].server != "c";  // a and b turn the plan away
       served += !full;
       out = d.end(i * 50 * kMs + 1 + n, sent[0], full ? Outcome::kFull : Outcome::kOk, n);
@@ -1337,7 +1519,9 @@
     std::set<std::string> told;
     for (int i = 0; i < 100 && told.size() < 4; ++i) {
       auto sent = all<SendAttempt>(d.arrive(kS + i * kMs, label("r", i)));
-      if (sent.empty()) continue;
+      if (sent.empty()) {
+        continue;
+      }
       AttemptEnded e;
       e.id = sent[0].id;
       e.server = sent[0].server;
@@ -1347,7 +1531,9 @@
       told.insert(e.server);
       d.step(kS + i * kMs, {e});
     }
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(1200 * kMs, "last"))) ++picked[a.server];
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(1200 * kMs, "last"))) {
+      ++picked[a.server];
+    }
   }
   EXPECT_GT(picked["a"], 15);
   EXPECT_LT(picked["a"], 45);
@@ -1364,23 +1550,30 @@
     sent += out.size();
     // Every second answer is found a second late, and says that it took 10 ms.
     for (const SendAttempt& a : out) {
-      if (k % 2) now += kS;
+      if (k % 2) {
+        now += kS;
+      }
       d.end(now, a, Outcome::kOk, 0, 10 * kMs);
     }
   }
-  EXPECT_EQ(sent, 200u);
+  EXPECT_EQ(sent, 200U);
 }
 
 TEST(Overload, WhatWasNeverSentOnTakesNothingOfTheQuota) {
   Driver d(basic_settings(), Driver::up({"a"}));
   std::vector<SendAttempt> sent;
-  for (int i = 0; i < 12; ++i)
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) sent.push_back(a);
+  for (int i = 0; i < 12; ++i) {
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) {
+      sent.push_back(a);
+    }
+  }
   d.run(400 * kMs);
   const std::size_t refused = all<Refuse>(d.log()).size();  // all of the server's room is taken
-  ASSERT_EQ(sent.size() + refused, 12u);
-  ASSERT_GT(refused, 6u);
-  for (const SendAttempt& a : sent) d.end(401 * kMs, a, Outcome::kOk);
+  ASSERT_EQ(sent.size() + refused, 12U);
+  ASSERT_GT(refused, 6U);
+  for (const SendAttempt& a : sent) {
+    d.end(401 * kMs, a, Outcome::kOk);
+  }
   EXPECT_GE(d.burst(402 * kMs, 20), 20 - int(sent.size()));  // of the twenty
 }
 
@@ -1391,9 +1584,12 @@
   s.classes[1].worth = 10;
   Driver d(s, Driver::up({"a"}));
   std::vector<SendAttempt> sent;
-  for (int i = 0; i < 6; ++i)
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) sent.push_back(a);
-  ASSERT_LT(sent.size(), 6u);
+  for (int i = 0; i < 6; ++i) {
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) {
+      sent.push_back(a);
+    }
+  }
+  ASSERT_LT(sent.size(), 6U);
   RequestArrived dear = Driver::request("dear", 2 * kMs);
   dear.request_class = "dear";
   ASSERT_TRUE(all<SendAttempt>(d.step(2 * kMs, {dear})).empty());
@@ -1404,9 +1600,9 @@
     e.server = a.server;
     e.duration = 80 * kMs;
     e.finished = true;
-    events.push_back(e);
+    events.emplace_back(e);
   }
-  events.push_back(Driver::request("cheap", 3 * kMs));
+  events.emplace_back(Driver::request("cheap", 3 * kMs));
   const auto next = all<SendAttempt>(d.step(3 * kMs, events));
   ASSERT_FALSE(next.empty());
   EXPECT_EQ(next[0].id, "dear");
@@ -1415,11 +1611,16 @@
 TEST(Overload, AfterABurstAnEvenPartStillGoesOut) {
   Driver d;
   std::vector<SendAttempt> sent;
-  for (int i = 0; i < 8; ++i)
-    for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) sent.push_back(a);
-  ASSERT_GE(sent.size(), 6u);  // an even part is three of six, at the least
-  for (std::size_t i = 2; i < sent.size(); ++i) d.end(450 * kMs, sent[i], Outcome::kOk, 0, 449 * kMs);
-  EXPECT_EQ(all<SendAttempt>(d.arrive(451 * kMs, "next")).size(), 1u);
+  for (int i = 0; i < 8; ++i) {
+    for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) {
+      sent.push_back(a);
+    }
+  }
+  ASSERT_GE(sent.size(), 6U);  // an even part is three of six, at the least
+  for (std::size_t i = 2; i < sent.size(); ++i) {
+    d.end(450 * kMs, sent[i], Outcome::kOk, 0, 449 * kMs);
+  }
+  EXPECT_EQ(all<SendAttempt>(d.arrive(451 * kMs, "next")).size(), 1U);
 }
 
 TEST(Overload, AGatewayWithMoreGatewaysThanServersMaySendMoreThanOneAtATime) {
@@ -1427,8 +1628,8 @@
   s.gateways = 300;
   s.plans[0].rate = s.plans[0].burst = 1e6;
   Driver d(s);
-  EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "one")).size(), 1u);
-  EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "two")).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "one")).size(), 1U);
+  EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "two")).size(), 1U);
 }
 
 TEST(Module, BadInputNeitherCrashesNorLosesARequest) {
@@ -1442,7 +1643,7 @@
     r.first_gateway = i % 2 ? -7 : 900;
     r.units = i % 5 ? 1 : 0;
     r.customer = label("c", i % 50);
-    events.push_back(r);
+    events.emplace_back(r);
   }
   auto out = d.step(kS, events);
   auto sent = all<SendAttempt>(out);
@@ -1459,13 +1660,22 @@
   auto rest = d.run(4 * kS);
   out.insert(out.end(), rest.begin(), rest.end());
   std::map<std::string, int> answers;
-  for (const Refuse& r : all<Refuse>(out)) ++answers[r.id];
-  for (const Fail& f : all<Fail>(out)) ++answers[f.id];
-  for (const auto& [id, n] : answers) EXPECT_EQ(n, 1) << id;
+  for (const Refuse& r : all<Refuse>(out)) {
+    ++answers[r.id];
+  }
+  for (const Fail& f : all<Fail>(out)) {
+    ++answers[f.id];
+  }
+  for (const auto& [id, n] : answers) {
+    EXPECT_EQ(n, 1) << id;
+  }
   std::set<std::string> attempted;
-  for (const SendAttempt& a : all<SendAttempt>(out)) attempted.insert(a.id);
-  for (int i = 0; i < 1000; ++i)
+  for (const SendAttempt& a : all<SendAttempt>(out)) {
+    attempted.insert(a.id);
+  }
+  for (int i = 0; i < 1000; ++i) {
     EXPECT_TRUE(answers.count(label("r", i)) || attempted.count(label("r", i))) << i;
+  }
 }
 
 TEST(Module, UnknownPlanAndClassAreStillServed) {
@@ -1474,7 +1684,7 @@
   r.plan = "no such plan";
   r.request_class = "no such class";
   r.set_size = 0;
-  EXPECT_EQ(all<SendAttempt>(d.step(0, {r})).size(), 1u);
+  EXPECT_EQ(all<SendAttempt>(d.step(0, {r})).size(), 1U);
 }
 
 TEST(Module, TheLogTellsWhyRequestsWereRefused) {
@@ -1482,8 +1692,11 @@
   d.burst(kMs, 25);  // five past the slice
   d.run(12 * kS);
   std::string told;
-  for (const LogLine& l : all<LogLine>(d.log()))
-    if (l.text.rfind("refused: ", 0) == 0) told += l.text;
+  for (const LogLine& l : all<LogLine>(d.log())) {
+    if (l.text.rfind("refused: ", 0) == 0) {
+      told += l.text;
+    }
+  }
   EXPECT_NE(told.find("slice 5 "), std::string::npos) << told;
   EXPECT_NE(told.find("ceiling 0 "), std::string::npos) << told;
   EXPECT_NE(told.find("of 25;"), std::string::npos) << told;
@@ -1492,10 +1705,14 @@
 TEST(Module, SameEventsSameActions) {
   auto play = [] {
     Driver d;
-    for (int i = 0; i < 50; ++i) d.burst(i * 30 * kMs, 3);
+    for (int i = 0; i < 50; ++i) {
+      d.burst(i * 30 * kMs, 3);
+    }
     d.run(3 * kS);
     std::vector<std::string> out;
-    for (const SendAttempt& a : all<SendAttempt>(d.log())) out.push_back(a.id + a.server);
+    for (const SendAttempt& a : all<SendAttempt>(d.log())) {
+      out.push_back(a.id + a.server);
+    }
     return out;
   };
   EXPECT_EQ(play(), play());
--- a/tests/scale/program_test.cpp
+++ b/tests/scale/program_test.cpp
@@ -16,10 +16,15 @@
 
 Ended program(const std::string& arguments) {
   Ended ended;
-  FILE* pipe = ::popen((std::string(QUOTA_GATEWAY_SCALE_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
-  if (!pipe) return ended;
+  FILE* pipe =
+      ::popen((std::string(QUOTA_GATEWAY_SCALE_PROGRAM) + " " + arguments + " 2>&1").c_str(), "r");
+  if (!pipe) {
+    return ended;
+  }
   char piece[4096];
-  while (const std::size_t n = ::fread(piece, 1, sizeof piece, pipe)) ended.said.append(piece, n);
+  while (const std::size_t n = ::fread(piece, 1, sizeof piece, pipe)) {
+    ended.said.append(piece, n);
+  }
   const int status = ::pclose(pipe);
   ended.code = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
   return ended;
--- a/tests/scale/report_test.cpp
+++ b/tests/scale/report_test.cpp
@@ -18,7 +18,9 @@
 std::vector<json> parsed(const std::string& text) {
   std::vector<json> out;
   std::istringstream lines(text);
-  for (std::string line; std::getline(lines, line);) out.push_back(json::parse(line));
+  for (std::string line; std::getline(lines, line);) {
+    out.push_back(json::parse(line));
+  }
   return out;
 }
 
@@ -29,7 +31,7 @@
   EXPECT_NEAR(fit.value, 3'403, 1e-6);
   EXPECT_DOUBLE_EQ(fit.extrapolated, 8.5);
   EXPECT_NEAR(fit.deviation, 0, 1e-9);
-  EXPECT_EQ(fit.points, 3u);
+  EXPECT_EQ(fit.points, 3U);
 }
 
 TEST(Fit, NamesThePointThatDeviatesMostWithItsSign) {
@@ -54,8 +56,10 @@
   Report report(&lines, 42);
   report.add(figure(200, 1.5));
   const auto out = parsed(lines.str());
-  ASSERT_EQ(out.size(), 1u);
-  EXPECT_EQ(out[0], json::parse(R"({"scenario":"module.list","name":"list","seed":42,"value":1.5,"unit":"ms",
+  ASSERT_EQ(out.size(), 1U);
+  EXPECT_EQ(
+      out[0],
+      json::parse(R"({"scenario":"module.list","name":"list","seed":42,"value":1.5,"unit":"ms",
                                     "at":{"servers":200.0,"gateways":300.0}})"));
 }
 
@@ -69,12 +73,12 @@
   report.add({"module.list", "other", {{"servers", 9}}, 1e9, "ms"});
   report.add({"another", "list", {{"servers", 9}}, 1e9, "ms"});
   report.fit("module.list", "list", "servers", 170'000);
-  ASSERT_EQ(report.fits().size(), 2u);
+  ASSERT_EQ(report.fits().size(), 2U);
   EXPECT_NEAR(report.fits()[0].value, 170'000, 1e-3);
   EXPECT_NEAR(report.fits()[1].value, 340'000, 1e-3);
   EXPECT_DOUBLE_EQ(report.fits()[1].at.at("gateways"), 7'400);
   const auto out = parsed(lines.str());
-  ASSERT_EQ(out.size(), 10u);
+  ASSERT_EQ(out.size(), 10U);
   EXPECT_EQ(out[9]["fit"], "list");
   EXPECT_EQ(out[9]["by"], "servers");
   EXPECT_EQ(out[9]["points"], 3);
@@ -98,7 +102,9 @@
   std::ostringstream table;
   report.table(table);
   std::istringstream in(table.str());
-  std::string head, first, second;
+  std::string head;
+  std::string first;
+  std::string second;
   std::getline(in, head);
   std::getline(in, first);
   std::getline(in, second);
--- a/tests/scale/world_test.cpp
+++ b/tests/scale/world_test.cpp
@@ -1,4 +1,5 @@
-// The world of the scale tests: stand-ins against the real clients, the day that is drawn, a small fleet.
+// The world of the scale tests: stand-ins against the real clients, the day that is drawn, a small
+// fleet.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -9,10 +10,10 @@
 #include <set>
 #include <sstream>
 
-#include "net/counter/counter_client.hpp"
 #include "day.hpp"
-#include "net/discovery/discovery_client.hpp"
 #include "hollow.hpp"
+#include "net/counter/counter_client.hpp"
+#include "net/discovery/discovery_client.hpp"
 #include "standins.hpp"
 
 namespace quota_gateway::scale {
@@ -25,7 +26,9 @@
 bool until(asio::io_context& io, const std::function<bool()>& done) {
   const Micros end = steady_now() + 20'000'000;
   while (!done()) {
-    if (steady_now() > end) return false;
+    if (steady_now() > end) {
+      return false;
+    }
     io.restart();
     io.run_one_for(std::chrono::milliseconds(20));
   }
@@ -42,17 +45,21 @@
   return out;
 }
 
-// ---- The agent ----------------------------------------------------------------------------------------
+// ---- The agent
+// ----------------------------------------------------------------------------------------
 class AgentTest : public ::testing::Test {
  protected:
   void make(DiscoveryAgent::Options options = {}) {
-    if (options.servers.empty()) options.servers = some_servers(50);
+    if (options.servers.empty()) {
+      options.servers = some_servers(50);
+    }
     options.revision = 41;
     agent.emplace(io, options);
   }
   void watch(std::int64_t after) {
-    clients.push_back(std::make_unique<net::Discovery>(
-        io, timers, clock, agent->address(), after, [this](const net::MemberList& l) { told.push_back(l); }));
+    clients.push_back(
+        std::make_unique<net::Discovery>(io, timers, clock, agent->address(), after,
+                                         [this](const net::MemberList& l) { told.push_back(l); }));
     clients.back()->start();
   }
   bool comes(std::size_t lists) {
@@ -72,20 +79,21 @@
   ASSERT_TRUE(comes(1));
   EXPECT_TRUE(told[0].complete);
   EXPECT_EQ(told[0].revision, 41);
-  ASSERT_EQ(told[0].members.size(), 50u);
+  ASSERT_EQ(told[0].members.size(), 50U);
   EXPECT_EQ(told[0].members[9].entry.server, server_id(9));
   EXPECT_EQ(told[0].members[9].entry.zone, "c");
   EXPECT_EQ(told[0].members[9].address.port(), 1009);
   agent->change({changed(agent->servers()[3], Phase::kDraining)});
-  agent->change({changed(agent->servers()[3], Phase::kRemoved), changed(agent->servers()[4], Phase::kUp)});
+  agent->change(
+      {changed(agent->servers()[3], Phase::kRemoved), changed(agent->servers()[4], Phase::kUp)});
   ASSERT_TRUE(comes(3));
   EXPECT_FALSE(told[1].complete);
   EXPECT_EQ(told[1].revision, 42);
   EXPECT_EQ(told[1].members.at(0).entry.state, ServerState::kDraining);
-  EXPECT_EQ(told[2].members.size(), 2u);
+  EXPECT_EQ(told[2].members.size(), 2U);
   EXPECT_EQ(told[2].members[0].entry.state, ServerState::kRemoved);
-  EXPECT_EQ(agent->counts().changes, 2u);
-  EXPECT_EQ(agent->counts().lists, 1u);
+  EXPECT_EQ(agent->counts().changes, 2U);
+  EXPECT_EQ(agent->counts().lists, 1U);
 }
 
 TEST_F(AgentTest, TellsWhatChangedSinceAsOneObjectWhileHistoryHolds) {
@@ -97,15 +105,16 @@
   ASSERT_TRUE(comes(1));
   EXPECT_FALSE(told[0].complete);
   EXPECT_EQ(told[0].revision, 43);
-  ASSERT_EQ(told[0].members.size(), 2u);  // each server once, as it is now
+  ASSERT_EQ(told[0].members.size(), 2U);  // each server once, as it is now
   EXPECT_EQ(told[0].members[0].entry.state, ServerState::kRemoved);
-  agent->change({changed(servers[5], Phase::kDraining)});  // a fourth entry: the oldest difference is lost
+  agent->change(
+      {changed(servers[5], Phase::kDraining)});  // a fourth entry: the oldest difference is lost
   ASSERT_TRUE(comes(2));
   told.clear();
   watch(41);
   ASSERT_TRUE(comes(1));
   EXPECT_TRUE(told[0].complete);
-  EXPECT_EQ(told[0].members.size(), 49u);
+  EXPECT_EQ(told[0].members.size(), 49U);
 }
 
 TEST_F(AgentTest, AWholeListThatWasEncodedBeforeComesWithWhatChangedSince) {
@@ -148,7 +157,7 @@
   agent->turn_away(0);
   ASSERT_TRUE(until(io, [&] { return agent->counts().watchers == 1; }));
   agent->break_off();
-  EXPECT_EQ(agent->counts().watchers, 0u);
+  EXPECT_EQ(agent->counts().watchers, 0U);
   ASSERT_TRUE(until(io, [&] { return agent->counts().watchers == 1; }));
   const auto address = agent->address();
   agent->stop();
@@ -164,7 +173,7 @@
   make({.heartbeat = 100'000});
   watch(41);
   ASSERT_TRUE(until(io, [&] { return agent->counts().heartbeats >= 20; }));
-  EXPECT_EQ(agent->counts().connections, 1u);
+  EXPECT_EQ(agent->counts().connections, 1U);
 }
 
 TEST_F(AgentTest, WithoutAWatchTheListIsTheWholeAnswer) {
@@ -172,23 +181,28 @@
   const auto address = agent->address();
   tcp::socket socket(io);
   socket.connect(address);
-  asio::write(socket, asio::buffer(std::string("GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n")));
+  asio::write(socket,
+              asio::buffer(std::string("GET /catalog/members HTTP/1.1\r\nHost: x\r\n\r\n")));
   std::string answer;
   bool done = false;
-  asio::async_read_until(socket, asio::dynamic_buffer(answer), "]}\n", [&](auto, auto) { done = true; });
+  asio::async_read_until(socket, asio::dynamic_buffer(answer), "]}\n",
+                         [&](auto, auto) { done = true; });
   ASSERT_TRUE(until(io, [&] { return done; }));
-  const auto list = net::parse_members(nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4)));
-  EXPECT_EQ(list.members.size(), 50u);
+  const auto list =
+      net::parse_members(nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4)));
+  EXPECT_EQ(list.members.size(), 50U);
   EXPECT_TRUE(list.complete);
 }
 
-// ---- The counter --------------------------------------------------------------------------------------
+// ---- The counter
+// --------------------------------------------------------------------------------------
 class CounterServerTest : public ::testing::Test {
  protected:
   void make(CounterServer::Options options) {
     server.emplace(io, options);
-    client = std::make_shared<net::Counter>(io, timers, clock, server->address(), 5'000'000, 250'000,
-                                            [this](CounterAnswered a) { answers.push_back(a); });
+    client =
+        std::make_shared<net::Counter>(io, timers, clock, server->address(), 5'000'000, 250'000,
+                                       [this](CounterAnswered a) { answers.push_back(a); });
     client->start();
   }
   CounterAnswered add(std::int64_t name, double amount, Micros life = 4'000'000) {
@@ -210,9 +224,10 @@
   EXPECT_DOUBLE_EQ(add(9, 2.5).total, 2.5);
   EXPECT_DOUBLE_EQ(add(9, -1).total, 1.5);
   EXPECT_DOUBLE_EQ(add(8, 1e9).total, 1e9);
-  EXPECT_EQ(server->counts().names, 2u);
+  EXPECT_EQ(server->counts().names, 2U);
   EXPECT_DOUBLE_EQ(add(7, 1, 1'000).total, 1);  // lives 1 ms
-  ASSERT_TRUE(until(io, [&] { return add(7, 1, 1'000).total == 1 && server->counts().names >= 3; }));
+  ASSERT_TRUE(
+      until(io, [&] { return add(7, 1, 1'000).total == 1 && server->counts().names >= 3; }));
   ASSERT_TRUE(until(io, [&] { return server->counts().names == 0; }));  // swept
 }
 
@@ -222,25 +237,31 @@
   server->begin();
   EXPECT_EQ(add(1, 1).outcome, CountOutcome::kOk);
   answers.clear();
-  for (int i = 0; i < 40; ++i) client->add({1, 1, 4'000'000});
+  for (int i = 0; i < 40; ++i) {
+    client->add({1, 1, 4'000'000});
+  }
   ASSERT_TRUE(until(io, [&] { return answers.size() == 40; }));
   const auto ok = std::count_if(answers.begin(), answers.end(),
                                 [](const auto& a) { return a.outcome == CountOutcome::kOk; });
   EXPECT_GE(ok, 5);  // its line
   EXPECT_LT(ok, 40);
-  EXPECT_EQ(server->counts().turned_away, 1u + 40u - std::uint64_t(ok));
+  EXPECT_EQ(server->counts().turned_away, 1U + 40U - std::uint64_t(ok));
   EXPECT_DOUBLE_EQ(add(1, 0).total, 1 + double(ok));  // what was turned away was not added
 }
 
 TEST_F(CounterServerTest, CallsOfAPartThatIsDownWaitAndAnswersKeepTheirOrder) {
   make({.parts = 1});
   server->set_down(0, true);
-  for (int i = 1; i <= 3; ++i) client->add({i, double(i), 4'000'000});
+  for (int i = 1; i <= 3; ++i) {
+    client->add({i, double(i), 4'000'000});
+  }
   ASSERT_TRUE(until(io, [&] { return server->counts().calls == 3; }));
   EXPECT_TRUE(answers.empty());
   server->set_down(0, false);
   ASSERT_TRUE(until(io, [&] { return answers.size() == 3; }));
-  for (int i = 0; i < 3; ++i) EXPECT_DOUBLE_EQ(answers[std::size_t(i)].total, i + 1);
+  for (int i = 0; i < 3; ++i) {
+    EXPECT_DOUBLE_EQ(answers[std::size_t(i)].total, i + 1);
+  }
 }
 
 TEST_F(CounterServerTest, AnswersWhatThePageTellsRaw) {
@@ -250,17 +271,21 @@
   const auto call = [](std::vector<std::string> words) {
     std::ostringstream out;
     out << '*' << words.size() << "\r\n";
-    for (const auto& w : words) out << '$' << w.size() << "\r\n" << w << "\r\n";
+    for (const auto& w : words) {
+      out << '$' << w.size() << "\r\n" << w << "\r\n";
+    }
     return out.str();
   };
-  asio::write(socket,
-              asio::buffer(call({"PING"}) + call({"CLIENT", "SETNAME", "x"}) + call({"SELECT", "0"}) +
-                           call({"CNT.ADD", "n", "-2.5", "4000"}) + call({"CNT.ADD", "n", "2e9", "4000"}) +
-                           call({"CNT.ADD", std::string(65, 'n'), "1", "4000"}) +
-                           call({"CNT.ADD", "n", "1", "0"}) + call({"GET", "n"}) + call({"PING"})));
+  asio::write(
+      socket,
+      asio::buffer(call({"PING"}) + call({"CLIENT", "SETNAME", "x"}) + call({"SELECT", "0"}) +
+                   call({"CNT.ADD", "n", "-2.5", "4000"}) + call({"CNT.ADD", "n", "2e9", "4000"}) +
+                   call({"CNT.ADD", std::string(65, 'n'), "1", "4000"}) +
+                   call({"CNT.ADD", "n", "1", "0"}) + call({"GET", "n"}) + call({"PING"})));
   std::string in;
   const std::string want =
-      "+PONG\r\n+OK\r\n+OK\r\n$4\r\n-2.5\r\n-ERR no such call\r\n-ERR no such call\r\n-ERR no such call\r\n"
+      "+PONG\r\n+OK\r\n+OK\r\n$4\r\n-2.5\r\n-ERR no such call\r\n-ERR no such call\r\n-ERR no such "
+      "call\r\n"
       "-ERR no such call\r\n+PONG\r\n";
   bool done = false;
   asio::async_read(socket, asio::dynamic_buffer(in, want.size()), [&](auto, auto) { done = true; });
@@ -268,7 +293,8 @@
   EXPECT_EQ(in, want);
 }
 
-// ---- The servers --------------------------------------------------------------------------------------
+// ---- The servers
+// --------------------------------------------------------------------------------------
 TEST(OriginServersTest, AnswerAsThePageTells) {
   Machine machine;
   auto& servers = machine.host<OriginServers>(3, 7);
@@ -280,7 +306,8 @@
   const auto ask = [&](std::size_t server, const std::string& target, const std::string& headers) {
     tcp::socket socket(io);
     socket.connect(machine.run([&] { return servers.address(server); }));
-    asio::write(socket, asio::buffer("GET " + target + " HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n"));
+    asio::write(socket,
+                asio::buffer("GET " + target + " HTTP/1.1\r\nHost: x\r\n" + headers + "\r\n"));
     std::string answer;
     asio::read_until(socket, asio::dynamic_buffer(answer), "\r\n\r\n");
     return answer;
@@ -292,11 +319,12 @@
   EXPECT_EQ(ask(0, "/read/1", "").substr(0, 12), "HTTP/1.1 404");
   EXPECT_EQ(ask(0, "/ping", id).substr(0, 12), "HTTP/1.1 404");
   const auto counts = machine.run([&] { return servers.counts(); });
-  EXPECT_EQ(counts.requests, 5u);
-  EXPECT_EQ(counts.answers.at(404), 2u);
+  EXPECT_EQ(counts.requests, 5U);
+  EXPECT_EQ(counts.answers.at(404), 2U);
 }
 
-// ---- The day ------------------------------------------------------------------------------------------
+// ---- The day
+// ------------------------------------------------------------------------------------------
 TEST(DayTest, HasTheTargetsCountsInOrder) {
   const Target target;
   const Layout layout = Layout::at(target, target.servers, target.gateways);
@@ -304,7 +332,9 @@
   ASSERT_TRUE(std::is_sorted(day.begin(), day.end(),
                              [](const Happening& a, const Happening& b) { return a.at < b.at; }));
   std::map<std::pair<Cause, Change>, std::size_t> counts;
-  for (const Happening& h : day) ++counts[{h.cause, h.change}];
+  for (const Happening& h : day) {
+    ++counts[{h.cause, h.change}];
+  }
   const auto near = [](std::size_t count, double mean) {
     return std::abs(double(count) - mean) < 5 * std::sqrt(mean);
   };
@@ -313,7 +343,8 @@
             counts[(std::pair{Cause::kRestart, Change::kDraining})]);
   EXPECT_EQ(counts[(std::pair{Cause::kRestart, Change::kUp})],
             counts[(std::pair{Cause::kRestart, Change::kDraining})]);
-  EXPECT_TRUE(near(counts[{Cause::kConfiguration, Change::kSettings}], target.config_changes_per_day));
+  EXPECT_TRUE(
+      near(counts[{Cause::kConfiguration, Change::kSettings}], target.config_changes_per_day));
   // Machines hold several servers each, of which some may be away already.
   const auto machines = counts[{Cause::kMachine, Change::kGone}];
   EXPECT_TRUE(near(machines / kServersAMachine, target.failures_per_day)) << machines;
@@ -328,7 +359,8 @@
   const auto restarts = std::count_if(day.begin(), day.end(), [](const Happening& h) {
     return h.cause == Cause::kRestart && h.change == Change::kUp;
   });
-  EXPECT_NEAR(double(restarts), 1400, 5 * std::sqrt(1400.0));  // a tenth of the servers, all day long
+  EXPECT_NEAR(double(restarts), 1400,
+              5 * std::sqrt(1400.0));  // a tenth of the servers, all day long
   EXPECT_LT(day.back().at, Micros(30 * 3600e6 / 60));
 }
 
@@ -338,11 +370,14 @@
   const auto day = draw_day(layout, {.seed = 5, .share = 1});
   std::vector<Change> now(layout.servers, Change::kUp);
   for (const Happening& h : day) {
-    if (h.cause == Cause::kRegion || h.cause == Cause::kConfiguration) continue;
+    if (h.cause == Cause::kRegion || h.cause == Cause::kConfiguration) {
+      continue;
+    }
     Change& was = now.at(h.what);
-    const Change before = h.change == Change::kUp                                   ? Change::kGone
-                          : h.change == Change::kGone && h.cause == Cause::kRestart ? Change::kDraining
-                                                                                    : Change::kUp;
+    const Change before = h.change == Change::kUp ? Change::kGone
+                          : h.change == Change::kGone && h.cause == Cause::kRestart
+                              ? Change::kDraining
+                              : Change::kUp;
     EXPECT_EQ(was, before);
     was = h.change;
   }
@@ -351,18 +386,27 @@
 
 TEST(DayTest, ServersLieEvenly) {
   const Layout layout = Layout::at(Target{}, 170'000, 7'400);
-  std::map<std::size_t, std::size_t> zones, racks;
-  for (std::size_t i = 0; i < layout.servers; ++i) ++zones[layout.zone(i)], ++racks[layout.rack(i)];
-  ASSERT_EQ(zones.size(), 7u);
+  std::map<std::size_t, std::size_t> zones;
+  std::map<std::size_t, std::size_t> racks;
+  for (std::size_t i = 0; i < layout.servers; ++i) {
+    ++zones[layout.zone(i)], ++racks[layout.rack(i)];
+  }
+  ASSERT_EQ(zones.size(), 7U);
   EXPECT_EQ(racks.size(), layout.racks());
-  for (const auto& [zone, count] : zones) EXPECT_NEAR(double(count), 170'000 / 7.0, 1);
-  for (const auto& [rack, count] : racks) EXPECT_LE(count, Layout::rack_servers());
+  for (const auto& [zone, count] : zones) {
+    EXPECT_NEAR(double(count), 170'000 / 7.0, 1);
+  }
+  for (const auto& [rack, count] : racks) {
+    EXPECT_LE(count, Layout::rack_servers());
+  }
 }
 
-// ---- A fleet ------------------------------------------------------------------------------------------
+// ---- A fleet
+// ------------------------------------------------------------------------------------------
 TEST(FleetTest, TwentyHollowGatewaysServeAndFollowTheList) {
   CountedLog log;
-  Machine tier, counting;
+  Machine tier;
+  Machine counting;
   const auto servers = some_servers(200);
   auto& agent = tier.host<DiscoveryAgent>(DiscoveryAgent::Options{.servers = servers});
   auto& counter = counting.host<CounterServer>(CounterServer::Options{});
@@ -376,26 +420,30 @@
   Fleet fleet(options);
   fleet.expect(servers);
   constexpr Micros kBound = 20'000'000;
-  ASSERT_TRUE(fleet.wait([](const FleetState& s) { return s.right == 20 && s.served > 200; }, kBound));
-  EXPECT_GT(fleet.state().calls, 0u);
+  ASSERT_TRUE(
+      fleet.wait([](const FleetState& s) { return s.right == 20 && s.served > 200; }, kBound));
+  EXPECT_GT(fleet.state().calls, 0U);
 
   const Micros since = steady_now();
   auto gone = changed(servers[5], Phase::kRemoved);
   const auto revision = tier.run([&] { return agent.change({gone}); });
   fleet.expect(tier.run([&] { return agent.servers(); }));
-  ASSERT_TRUE(fleet.wait([&](const FleetState& s) { return s.least_revision >= revision; }, kBound));
-  EXPECT_EQ(fleet.state().right, 20u);
+  ASSERT_TRUE(
+      fleet.wait([&](const FleetState& s) { return s.least_revision >= revision; }, kBound));
+  EXPECT_EQ(fleet.state().right, 20U);
   const auto delays = fleet.delays(revision, since);
-  ASSERT_EQ(delays.size(), 20u);
-  for (const double d : delays) EXPECT_GT(d, 0);
+  ASSERT_EQ(delays.size(), 20U);
+  for (const double d : delays) {
+    EXPECT_GT(d, 0);
+  }
 
   fleet.restart(1);
   ASSERT_TRUE(fleet.wait([](const FleetState& s) { return s.right == 20; }, kBound));
   const FleetState s = fleet.state();
-  EXPECT_EQ(s.were_without, 0u);
-  EXPECT_EQ(tier.run([&] { return agent.counts().lists; }), 30u);  // ten started with none, again
-  EXPECT_GT(counting.run([&] { return counter.counts().calls; }), 0u);
-  EXPECT_EQ(s.failed, 0u);
+  EXPECT_EQ(s.were_without, 0U);
+  EXPECT_EQ(tier.run([&] { return agent.counts().lists; }), 30U);  // ten started with none, again
+  EXPECT_GT(counting.run([&] { return counter.counts().calls; }), 0U);
+  EXPECT_EQ(s.failed, 0U);
   EXPECT_GT(s.cpu, s.module_cpu);
 }
 
@@ -407,25 +455,28 @@
   how.fleet.groups = 2;
   World world(how);
   begin(world);
-  EXPECT_EQ(world.spent().discovery.lists, 0u);  // all started with the list
-  const auto day = draw_day(world.layout(), {.seed = 2, .hours = 1, .compression = 3'600, .share = 1});
+  EXPECT_EQ(world.spent().discovery.lists, 0U);  // all started with the list
+  const auto day =
+      draw_day(world.layout(), {.seed = 2, .hours = 1, .compression = 3'600, .share = 1});
   constexpr std::size_t kCut = 1;
   for (const bool history : {true, false}) {
     const auto before = world.spent();
     world.at_agent(kCut, [](DiscoveryAgent& agent) { agent.set_silent(true); });
-    EXPECT_GT(world.play(day, 1'000'000, 250'000), 100u);
+    EXPECT_GT(world.play(day, 1'000'000, 250'000), 100U);
     const auto revision = world.at_agent(0, [](DiscoveryAgent& agent) { return agent.revision(); });
     EXPECT_LT(world.fleet().state().least_revision, revision);  // of those that are cut
     world.at_agent(kCut, [history](DiscoveryAgent& agent) {
-      if (!history) agent.forget_history();
+      if (!history) {
+        agent.forget_history();
+      }
       agent.set_silent(false);
     });
-    EXPECT_TRUE(world.fleet().wait([revision](const FleetState& s) { return s.least_revision >= revision; },
-                                   kSettles));
+    EXPECT_TRUE(world.fleet().wait(
+        [revision](const FleetState& s) { return s.least_revision >= revision; }, kSettles));
     EXPECT_TRUE(world.all_right(kSettles));
-    EXPECT_EQ(world.spent().since(before).discovery.lists, history ? 0u : 4u);
+    EXPECT_EQ(world.spent().since(before).discovery.lists, history ? 0U : 4U);
   }
-  EXPECT_EQ(world.fleet().state().were_without, 0u);
+  EXPECT_EQ(world.fleet().state().were_without, 0U);
 }
 
 TEST(FleetTest, ASizePastTheDescriptorsIsRefusedBeforeItStarts) {
--- a/tests/simulator/wire_codec_test.cpp
+++ b/tests/simulator/wire_codec_test.cpp
@@ -14,13 +14,15 @@
   Host host;
   EXPECT_ANY_THROW(host.answer("[]"));
   EXPECT_ANY_THROW(host.answer("{"));
-  EXPECT_ANY_THROW(host.answer(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
+  EXPECT_ANY_THROW(
+      host.answer(R"({"ClockUs":1,"parts":[{"Who":"gateway-0","input":[{"what":"Knock"}]}]})"));
   EXPECT_ANY_THROW(host.answer(
       R"({"ClockUs":1,"parts":[{"Who":"g","input":[{"what":"Response","Id":"t/a","Go":0,"Disposition":"?"}]}]})"));
 }
 
 TEST(Codec, SettingsAreReadAndUnknownOnesSkipped) {
-  const Settings s = parse_settings(Json::parse(R"({"Az":"z","New":{"x":[1]},"ReplicasOfMe":3,"Position":2,
+  const Settings s =
+      parse_settings(Json::parse(R"({"Az":"z","New":{"x":[1]},"ReplicasOfMe":3,"Position":2,
     "Classes":[{"Name":"c","ObjectiveUs":5,"GiveUpUs":9,"Repeat":"keyed","DedupScope":"zone","WindowUs":7}],
     "TiersOfService":[{"Name":"p","QuotaRate":4.2,"Depth":19,"MaxOut":2,"NeverOverRate":8,"HardBurst":40}],
     "Limits":{"MaxAttempts":4,"MayCancel":true},"Extra":{"SharedCounter":true,"CounterTimeoutUs":80000},
@@ -38,7 +40,8 @@
 
 TEST(Codec, EventsAreRead) {
   const auto e = parse_event(
-      Json::parse(R"({"what":"Response","Id":"t/a","Billed":null,"DurationUs":18500,"Over":true,"Usage":86,
+      Json::parse(
+          R"({"what":"Response","Id":"t/a","Billed":null,"DurationUs":18500,"Over":true,"Usage":86,
       "Server":"s","Go":1,"Disposition":"RST","Feedback":{"active":7,"cpu":0.62,"odd":1},"more":0})"),
       {});
   const auto& a = std::get<AttemptEnded>(*e);
@@ -47,7 +50,8 @@
   EXPECT_EQ(a.meter, 86);
   EXPECT_DOUBLE_EQ(a.load.in_flight, 7);
   EXPECT_LT(a.load.queued, 0);
-  EXPECT_FALSE(parse_event(Json::parse(R"({"what":"Datagram","From":1,"Raw":"00"})"), {}).has_value());
+  EXPECT_FALSE(
+      parse_event(Json::parse(R"({"what":"Datagram","From":1,"Raw":"00"})"), {}).has_value());
 }
 
 TEST(Codec, ActionsAreWritten) {
@@ -65,8 +69,9 @@
     {"what":"Enlist","Entropy":5,"Info":{}},{"what":"DirectoryUpdate","Kind":"Persisted","SeqNo":1,"List":0},
     {"what":"Knock","Id":"t/a","GiveUpAtUs":2000000,"Member":"m"}]}]})");
   EXPECT_NE(reply.find(R"("Server":"s1")"), std::string::npos);
-  EXPECT_EQ(*host.answer(R"({"ClockUs":2,"parts":[{"Who":"gateway-0","input":[{"what":"Kill"}]}]})"),
-            R"({"parts":[]})");
+  EXPECT_EQ(
+      *host.answer(R"({"ClockUs":2,"parts":[{"Who":"gateway-0","input":[{"what":"Kill"}]}]})"),
+      R"({"parts":[]})");
 }
 
 }  // namespace
--- a/tests/support/bytes_sent.cpp
+++ b/tests/support/bytes_sent.cpp
@@ -10,7 +10,9 @@
 std::uint64_t bytes_sent(int socket) {
   tcp_info info{};
   socklen_t size = sizeof info;
-  if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return 0;
+  if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) {
+    return 0;
+  }
   return info.tcpi_bytes_sent;
 }
 
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -1,5 +1,6 @@
-// What the tests of the real gateway talk to: servers, a counter, discovery and clients on 127.0.0.1, port 0,
-// in the loop of the test itself, each doing just what its test tells it. Nothing here sleeps.
+// What the tests of the real gateway talk to: servers, a counter, discovery and clients on
+// 127.0.0.1, port 0, in the loop of the test itself, each doing just what its test tells it.
+// Nothing here sleeps.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,13 +28,17 @@
 using boost::system::error_code;
 using Request_ = http::request<http::string_body>;
 
-inline std::string label(std::string prefix, int n) { return prefix.append(std::to_string(n)); }
+inline std::string label(std::string prefix, int n) {
+  return prefix.append(std::to_string(n));
+}
 
 // Runs the loop until `done`, or fails the test after a time that no healthy run comes near.
 inline bool until(asio::io_context& io, const std::function<bool()>& done) {
   const auto end = std::chrono::steady_clock::now() + std::chrono::seconds(20);
   while (!done()) {
-    if (std::chrono::steady_clock::now() > end) return false;
+    if (std::chrono::steady_clock::now() > end) {
+      return false;
+    }
     io.restart();
     io.run_one_for(std::chrono::milliseconds(50));
   }
@@ -42,8 +47,8 @@
 
 inline std::string reply(const std::string& status, const std::string& headers = "",
                          const std::string& body = "") {
-  return "HTTP/1.1 " + status + "\r\n" + headers + "Content-Length: " + std::to_string(body.size()) +
-         "\r\n\r\n" + body;
+  return "HTTP/1.1 " + status + "\r\n" + headers +
+         "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 // A connection that something accepted; bytes in, whatever the owner makes of them.
@@ -60,7 +65,9 @@
                              }
                              pending.append(chunk_.data(), n);
                              took_(*this, pending);
-                             if (socket.is_open()) read();
+                             if (socket.is_open()) {
+                               read();
+                             }
                            });
   }
   void write(const std::string& text) {
@@ -96,7 +103,9 @@
   tcp::endpoint address() const { return acceptor.local_endpoint(); }
   std::string text() const { return "127.0.0.1:" + std::to_string(address().port()); }
   void stop() {
-    for (auto& p : peers) p->reset();
+    for (auto& p : peers) {
+      p->reset();
+    }
     acceptor.close();
   }
   tcp::acceptor acceptor;
@@ -108,9 +117,11 @@
  private:
   void accept() {
     acceptor.async_accept([this](error_code ec, tcp::socket socket) {
-      if (ec) return;
-      peers.push_back(
-          std::make_shared<Peer>(std::move(socket), [this](Peer& p, std::string& in) { took(p, in); }));
+      if (ec) {
+        return;
+      }
+      peers.push_back(std::make_shared<Peer>(std::move(socket),
+                                             [this](Peer& p, std::string& in) { took(p, in); }));
       peers.back()->read();
       accept();
     });
@@ -133,7 +144,9 @@
       parser.eager(true);
       error_code ec;
       const auto used = parser.put(asio::buffer(pending), ec);
-      if (ec || !parser.is_done()) return;
+      if (ec || !parser.is_done()) {
+        return;
+      }
       pending.erase(0, used);
       ++peer.requests;
       requests.push_back(parser.release());
@@ -145,11 +158,13 @@
 // Adds up what is added, unless told otherwise.
 class FakeCounter : public Listener {
  public:
-  explicit FakeCounter(asio::io_context& io, tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
+  explicit FakeCounter(asio::io_context& io,
+                       tcp::endpoint at = {asio::ip::address_v4::loopback(), 0})
       : Listener(io, at) {}
   bool silent = false;
   std::optional<std::string> answer;  // raw, in place of the total
-  std::size_t resets_every = 0;       // calls; the connection is reset under the last of them, added as it is
+  std::size_t resets_every =
+      0;  // calls; the connection is reset under the last of them, added as it is
   std::vector<std::vector<std::string>> calls;
   std::map<std::string, double> totals;
   std::shared_ptr<Peer> last;
@@ -158,7 +173,9 @@
   void took(Peer& peer, std::string& pending) override {
     last = peer.shared_from_this();
     auto& reader = readers_[&peer];
-    if (!reader) reader.reset(redisReaderCreate(), redisReaderFree);
+    if (!reader) {
+      reader.reset(redisReaderCreate(), redisReaderFree);
+    }
     redisReaderFeed(reader.get(), pending.data(), pending.size());
     pending.clear();
     void* raw = nullptr;
@@ -166,15 +183,23 @@
       const std::unique_ptr<void, void (*)(void*)> held(raw, freeReplyObject);
       const auto& r = *static_cast<redisReply*>(raw);
       std::vector<std::string> words;
-      for (std::size_t i = 0; i < r.elements; ++i) words.emplace_back(r.element[i]->str, r.element[i]->len);
+      for (std::size_t i = 0; i < r.elements; ++i) {
+        words.emplace_back(r.element[i]->str, r.element[i]->len);
+      }
       if (words[0] == "PING") {
-        if (!silent) peer.write("+PONG\r\n");
+        if (!silent) {
+          peer.write("+PONG\r\n");
+        }
         continue;
       }
       calls.push_back(words);
       const std::string total = std::to_string(totals[words[1]] += std::stod(words[2]));
-      if (silent) continue;
-      if (resets_every > 0 && calls.size() % resets_every == 0) return peer.reset();
+      if (silent) {
+        continue;
+      }
+      if (resets_every > 0 && calls.size() % resets_every == 0) {
+        return peer.reset();
+      }
       peer.write(answer ? *answer : "$" + std::to_string(total.size()) + "\r\n" + total + "\r\n");
     }
   }
@@ -201,11 +226,17 @@
 
  protected:
   void took(Peer& peer, std::string& pending) override {
-    if (pending.find("\r\n\r\n") == std::string::npos) return;
+    if (pending.find("\r\n\r\n") == std::string::npos) {
+      return;
+    }
     asked.push_back(pending.substr(4, pending.find(" HTTP/") - 4));
     pending.clear();
-    if (mute) return;
-    if (!refuse.empty()) return peer.write(refuse);
+    if (mute) {
+      return;
+    }
+    if (!refuse.empty()) {
+      return peer.write(refuse);
+    }
     peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(first));
   }
 };
@@ -213,7 +244,9 @@
 // A client with one connection.
 class Client {
  public:
-  Client(asio::io_context& io, const tcp::endpoint& to) : io_(io), socket(io) { socket.connect(to); }
+  Client(asio::io_context& io, const tcp::endpoint& to) : io_(io), socket(io) {
+    socket.connect(to);
+  }
   void send(const std::string& text) {
     error_code ignored;
     asio::write(socket, asio::buffer(text), ignored);
@@ -223,8 +256,12 @@
     std::optional<error_code> done;
     http::response<http::string_body> out;
     http::async_read(socket, buffer_, out, [&](error_code ec, std::size_t) { done = ec; });
-    if (!until(io_, [&] { return done.has_value(); })) ADD_FAILURE() << "no answer";
-    if (!done || *done) return std::nullopt;
+    if (!until(io_, [&] { return done.has_value(); })) {
+      ADD_FAILURE() << "no answer";
+    }
+    if (!done || *done) {
+      return std::nullopt;
+    }
     return out;
   }
   bool ended() {
@@ -244,12 +281,12 @@
 
 inline std::string get(const std::string& id, const std::string& more = "") {
   return "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
-         "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nQuota-Info: units=1,spread=3,first=0\r\n" + more +
-         "\r\n";
+         "\r\nPlan: plan-group\r\nX-Expires-In: 4000m\r\nQuota-Info: units=1,spread=3,first=0\r\n" +
+         more + "\r\n";
 }
 inline std::string post(const std::string& id, const std::string& expires = "4000m") {
-  return "POST /intro-request/00000000b4d65521?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " + id +
-         "\r\nPlan: plan-group\r\nX-Expires-In: " + expires + "\r\nIdempotency-Key: k-" + id +
+  return "POST /intro-request/00000000b4d65521?x=1 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: " +
+         id + "\r\nPlan: plan-group\r\nX-Expires-In: " + expires + "\r\nIdempotency-Key: k-" + id +
          "\r\nContent-Length: 5\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\nhello";
 }
 
@@ -261,15 +298,15 @@
   m.address = at.address();
   return m;
 }
-inline std::string entry(const std::string& id, const std::string& at, const std::string& phase = "up",
-                         std::int64_t since = 0) {
+inline std::string entry(const std::string& id, const std::string& at,
+                         const std::string& phase = "up", std::int64_t since = 0) {
   return R"({"id":")" + id + R"(","host_port":")" + at +
-         R"(","locality":"a","flavor":"m","cell":1,"phase":")" + phase + R"(","size":1.0,"up_since_ms":)" +
-         std::to_string(since) + "}";
+         R"(","locality":"a","flavor":"m","cell":1,"phase":")" + phase +
+         R"(","size":1.0,"up_since_ms":)" + std::to_string(since) + "}";
 }
 inline std::string list(std::int64_t revision, bool complete, const std::string& entries) {
-  return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" + (complete ? "true" : "false") +
-         R"(,"members":[)" + entries + "]}\n";
+  return R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" +
+         (complete ? "true" : "false") + R"(,"members":[)" + entries + "]}\n";
 }
 
 // A whole gateway in the test's loop, with a discovery that has nothing new to tell.
@@ -287,7 +324,8 @@
     s.may_cancel = s.may_advise = true;
     s.max_retry_after = 2'000'000;
     s.drain_grace = 500'000;
-    ClassSettings read, intro;
+    ClassSettings read;
+    ClassSettings intro;
     read.name = "profile-read";
     read.repeat = Repeat::kSafe;
     intro.name = "intro-request";
@@ -309,7 +347,8 @@
   Driver& start() {
     driver.emplace(io, config);
     if (!config.known.members.empty() && !discovery.mute) {
-      EXPECT_TRUE(until([&] { return driver->figures().find("app.targets=0\n") == std::string::npos; }));
+      EXPECT_TRUE(
+          until([&] { return driver->figures().find("app.targets=0\n") == std::string::npos; }));
     }
     return *driver;
   }
--- a/tests/support/process.hpp
+++ b/tests/support/process.hpp
@@ -51,7 +51,9 @@
     char byte;
     while (::read(errors_, &byte, 1) == 1) {
       log += byte;
-      if (byte == '\n' && log.find(text) != std::string::npos) break;
+      if (byte == '\n' && log.find(text) != std::string::npos) {
+        break;
+      }
     }
     return log;
   }
@@ -73,7 +75,8 @@
   int errors_ = -1;
 };
 
-// Below those that the kernel hands out: one of these could be anybody's before the process binds it.
+// Below those that the kernel hands out: one of these could be anybody's before the process binds
+// it.
 inline std::uint16_t free_port(asio::io_context& io) {
   static std::uint16_t next = std::uint16_t(12'000 + ::getpid() % 1'000 * 16);
   while (true) {
@@ -81,7 +84,9 @@
     at.set_option(tcp::acceptor::reuse_address(true));
     error_code taken;
     at.bind({asio::ip::address_v4::loopback(), ++next}, taken);
-    if (!taken) return next;
+    if (!taken) {
+      return next;
+    }
   }
 }
 
@@ -91,7 +96,8 @@
          discovery.text() +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
     )" + more +
-         R"("known":)" + list(41, true, members.empty() ? entry("s1", server.text()) : members) + R"(,
+         R"("known":)" + list(41, true, members.empty() ? entry("s1", server.text()) : members) +
+         R"(,
     "settings":{"Az":"a","ReplicasOfMe":3,"Position":0,"Classes":[{"Name":"profile-read","Repeat":"safe",
       "ObjectiveUs":3000000,"GiveUpUs":4000000,"Importance":1.0}],
       "TiersOfService":[{"Name":"plan-group","QuotaRate":900,"Depth":900}],"Limits":{"MaxAttempts":4}}})";
