--- a/include/quota_gateway/gateway.hpp
+++ b/include/quota_gateway/gateway.hpp
@@ -13,18 +13,19 @@
 
 using Micros = std::int64_t;  // microseconds; instants count from one clock that all gateways share
 
-// May a request run twice? kKeyed: only on servers that share memory of its key (see DedupScope).
-enum class Repeat { kSafe, kKeyed, kUnsafe };
+// May a request run twice? kIdempotencyKey: only on servers that share memory of its key (see
+// DedupScope).
+enum class Idempotency { kIdempotent, kIdempotencyKey, kNonIdempotent };
 enum class DedupScope { kAll, kZone, kCell };
 
 // One class of requests.
 struct ClassSettings {
   std::string name;
-  Micros aim = 1'000'000;       // an answer within this earns full worth
-  Micros deadline = 4'000'000;  // the client's whole patience, over all its tries
-  double worth = 1;
-  double late_worth = 0;  // part of the worth earned after the aim but before the deadline
-  Repeat repeat = Repeat::kUnsafe;
+  Micros latency_objective = 1'000'000;  // an answer within this earns full worth
+  Micros deadline = 4'000'000;           // the client's whole patience, over all its tries
+  double priority_weight = 1;
+  double late_value_fraction = 0;  // part of the worth earned after the aim but before the deadline
+  Idempotency idempotency = Idempotency::kNonIdempotent;
   DedupScope dedup_scope = DedupScope::kCell;
   Micros dedup_window = 0;  // how long duplicates of a keyed request are recognised
   bool streamed = false;
@@ -34,15 +35,15 @@
 // quota.
 struct PlanSettings {
   std::string name;
-  double rate = 0;  // units a second
-  double burst = 0;
-  int max_open = 0;         // attempts out at once
-  double ceiling_rate = 0;  // hard limit on units sent on, inside the quota or not
+  double quota_rate = 0;  // units a second
+  double quota_burst = 0;
+  int max_concurrent_attempts = 0;  // attempts out at once
+  double ceiling_rate = 0;          // hard limit on units sent on, inside the quota or not
   double ceiling_burst = 0;
   double ceiling_slack = 0;
-  double price = 1;
-  double over_worth = 0;  // part of its worth that a request sent on beyond the quota earns
-  double over_cost = 1;   // part of its worth that it costs
+  double value_factor = 1;
+  double over_quota_value = 0;  // part of its worth that a request sent on beyond the quota earns
+  double over_quota_cost = 1;   // part of its worth that it costs
 };
 
 // What a gateway is told at its start.
@@ -50,34 +51,35 @@
   std::string zone;
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
-  int gateways = 1;  // how many there are
-  int position = 0;  // which of them this is
-  Micros tick = 1'000;
+  int gateway_count = 1;  // how many there are
+  int gateway_index = 0;  // which of them this is
+  Micros clock_tick = 1'000;
   bool has_counter = false;
   Micros counter_timeout = 50'000;
   Micros meter_period = 0;  // 0: no meter
-  double largest_units = 1;
-  bool settles_later = false;  // units are a guess until the first good answer
+  double max_request_units = 1;
+  bool units_settled_later = false;  // units are a guess until the first good answer
   int max_attempts = 1;
-  bool may_probe = false;
-  bool may_cancel = false;
-  bool may_advise = false;  // clients are told a retry-after
+  bool health_checks_allowed = false;
+  bool cancellation_allowed = false;
+  bool retry_after_allowed = false;  // clients are told a retry-after
   Micros max_retry_after = 0;
-  Micros answer_grace = 0;
+  Micros response_grace = 0;
   Micros drain_grace = 0;
-  double cold_share = 1;  // a fresh server's part of its full capacity, at the least
-  Micros cold_time = 0;   // warm by then, at the latest
-  double cold_multiple = 1;
-  Micros cold_window = 0;  // more than cold_multiple x present capacity for this long breaks it
+  double slow_start_min_fraction = 1;  // a fresh server's part of its full capacity, at the least
+  Micros slow_start_duration = 0;      // warm by then, at the latest
+  double slow_start_overload_factor = 1;
+  Micros slow_start_overload_window =
+      0;  // more than slow_start_overload_factor x present capacity for this long breaks it
 };
 
-enum class ServerState { kUp, kDraining, kRemoved };
-struct ServerEntry {
+enum class EndpointState { kUp, kDraining, kRemoved };
+struct EndpointEntry {
   std::string server;
   std::string zone;
   std::string kind;
   std::int64_t cell = 0;
-  ServerState state = ServerState::kUp;
+  EndpointState state = EndpointState::kUp;
   double weight = 1;
   Micros started_at = 0;  // 0: long ago
 };
@@ -95,7 +97,7 @@
 enum class Outcome {
   kOk,
   kError,          // may have run
-  kFull,           // never ran
+  kOverloaded,     // never ran
   kTimeout,        // may have run, may be running
   kConnectFailed,  // never ran
   kReset,          // may have run
@@ -105,9 +107,9 @@
 
 // ---- Events
 // -------------------------------------------------------------------------------------------
-struct ServerListUpdate {
+struct EndpointListUpdate {
   enum class Kind { kPartial, kComplete, kPersisted, kError } kind = Kind::kComplete;
-  std::vector<ServerEntry> entries;
+  std::vector<EndpointEntry> entries;
 };
 struct RequestArrived {
   std::string id;
@@ -115,11 +117,11 @@
   std::string plan;
   std::string request_class;
   double units = 1;
-  Micros deadline = 0;    // when the client gives this try up
-  int set_size = 1;       // gateways through which this customer may come
-  int first_gateway = 0;  // position of the first of them; the others follow, counted round
-  bool client_retry = false;
-  bool body_follows =
+  Micros deadline = 0;           // when the client gives this try up
+  int gateway_subset_size = 1;   // gateways through which this customer may come
+  int gateway_subset_start = 0;  // position of the first of them; the others follow, counted round
+  bool is_client_retry = false;
+  bool body_pending =
       false;  // it is long and still comes; AttemptWritten tells when all of it has gone
 };
 struct AttemptWritten {
@@ -131,53 +133,53 @@
   int attempt = 0;
   std::string server;
 };
-struct AttemptEnded {
+struct AttemptCompleted {
   std::string id;
   int attempt = 0;
   std::string server;
   Outcome outcome = Outcome::kOk;
   Micros duration = 0;
-  bool finished = false;  // the client has its final answer
-  int meter = 0;          // 1 + percent of its quota that the customer used; 0: not said
-  double billed = 0;      // true units, where units are settled later
+  bool request_answered = false;  // the client has its final answer
+  int quota_usage = 0;            // 1 + percent of its quota that the customer used; 0: not said
+  double billed_units = 0;        // true units, where units are settled later
   LoadReport load;
 };
-// An answer that had begun, and of which AttemptEnded told that it was served, broke off at its
+// An answer that had begun, and of which AttemptCompleted told that it was served, broke off at its
 // server.
-struct AnswerCut {
+struct ResponseAborted {
   std::string server;
 };
-struct ClientGone {
+struct ClientDisconnected {
   std::string id;
 };
 struct TimerFired {
   std::int64_t token = 0;
 };
-struct ProbeEnded {
+struct HealthCheckCompleted {
   std::string server;
   Outcome outcome = Outcome::kOk;
   Micros duration = 0;
   LoadReport load;
 };
-enum class CountOutcome { kOk, kNotAdded, kUnknown };
-struct CounterAnswered {
+enum class CounterOutcome { kOk, kNotAdded, kUnknown };
+struct CounterReply {
   std::int64_t name = 0;
   double total = 0;
-  CountOutcome outcome = CountOutcome::kUnknown;
+  CounterOutcome outcome = CounterOutcome::kUnknown;
   Micros duration = 0;
 };
 // So many other processes of this gateway serve beside this one, an old one that leaves or a new
 // one.
-struct ProcessesChanged {
-  int others = 0;
+struct PeerProcessesChanged {
+  int peer_count = 0;
 };
 // These hold for requests that come from now on; those that are open keep the class they came with.
 struct SettingsChanged {
   Settings settings;
 };
-using Event = std::variant<ServerListUpdate, RequestArrived, StreamStarted, AttemptEnded,
-                           ClientGone, TimerFired, ProbeEnded, CounterAnswered, ProcessesChanged,
-                           SettingsChanged, AnswerCut, AttemptWritten>;
+using Event = std::variant<EndpointListUpdate, RequestArrived, StreamStarted, AttemptCompleted,
+                           ClientDisconnected, TimerFired, HealthCheckCompleted, CounterReply,
+                           PeerProcessesChanged, SettingsChanged, ResponseAborted, AttemptWritten>;
 
 // ---- Actions
 // ------------------------------------------------------------------------------------------
@@ -190,7 +192,7 @@
   std::string id;
   int attempt = 0;
 };
-struct Refuse {
+struct Reject {
   std::string id;
   Micros retry_after = 0;  // 0: no advice
 };
@@ -201,7 +203,7 @@
   Micros at = 0;
   std::int64_t token = 0;
 };
-struct SendProbe {
+struct SendHealthCheck {
   std::string server;
 };
 struct AddToCounter {
@@ -212,7 +214,7 @@
 struct LogLine {
   std::string text;
 };
-using Action = std::variant<SendAttempt, CancelAttempt, Refuse, Fail, SetTimer, SendProbe,
+using Action = std::variant<SendAttempt, CancelAttempt, Reject, Fail, SetTimer, SendHealthCheck,
                             AddToCounter, LogLine>;
 
 // One gateway. Deterministic: the same settings, seed, times and events give the same actions.
@@ -228,7 +230,7 @@
 
   // How many of the listed servers it avoids: those that drain, and those that failed and have not
   // answered since.
-  int avoided() const;
+  int unavailable_endpoints() const;
 
  private:
   class Impl;
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -290,13 +290,13 @@
 }
 
 // Calls as fast as answers come, so many at a time, each name once.
-class Caller {
+class AdminConnection {
  public:
-  Caller(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint to)
+  AdminConnection(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint to)
       : timers_(io, clock_),
         counter_(
-            std::make_shared<net::Counter>(io, timers_, clock_, to, 20'000'000, 5'000'000,
-                                           [this](const CounterAnswered& a) { answered(a); })) {
+            std::make_shared<net::CounterClient>(io, timers_, clock_, to, 20'000'000, 5'000'000,
+                                                 [this](const CounterReply& a) { answered(a); })) {
     counter_->start();
   }
   void run(std::int64_t first, std::int64_t end) {
@@ -315,14 +315,14 @@
       counter_->add({next_++, 1, 60'000'000});
     }
   }
-  void answered(const CounterAnswered& a) {
+  void answered(const CounterReply& a) {
     ++done_;
-    failed_ += a.outcome != CountOutcome::kOk;
+    failed_ += a.outcome != CounterOutcome::kOk;
     one();
   }
   net::Clock clock_;
   net::Timers timers_;
-  std::shared_ptr<net::Counter> counter_;
+  std::shared_ptr<net::CounterClient> counter_;
   std::int64_t next_ = 0, end_ = 0, done_ = 0, failed_ = 0;
 };
 
@@ -331,7 +331,7 @@
   Machine tier;
   Machine source;
   auto& counter = tier.host<CounterServer>(CounterServer::Options{});
-  auto& caller = source.host<Caller>(counter.address());
+  auto& caller = source.host<AdminConnection>(counter.address());
   const auto wait_for = [&](std::int64_t calls) {
     while (source.run([&] { return caller.done(); }) < calls) {
       if (until.left() == 0) {
--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -90,15 +90,15 @@
         discovery_(
             io, timers_, clock_, options.agents.at(position % options.agents.size()),
             known_ ? known_->revision : 0,
-            [this](const net::MemberList& list) {
-              told(list, list.complete ? ServerListUpdate::Kind::kComplete
-                                       : ServerListUpdate::Kind::kPartial);
+            [this](const net::EndpointList& list) {
+              told(list, list.complete ? EndpointListUpdate::Kind::kComplete
+                                       : EndpointListUpdate::Kind::kPartial);
             },
             random_(), 0, [this] { believe_known(); }) {
     if (options.counter) {
-      counter_ = std::make_shared<net::Counter>(
+      counter_ = std::make_shared<net::CounterClient>(
           io, timers_, clock_, *options.counter, options.settings.counter_timeout, 250'000,
-          [this](CounterAnswered a) { answered(std::move(a)); });
+          [this](CounterReply a) { answered(std::move(a)); });
       counter_->start();
     }
     discovery_.start();
@@ -143,8 +143,8 @@
 
   static Settings settings(const FleetOptions& options, std::size_t position) {
     Settings s = options.settings;
-    s.gateways = int(options.gateways);
-    s.position = int(position);
+    s.gateway_count = int(options.gateways);
+    s.gateway_index = int(position);
     s.has_counter = options.counter.has_value();
     return s;
   }
@@ -155,10 +155,10 @@
       return;
     }
     const auto known = std::exchange(known_, nullptr);
-    told(*known, ServerListUpdate::Kind::kPersisted);
+    told(*known, EndpointListUpdate::Kind::kPersisted);
   }
 
-  void told(net::MemberList list, ServerListUpdate::Kind kind) {
+  void told(net::EndpointList list, EndpointListUpdate::Kind kind) {
     told_revision_ = list.revision;
     catalog_.take(std::move(list));
     if (!applying_) {
@@ -167,16 +167,16 @@
   }
 
   // Slice by slice, as net::Driver does.
-  void apply(ServerListUpdate::Kind kind) {
-    ServerListUpdate update;
+  void apply(EndpointListUpdate::Kind kind) {
+    EndpointListUpdate update;
     update.kind = kind;
     update.entries = catalog_.apply().entries;
-    for (const ServerEntry& e : update.entries) {
+    for (const EndpointEntry& e : update.entries) {
       const std::size_t number = server_number(e.server);
       if (number >= up_.size()) {
         up_.resize(number + 1);
       }
-      up_[number] = e.state == ServerState::kUp;
+      up_[number] = e.state == EndpointState::kUp;
     }
     applying_ = !catalog_.settled();
     if (!update.entries.empty()) {
@@ -185,7 +185,7 @@
       in_force();  // nothing was new
     }
     if (applying_) {
-      asio::post(io_, [this] { apply(ServerListUpdate::Kind::kPartial); });
+      asio::post(io_, [this] { apply(EndpointListUpdate::Kind::kPartial); });
     }
   }
 
@@ -245,8 +245,8 @@
     r.plan = options_.settings.plans.at(tenant % options_.settings.plans.size()).name;
     r.request_class = options_.settings.classes.at(last_ % options_.settings.classes.size()).name;
     r.deadline = clock_.now() + kPatience;
-    r.set_size = spread;
-    r.first_gateway = int(set * std::size_t(spread));
+    r.gateway_subset_size = spread;
+    r.gateway_subset_start = int(set * std::size_t(spread));
     open_[r.id].deadline = r.deadline;
     ++sums_.requests;
     push(std::move(r));
@@ -258,14 +258,14 @@
     if (it == open_.end()) {
       return;
     }
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = id;
     e.attempt = attempt;
     e.server = server;
     e.outcome = outcome;
     e.duration = took;
-    e.finished = outcome == Outcome::kOk;
-    if (e.finished) {
+    e.request_answered = outcome == Outcome::kOk;
+    if (e.request_answered) {
       ++sums_.served, open_.erase(it);
     }
     push(std::move(e));
@@ -308,24 +308,24 @@
   void act(const CancelAttempt& a) {
     asio::post(io_, [this, a] { end_attempt(a.id, a.attempt, "", Outcome::kCancelled, 0); });
   }
-  void act(const Refuse& a) { sums_.refused += open_.erase(a.id); }
+  void act(const Reject& a) { sums_.refused += open_.erase(a.id); }
   void act(const Fail& a) { sums_.failed += open_.erase(a.id); }
   void act(const SetTimer& a) {
     timers_.at(a.at, [this, token = a.token] { push(TimerFired{token}); });
   }
-  void act(const SendProbe&) {}
+  void act(const SendHealthCheck&) {}
   void act(const AddToCounter& a) {
     ++sums_.calls;
     if (counter_) {
       return counter_->add(a);
     }
-    push(CounterAnswered{a.name, 0, CountOutcome::kNotAdded, 0});
+    push(CounterReply{a.name, 0, CounterOutcome::kNotAdded, 0});
   }
   void act(const LogLine&) {}
 
-  void answered(CounterAnswered a) {
-    sums_.calls_not_added += a.outcome == CountOutcome::kNotAdded;
-    sums_.calls_unknown += a.outcome == CountOutcome::kUnknown;
+  void answered(CounterReply a) {
+    sums_.calls_not_added += a.outcome == CounterOutcome::kNotAdded;
+    sums_.calls_unknown += a.outcome == CounterOutcome::kUnknown;
     push(std::move(a));
   }
 
@@ -336,8 +336,8 @@
   net::Clock clock_;
   net::Timers timers_;
   Gateway gateway_;
-  std::shared_ptr<const net::MemberList> known_;
-  net::Catalog catalog_;
+  std::shared_ptr<const net::EndpointList> known_;
+  net::EndpointTable catalog_;
   bool applying_ = false;
   std::vector<bool> up_;  // by number
   std::shared_ptr<const std::vector<bool>> expected_;
@@ -352,8 +352,8 @@
   std::vector<Event> events_;
   bool flushing_ = false;
   FleetState sums_;  // those that are sums
-  std::shared_ptr<net::Counter> counter_;
-  net::Discovery discovery_;
+  std::shared_ptr<net::CounterClient> counter_;
+  net::DiscoveryClient discovery_;
 };
 
 // ---- Groups
@@ -395,23 +395,23 @@
   Settings s;
   s.zone = "a";
   s.max_attempts = 3;
-  s.may_cancel = s.may_advise = true;
+  s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = 2'000'000;
   s.drain_grace = 250'000;
   ClassSettings read;
   ClassSettings write;
   read.name = "read";
-  read.repeat = Repeat::kSafe;
+  read.idempotency = Idempotency::kIdempotent;
   write.name = "write";
   s.classes = {read, write};
   PlanSettings small;
   PlanSettings large;
   small.name = "small";
-  small.rate = 20;
-  small.burst = 40;
+  small.quota_rate = 20;
+  small.quota_burst = 40;
   large.name = "large";
-  large.rate = 400;
-  large.burst = 800;
+  large.quota_rate = 400;
+  large.quota_burst = 800;
   s.plans = {small, large};
   return s;
 }
@@ -754,9 +754,9 @@
   return size;
 }
 
-std::shared_ptr<const net::MemberList> known_list(const std::vector<ListedServer>& servers,
-                                                  std::int64_t revision) {
-  auto list = std::make_shared<net::MemberList>();
+std::shared_ptr<const net::EndpointList> known_list(const std::vector<ListedServer>& servers,
+                                                    std::int64_t revision) {
+  auto list = std::make_shared<net::EndpointList>();
   list->revision = revision;
   list->complete = true;
   for (const ListedServer& s : servers) {
@@ -767,7 +767,7 @@
     m.entry.server = s.id;
     m.entry.zone = s.locality;
     m.entry.cell = s.cell;
-    m.entry.state = s.phase == Phase::kUp ? ServerState::kUp : ServerState::kDraining;
+    m.entry.state = s.phase == Phase::kUp ? EndpointState::kUp : EndpointState::kDraining;
     m.entry.weight = s.size;
     m.entry.started_at = s.up_since_ms * 1000;
     m.address = net::parse_endpoint(s.host_port);
--- a/scale/hollow.hpp
+++ b/scale/hollow.hpp
@@ -36,7 +36,8 @@
   int spread = 3;             // gateways of a tenant's set
   Micros service = 5'000;     // us from an attempt to its answer
   std::uint64_t seed = 1;
-  std::shared_ptr<const net::MemberList> known = nullptr;  // that a gateway starts with; null: none
+  std::shared_ptr<const net::EndpointList> known =
+      nullptr;  // that a gateway starts with; null: none
 
   static Settings fleet_settings();
 };
@@ -246,7 +247,7 @@
 void begin(World& world);
 
 // The list as the agents would tell it, for gateways that start with one.
-std::shared_ptr<const net::MemberList> known_list(const std::vector<ListedServer>& servers,
-                                                  std::int64_t revision);
+std::shared_ptr<const net::EndpointList> known_list(const std::vector<ListedServer>& servers,
+                                                    std::int64_t revision);
 
 }  // namespace quota_gateway::scale
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -38,8 +38,8 @@
   return double(info.uordblks + info.hblkhd) / 1e6;
 }
 
-ServerEntry entry(std::size_t n) {
-  ServerEntry e;
+EndpointEntry entry(std::size_t n) {
+  EndpointEntry e;
   e.server = label("s-", 100'000'000 + n);
   e.zone = std::string(1, char('a' + n % kBurstPart));
   e.kind = label("m", n % 3);
@@ -47,16 +47,16 @@
   return e;
 }
 
-ServerListUpdate whole_list(std::size_t servers) {
-  ServerListUpdate list;
+EndpointListUpdate whole_list(std::size_t servers) {
+  EndpointListUpdate list;
   for (std::size_t i = 0; i < servers; ++i) {
     list.entries.push_back(entry(i));
   }
   return list;
 }
 
-ServerListUpdate one_change(ServerEntry e) {
-  return {ServerListUpdate::Kind::kPartial, {std::move(e)}};
+EndpointListUpdate one_change(EndpointEntry e) {
+  return {EndpointListUpdate::Kind::kPartial, {std::move(e)}};
 }
 
 Settings settings(std::size_t gateways, std::size_t classes = 1) {
@@ -65,26 +65,26 @@
   for (std::size_t i = 0; i < classes; ++i) {
     ClassSettings c;
     c.name = classes == 1 ? "read" : label("service-", i % 6'100) + label("/route-", i);
-    c.aim = 3 * kS;
+    c.latency_objective = 3 * kS;
     c.deadline = 4 * kS;
-    c.late_worth = 0.5;
-    c.repeat = Repeat::kSafe;
+    c.late_value_fraction = 0.5;
+    c.idempotency = Idempotency::kIdempotent;
     s.classes.push_back(std::move(c));
   }
   PlanSettings plan;
   plan.name = "plan";
-  plan.rate = plan.burst = 1e6;
+  plan.quota_rate = plan.quota_burst = 1e6;
   s.plans.push_back(plan);
-  s.gateways = int(gateways);
-  s.position = int(gateways / 3);
+  s.gateway_count = int(gateways);
+  s.gateway_index = int(gateways / 3);
   s.has_counter = true;
   s.max_attempts = 3;
-  s.may_cancel = s.may_advise = true;
+  s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_retry_after = kS;
-  s.cold_share = 0.3;
-  s.cold_time = 10 * kS;
-  s.cold_multiple = 1.5;
-  s.cold_window = kS;
+  s.slow_start_min_fraction = 0.3;
+  s.slow_start_duration = 10 * kS;
+  s.slow_start_overload_factor = 1.5;
+  s.slow_start_overload_window = kS;
   return s;
 }
 
@@ -115,8 +115,8 @@
     r.plan = "plan";
     r.request_class = "read";
     r.deadline = now_ + 4 * kS;
-    r.set_size = 3;
-    r.first_gateway = int(who % 100);
+    r.gateway_subset_size = 3;
+    r.gateway_subset_start = int(who % 100);
     sent_ = refused_ = 0;
     const double us = tell(r);
     all_us_ += us;
@@ -132,7 +132,7 @@
       now_ = std::max(now_, due_.begin()->first);
       Event event = std::move(due_.begin()->second);
       due_.erase(due_.begin());
-      if (const auto* e = std::get_if<AttemptEnded>(&event)) {
+      if (const auto* e = std::get_if<AttemptCompleted>(&event)) {
         attempts_.erase(e->id);
       }
       const auto* timer = std::get_if<TimerFired>(&event);
@@ -156,30 +156,30 @@
   void later(Micros after, Event event) { due_.emplace(now_ + after, std::move(event)); }
   void on(const SendAttempt& a) {
     ++sent_;
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = a.id;
     e.server = a.server;
     e.attempt = attempts_[a.id]++;
     // A spread of a tenth; two servers are never quite alike.
     e.duration =
         Micros(double(answer_) * std::uniform_real_distribution<double>(0.9, 1.1)(random_));
-    e.finished = true;
+    e.request_answered = true;
     later(e.duration, e);
   }
   void on(const AddToCounter& a) {
-    CounterAnswered e;
+    CounterReply e;
     e.name = a.name;
     e.total = totals_[a.name] += a.amount;
-    e.outcome = CountOutcome::kOk;
+    e.outcome = CounterOutcome::kOk;
     e.duration = kCounterAnswer;
     later(kCounterAnswer, e);
   }
   void on(const SetTimer& t) { due_.emplace(std::max(t.at, now_), TimerFired{t.token}); }
-  void on(const Refuse&) { ++refused_; }
+  void on(const Reject&) { ++refused_; }
   void on(const Fail&) { ++refused_; }
   void on(const CancelAttempt&) {
   }  // answers come all the same; none is slow enough to be taken back
-  void on(const SendProbe&) {}
+  void on(const SendHealthCheck&) {}
   void on(const LogLine&) {}
 
   Gateway gateway_;
@@ -346,7 +346,7 @@
   std::mt19937_64 random(o.seed);
   const std::size_t rounds = o.small ? 10 : 100;
   std::map<std::string, std::vector<double>> us;
-  const auto change = [&](const char* kind, ServerEntry e) {
+  const auto change = [&](const char* kind, EndpointEntry e) {
     bench.run(bench.now() + 10 * kMs);
     const double took = bench.tell(one_change(std::move(e)));
     us[kind].push_back(took);
@@ -355,12 +355,12 @@
   };
   double spent = 0;
   for (std::size_t i = 0; i < rounds && spent < 4e6 && !bound.over(); ++i) {
-    ServerEntry e = entry(random() % servers);
-    e.state = ServerState::kDraining;
+    EndpointEntry e = entry(random() % servers);
+    e.state = EndpointState::kDraining;
     change("change_drain", e);
-    e.state = ServerState::kRemoved;
+    e.state = EndpointState::kRemoved;
     change("change_removed", e);
-    e.state = ServerState::kUp;
+    e.state = EndpointState::kUp;
     e.started_at = bench.now();
     change("change_restarted", e);
     change("change_new", entry(servers + i));
@@ -396,8 +396,8 @@
     std::vector<double> slices;
     std::vector<double> after;
     std::size_t changed = 0;
-    for (const ServerState state : {ServerState::kRemoved, ServerState::kUp}) {
-      ServerListUpdate slice{ServerListUpdate::Kind::kPartial, {}};
+    for (const EndpointState state : {EndpointState::kRemoved, EndpointState::kUp}) {
+      EndpointListUpdate slice{EndpointListUpdate::Kind::kPartial, {}};
       for (std::size_t i = 0; i < servers && !bound.over(); ++i) {
         if (i % kBurstPart == 0) {
           slice.entries.push_back(entry(i)), slice.entries.back().state = state;
@@ -430,17 +430,17 @@
   Teller tell{report, "module.list"};
   for (const std::size_t servers : server_sizes(o)) {
     const std::map<std::string, double> at = {{"servers", double(servers)}};
-    const ServerListUpdate list = whole_list(servers);
+    const EndpointListUpdate list = whole_list(servers);
     const double before = heap_mb();
     Bench bench(settings(most_gateways(o)), o.seed);
     tell.add("list_first", at, bench.tell(list) / 1e3, "ms");
     tell.add("memory", at, heap_mb() - before, "MB");
     tell.add("list_again", at, median_us("list", o.small, [&] { bench.tell(list); }) / 1e3, "ms");
     tell.add("memory_after", at, heap_mb() - before, "MB");
-    tell.add(
-        "avoided", at,
-        median_us("avoided", o.small, [&] { benchmark::DoNotOptimize(bench.gateway().avoided()); }),
-        "us");
+    tell.add("avoided", at,
+             median_us("unavailable_endpoints", o.small,
+                       [&] { benchmark::DoNotOptimize(bench.gateway().unavailable_endpoints()); }),
+             "us");
   }
   tell.fit({"list_first", "list_again", "memory", "memory_after", "avoided"}, "servers",
            Target{}.servers);
@@ -462,7 +462,7 @@
     {
       SettingsChanged one{settings(most_gateways(o), n)};
       SettingsChanged other = one;
-      other.settings.classes[n / 2].aim += kMs;
+      other.settings.classes[n / 2].latency_objective += kMs;
       const Event events[] = {one, other};
       one = other = {};
       std::size_t turn = 0;
--- a/scale/process_slopes.cpp
+++ b/scale/process_slopes.cpp
@@ -390,9 +390,9 @@
 };
 
 // Requests at a rate, each on a connection of its own for the time, from when it was due.
-class Caller {
+class AdminConnection {
  public:
-  Caller(asio::io_context& io, tcp::endpoint to, double rate, std::size_t count)
+  AdminConnection(asio::io_context& io, tcp::endpoint to, double rate, std::size_t count)
       : io_(io), timer_(io), to_(std::move(to)), rate_(rate), count_(count), begun_(steady_now()) {
     next();
   }
@@ -706,7 +706,7 @@
                 const std::function<void()>& meanwhile) {
   Machine clients;
   const auto count = std::size_t(kRequestsPerS * seconds);
-  Caller& caller = clients.host<Caller>(std::move(to), kRequestsPerS, count);
+  AdminConnection& caller = clients.host<AdminConnection>(std::move(to), kRequestsPerS, count);
   meanwhile();
   until(seconds + 10, [&] { return clients.run([&] { return caller.over(); }); });
   const auto waited = clients.run([&] { return caller.waited_ms(); });
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -27,9 +27,9 @@
 
 }  // namespace
 
-class Operators::Caller : public std::enable_shared_from_this<Caller> {
+class AdminServer::AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
-  Caller(Operators& door, tcp::socket socket) : door_(door), socket_(std::move(socket)) {
+  AdminConnection(AdminServer& door, tcp::socket socket) : door_(door), socket_(std::move(socket)) {
     parser_.header_limit(kMostHeader);
     parser_.body_limit(kMostCallBody);
   }
@@ -151,7 +151,7 @@
     });
   }
 
-  Operators& door_;
+  AdminServer& door_;
   tcp::socket socket_;
   http::request_parser<http::string_body> parser_;
   std::array<char, 2048> chunk_;
@@ -159,8 +159,8 @@
   bool answered_ = false;
 };
 
-Operators::Operators(asio::io_context& io, Timers& timers, const tcp::endpoint& at,
-                     std::function<bool()> ready, std::function<std::string()> figures)
+AdminServer::AdminServer(asio::io_context& io, Timers& timers, const tcp::endpoint& at,
+                         std::function<bool()> ready, std::function<std::string()> figures)
     : timers_(timers),
       at_(at),
       ready_(std::move(ready)),
@@ -168,10 +168,10 @@
       acceptor_(io) {
   listen();
 }
-Operators::~Operators() = default;
+AdminServer::~AdminServer() = default;
 
 // Danger: a door that can't be opened must not keep the gateway from serving; another try may.
-void Operators::listen() {
+void AdminServer::listen() {
   error_code ec;
   error_code ignored;
   acceptor_.open(at_.protocol(), ec);
@@ -190,7 +190,7 @@
   timers_.after(kListenAgain, [this] { listen(); });
 }
 
-void Operators::accept() {
+void AdminServer::accept() {
   acceptor_.async_accept([this](error_code ec, tcp::socket socket) {
     if (!acceptor_.is_open()) {
       return;
@@ -199,9 +199,9 @@
       return timers_.after(kAcceptAgain, [this] { accept(); });
     }
     if (callers_.size() >= kMostCallers) {
-      std::shared_ptr<Caller>(callers_.front())->close();
+      std::shared_ptr<AdminConnection>(callers_.front())->close();
     }
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
+    callers_.push_back(std::make_shared<AdminConnection>(*this, std::move(socket)));
     callers_.back()->start();
     accept();
   });
--- a/src/net/admin/admin_server.hpp
+++ b/src/net/admin/admin_server.hpp
@@ -18,15 +18,15 @@
 // can't either.
 constexpr std::size_t kMostCallers = 8;
 
-class Operators {
+class AdminServer {
  public:
-  Operators(boost::asio::io_context& io, Timers& timers, const boost::asio::ip::tcp::endpoint& at,
-            std::function<bool()> ready, std::function<std::string()> figures);
-  ~Operators();
+  AdminServer(boost::asio::io_context& io, Timers& timers, const boost::asio::ip::tcp::endpoint& at,
+              std::function<bool()> ready, std::function<std::string()> figures);
+  ~AdminServer();
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class Caller;
+  class AdminConnection;
   void listen();
   void accept();
 
@@ -35,7 +35,7 @@
   std::function<bool()> ready_;
   std::function<std::string()> figures_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::list<std::shared_ptr<Caller>> callers_;  // in the order in which they came
+  std::list<std::shared_ptr<AdminConnection>> callers_;  // in the order in which they came
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -59,10 +59,10 @@
 
 // One client connection. It reads ahead while a request is held, to notice that the client has
 // gone.
-class Frontend::Session : public std::enable_shared_from_this<Session> {
+class ClientListener::ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
   enum class State { kBetween, kReading, kHeld, kWriting, kClosing, kClosed };
-  Session(Frontend& front, std::uint64_t client, tcp::socket socket)
+  ClientSession(ClientListener& front, std::uint64_t client, tcp::socket socket)
       : front_(front),
         client_(client),
         socket_(std::move(socket)),
@@ -530,7 +530,7 @@
     return true;
   }
 
-  Frontend& front_;
+  ClientListener& front_;
   const std::uint64_t client_;
   tcp::socket socket_;
   State state_ = State::kBetween;
@@ -550,8 +550,9 @@
   bool watching_ = false;                // for the client's end, unread
 };
 
-Frontend::Frontend(asio::io_context& io, Timers& timers, const Clock& clock,
-                   const Settings& settings, std::size_t most_clients, ClientEvents events)
+ClientListener::ClientListener(asio::io_context& io, Timers& timers, const Clock& clock,
+                               const Settings& settings, std::size_t most_clients,
+                               ClientEvents events)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -561,9 +562,9 @@
       acceptor_(io) {
   sweep();
 }
-Frontend::~Frontend() = default;
+ClientListener::~ClientListener() = default;
 
-void Frontend::listen(const tcp::endpoint& at) {
+void ClientListener::listen(const tcp::endpoint& at) {
   // Danger: a process that could not be asked for its socket may still listen there. Then both do,
   // each with a queue of its own.
   acceptor_.open(at.protocol());
@@ -575,11 +576,11 @@
   acceptor_.listen();
 }
 
-void Frontend::adopt(const tcp::endpoint& at, int listening) {
+void ClientListener::adopt(const tcp::endpoint& at, int listening) {
   acceptor_.assign(at.protocol(), listening);
 }
 
-void Frontend::open() {
+void ClientListener::open() {
   open_ = true;
   leaving_ = false;
   accept();
@@ -587,14 +588,14 @@
 
 // Danger: the socket is not closed, for what waits in its queue is everybody's who holds it; and
 // were it closed here, this loop would go on hearing of it as long as the other process has it.
-void Frontend::leave() {
+void ClientListener::leave() {
   open_ = false;
   leaving_ = true;
   error_code ignored;
   acceptor_.cancel(ignored);
 }
 
-void Frontend::accept() {
+void ClientListener::accept() {
   if (accepting_ || !open_) {
     return;
   }
@@ -611,7 +612,7 @@
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.non_blocking(true, ignored);
-    const auto session = std::make_shared<Session>(*this, ++last_, std::move(socket));
+    const auto session = std::make_shared<ClientSession>(*this, ++last_, std::move(socket));
     sessions_.emplace(last_, session);
     session->read();
     if (sessions_.size() <= most_clients_ || evict()) {
@@ -622,8 +623,8 @@
 
 // Makes room for a new client, so that silent crowds don't keep the others out. False if all are
 // needed.
-bool Frontend::evict() {
-  std::shared_ptr<Session> least;
+bool ClientListener::evict() {
+  std::shared_ptr<ClientSession> least;
   int most = 0;
   for (const auto& [client, s] : sessions_) {
     if (client == last_) {
@@ -650,11 +651,11 @@
 // none, wait and are lost, while the gateway has next to nothing to do. So of those that rest,
 // those that rested longest go beyond a number. Harm: more clients than that who do come back in
 // turn connect anew for each request.
-void Frontend::trim_idle() {
-  std::shared_ptr<Session> longest;
+void ClientListener::trim_idle() {
+  std::shared_ptr<ClientSession> longest;
   std::size_t idle = 0;
   for (const auto& [client, s] : sessions_) {
-    if (s->state() != Session::State::kBetween || !s->served()) {
+    if (s->state() != ClientSession::State::kBetween || !s->served()) {
       continue;
     }
     ++idle;
@@ -667,7 +668,7 @@
   }
 }
 
-std::size_t Frontend::ahead() const {
+std::size_t ClientListener::ahead() const {
   std::size_t all = 0;
   for (const auto& [client, s] : sessions_) {
     all += s->ahead();
@@ -675,48 +676,49 @@
   return all;
 }
 
-void Frontend::erase(std::uint64_t client) {
+void ClientListener::erase(std::uint64_t client) {
   sessions_.erase(client);
   accept();
 }
 
-std::shared_ptr<Frontend::Session> Frontend::find(std::uint64_t client) const {
+std::shared_ptr<ClientListener::ClientSession> ClientListener::find(std::uint64_t client) const {
   const auto it = sessions_.find(client);
   return it == sessions_.end() ? nullptr : it->second;
 }
 
-void Frontend::answer(std::uint64_t client, Answer answer) {
+void ClientListener::answer(std::uint64_t client, Answer answer) {
   if (const auto s = find(client)) {
     s->answer(answer);
   }
 }
-void Frontend::begin(std::uint64_t client, std::optional<std::uint64_t> length, std::string piece) {
+void ClientListener::begin(std::uint64_t client, std::optional<std::uint64_t> length,
+                           std::string piece) {
   if (const auto s = find(client)) {
     s->begin(length, piece);
   }
 }
-void Frontend::pass(std::uint64_t client, std::string piece) {
+void ClientListener::pass(std::uint64_t client, std::string piece) {
   if (const auto s = find(client)) {
     s->pass(std::move(piece));
   }
 }
-void Frontend::finish(std::uint64_t client) {
+void ClientListener::finish(std::uint64_t client) {
   if (const auto s = find(client)) {
     s->finish();
   }
 }
-void Frontend::cut(std::uint64_t client) {
+void ClientListener::cut(std::uint64_t client) {
   if (const auto s = find(client)) {
     s->cut();
   }
 }
-void Frontend::pull(std::uint64_t client) {
+void ClientListener::pull(std::uint64_t client) {
   if (const auto s = find(client)) {
     s->pull();
   }
 }
 
-void Frontend::drain() {
+void ClientListener::drain() {
   draining_ = true;
   const auto sessions = sessions_;
   for (const auto& [client, s] : sessions) {
@@ -724,7 +726,7 @@
   }
 }
 
-bool Frontend::quiet() {
+bool ClientListener::quiet() {
   pollfd queue{acceptor_.native_handle(), POLLIN, 0};
   if (!leaving_ && ::poll(&queue, 1, 0) > 0) {
     return false;
@@ -734,7 +736,7 @@
                       [now](const auto& entry) { return entry.second->owes(now); });
 }
 
-void Frontend::sweep() {
+void ClientListener::sweep() {
   const Micros now = clock_.now();
   const auto sessions = sessions_;
   for (const auto& [client, s] : sessions) {
--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -34,11 +34,11 @@
   std::function<bool()> serves = [] { return true; };
 };
 
-class Frontend {
+class ClientListener {
  public:
-  Frontend(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-           const Settings& settings, std::size_t most_clients, ClientEvents events);
-  ~Frontend();
+  ClientListener(boost::asio::io_context& io, Timers& timers, const Clock& clock,
+                 const Settings& settings, std::size_t most_clients, ClientEvents events);
+  ~ClientListener();
 
   // Opens the clients' address, or goes on with a socket that listens there; nobody is let in
   // before open().
@@ -70,9 +70,9 @@
   bool quiet();
 
  private:
-  class Session;
+  class ClientSession;
   void accept();
-  std::shared_ptr<Session> find(std::uint64_t client) const;
+  std::shared_ptr<ClientSession> find(std::uint64_t client) const;
   bool evict();
   void trim_idle();
   void erase(std::uint64_t client);
@@ -86,7 +86,7 @@
   const std::size_t most_clients_;
   ClientEvents events_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<Session>> sessions_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<ClientSession>> sessions_;
   std::uint64_t last_ = 0;
   bool draining_ = false;
   bool open_ = false;     // new clients are let in
--- a/src/net/client/request_validator.cpp
+++ b/src/net/client/request_validator.cpp
@@ -111,11 +111,11 @@
     throw BadMessage("bad Quota-Info");
   }
   out.units = values[0];
-  if (out.units <= 0 || out.units > settings.largest_units) {
+  if (out.units <= 0 || out.units > settings.max_request_units) {
     throw BadMessage("units are out of range");
   }
-  out.set_size = whole(values[1], 1, settings.gateways, "spread");
-  out.first_gateway = whole(values[2], 0, settings.gateways - 1, "first");
+  out.gateway_subset_size = whole(values[1], 1, settings.gateway_count, "spread");
+  out.gateway_subset_start = whole(values[2], 0, settings.gateway_count - 1, "first");
 }
 
 // In one spelling, so that a customer has one quota however it is written.
@@ -143,7 +143,7 @@
 }
 
 void check_method(const Request& r, const ClassSettings& cls) {
-  const bool safe = cls.repeat == Repeat::kSafe;
+  const bool safe = cls.idempotency == Idempotency::kIdempotent;
   if (r.method() != (safe ? http::verb::get : http::verb::post)) {
     throw BadMessage("the method does not fit the class");
   }
@@ -173,13 +173,14 @@
   a.request_class = cls.name;
   check_method(r, cls);
   out.outgoing.trace_id = plain_field(r, "X-Trace-Id", true);
-  out.outgoing.key = plain_field(r, "Idempotency-Key", cls.repeat == Repeat::kKeyed);
+  out.outgoing.key =
+      plain_field(r, "Idempotency-Key", cls.idempotency == Idempotency::kIdempotencyKey);
   out.outgoing.host = plain_field(r, "Host", true);
   out.patience = parse_patience(field(r, "X-Expires-In", "X-Expires-In"), cls);
   a.plan = named(settings.plans, field(r, "Plan", "Plan"), "plan").name;
   parse_quota(field(r, "Quota-Info", "Quota-Info"), settings, a);
-  a.client_retry = r["X-Second-Try"] == "1";
-  out.safe = cls.repeat == Repeat::kSafe;
+  a.is_client_retry = r["X-Second-Try"] == "1";
+  out.safe = cls.idempotency == Idempotency::kIdempotent;
   out.outgoing.method = std::string(view(r.method_string()));
   out.outgoing.target = std::string(target);
   return out;
--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -31,7 +31,7 @@
   if (s.classes.empty()) {
     bad("settings name no class");
   }
-  if (s.gateways < 1 || s.position < 0 || s.position >= s.gateways) {
+  if (s.gateway_count < 1 || s.gateway_index < 0 || s.gateway_index >= s.gateway_count) {
     bad("settings: no such position");
   }
   if (s.max_attempts < 1) {
@@ -45,12 +45,13 @@
     if (c.deadline <= 0) {
       bad("class '" + c.name + "' has no deadline");
     }
-    if (c.aim <= 0) {
+    if (c.latency_objective <= 0) {
       bad("class '" + c.name + "' has no aim");
     }
   }
   for (const PlanSettings& p : s.plans) {
-    if (p.rate < 0 || p.burst < 0 || p.max_open < 0 || p.ceiling_rate < 0 || p.ceiling_burst < 0) {
+    if (p.quota_rate < 0 || p.quota_burst < 0 || p.max_concurrent_attempts < 0 ||
+        p.ceiling_rate < 0 || p.ceiling_burst < 0) {
       bad("plan '" + p.name + "' has a limit below 0");
     }
   }
@@ -108,14 +109,14 @@
   check_complete(was, is, "");
 }
 
-ConfigReader::ConfigReader(std::istream& file, Known known)
+ConfigLoader::ConfigLoader(std::istream& file, Known known)
     : file_(file),
-      reader_(
-          {"known", "members"}, {},
-          known == Known::kKept ? MemberReader::Keep::kSamples : MemberReader::Keep::kOnlySamples),
+      reader_({"known", "members"}, {},
+              known == Known::kKept ? EndpointListParser::Keep::kSamples
+                                    : EndpointListParser::Keep::kOnlySamples),
       piece_(32 << 10, '\0') {}
 
-bool ConfigReader::step() {
+bool ConfigLoader::step() {
   file_.read(piece_.data(), std::streamsize(piece_.size()));
   const std::string_view came(piece_.data(), std::size_t(file_.gcount()));
   const std::size_t used = reader_.take(came);
@@ -125,7 +126,7 @@
   return !came.empty();
 }
 
-ConfigFile ConfigReader::finish() {
+ConfigFile ConfigLoader::finish() {
   if (!reader_.done()) {
     bad("it breaks off");
   }
--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -11,17 +11,17 @@
 
 struct ConfigFile {
   nlohmann::json tree;  // of the members of `known`, one of each shape: of keys and kinds of values
-  MemberList known;
+  EndpointList known;
 };
 
 enum class Known { kKept, kOnlyChecked };
 
 // Reads a file piece by piece, without a tree of the members of `known`: of 170,000 it took 400 MB.
 // All of this throws std::exception with a message of one line.
-class ConfigReader {
+class ConfigLoader {
  public:
   enum class Known { kKept, kOnlyChecked };
-  ConfigReader(std::istream& file, Known known);
+  ConfigLoader(std::istream& file, Known known);
   // Reads on for about a millisecond. False: that was all.
   bool step();
   // Once all is read.
@@ -29,7 +29,7 @@
 
  private:
   std::istream& file_;
-  MemberReader reader_;
+  EndpointListParser reader_;
   std::string piece_;
 };
 // All but `known`.
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -60,8 +60,9 @@
 
 }  // namespace
 
-Counter::Counter(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint address,
-                 Micros call_timeout, Micros dial_timeout, Answered answered)
+CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Clock& clock,
+                             tcp::endpoint address, Micros call_timeout, Micros dial_timeout,
+                             Answered answered)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -71,13 +72,13 @@
       answered_(std::move(answered)),
       socket_(io) {}
 
-void Counter::start() {
+void CounterClient::start() {
   connect();
   tend();
 }
 
 // Danger: calls that are out may have been added; only their own connection can still tell.
-void Counter::retire() {
+void CounterClient::retire() {
   retired_ = true;
   if (state_ != State::kUp) {
     return lost("retired");
@@ -85,7 +86,7 @@
   leave_when_done();
 }
 
-void Counter::leave_when_done() {
+void CounterClient::leave_when_done() {
   const bool done =
       std::all_of(calls_.begin(), calls_.end(), [](const Call& c) { return c.answered || c.ping; });
   if (retired_ && state_ == State::kUp && done) {
@@ -93,7 +94,7 @@
   }
 }
 
-void Counter::connect() {
+void CounterClient::connect() {
   const int life = ++life_;
   state_ = State::kConnecting;
   heard_ = clock_.now();
@@ -133,7 +134,7 @@
   });
 }
 
-void Counter::add(const AddToCounter& call) {
+void CounterClient::add(const AddToCounter& call) {
   Call c;
   c.name = call.name;
   c.made = clock_.now();
@@ -141,7 +142,7 @@
   if (retired_ || state_ == State::kDown || calls_.size() >= kMostUnanswered ||
       !std::isfinite(call.amount)) {
     asio::post(io_, [this, self = shared_from_this(), c]() mutable {
-      finish(c, CountOutcome::kNotAdded);
+      finish(c, CounterOutcome::kNotAdded);
     });
     return;
   }
@@ -154,7 +155,7 @@
   write();
 }
 
-void Counter::write() {
+void CounterClient::write() {
   if (state_ != State::kUp || !writing_.empty()) {
     return;
   }
@@ -181,7 +182,7 @@
       });
 }
 
-void Counter::read() {
+void CounterClient::read() {
   socket_.async_read_some(asio::buffer(chunk_), [this, self = shared_from_this(), life = life_](
                                                     error_code ec, std::size_t size) {
     if (life != life_) {
@@ -203,7 +204,7 @@
   });
 }
 
-void Counter::took(std::size_t size) {
+void CounterClient::took(std::size_t size) {
   if (redisReaderFeed(reader_.get(), chunk_.data(), size) != REDIS_OK) {
     return lost("reader failed");
   }
@@ -230,7 +231,7 @@
 
 // False: what came is no answer to a call. The amount was added, and whether the next reply would
 // belong to the next call can't be known; danger: a total taken for that of another customer.
-bool Counter::reply(void* raw) {
+bool CounterClient::reply(void* raw) {
   const auto& r = *static_cast<redisReply*>(raw);
   Call call = calls_.front();
   calls_.pop_front();
@@ -240,17 +241,17 @@
   const std::string_view text(r.str ? r.str : "", r.str ? r.len : 0);
   double total = 0;
   if (r.type == REDIS_REPLY_STRING && parse_total(text, total)) {
-    finish(call, CountOutcome::kOk, total);
+    finish(call, CounterOutcome::kOk, total);
     return true;
   }
   const bool turned_away =
       r.type == REDIS_REPLY_ERROR && (text.substr(0, 4) == "BUSY" || text.substr(0, 3) == "ERR");
-  finish(call, turned_away ? CountOutcome::kNotAdded : CountOutcome::kUnknown);
+  finish(call, turned_away ? CounterOutcome::kNotAdded : CounterOutcome::kUnknown);
   return turned_away;
 }
 
 // Our time-out. A call that never left is taken out of the line and known not to be added.
-void Counter::expire(std::uint64_t number) {
+void CounterClient::expire(std::uint64_t number) {
   if (retired_) {
     asio::post(io_, [this, self = shared_from_this()] { leave_when_done(); });
   }
@@ -260,14 +261,14 @@
     return;
   }
   if (it->command.empty()) {
-    return finish(*it, CountOutcome::kUnknown);
+    return finish(*it, CounterOutcome::kUnknown);
   }
   Call call = std::move(*it);
   calls_.erase(it);
-  finish(call, CountOutcome::kNotAdded);
+  finish(call, CounterOutcome::kNotAdded);
 }
 
-void Counter::finish(Call& call, CountOutcome outcome, double total) {
+void CounterClient::finish(Call& call, CounterOutcome outcome, double total) {
   if (call.answered || call.ping) {
     return;
   }
@@ -275,7 +276,7 @@
   answered_({call.name, total, outcome, clock_.now() - call.made});
 }
 
-void Counter::lost(const std::string& why) {
+void CounterClient::lost(const std::string& why) {
   error_code ignored;
   socket_.close(ignored);
   const int life = ++life_;
@@ -306,12 +307,12 @@
   }
   for (Call& c : calls) {
     const bool left = c.command.empty() && c.end <= sent;
-    finish(c, left ? CountOutcome::kUnknown : CountOutcome::kNotAdded);
+    finish(c, left ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
   }
 }
 
 // Keeps an idle connection open and finds one that has gone silent.
-void Counter::tend() {
+void CounterClient::tend() {
   if (retired_ && state_ == State::kDown) {
     return;
   }
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -17,12 +17,12 @@
 
 namespace quota_gateway::net {
 
-class Counter : public std::enable_shared_from_this<Counter> {
+class CounterClient : public std::enable_shared_from_this<CounterClient> {
  public:
-  using Answered = std::function<void(CounterAnswered)>;
-  Counter(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-          boost::asio::ip::tcp::endpoint address, Micros call_timeout, Micros dial_timeout,
-          Answered answered);
+  using Answered = std::function<void(CounterReply)>;
+  CounterClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
+                boost::asio::ip::tcp::endpoint address, Micros call_timeout, Micros dial_timeout,
+                Answered answered);
   void start();
   // Takes no more calls and closes once those under way are answered or given up; never connects
   // again.
@@ -53,7 +53,7 @@
   void lost(const std::string& why);
   void expire(std::uint64_t number);
   void tend();
-  void finish(Call& call, CountOutcome outcome, double total = 0);
+  void finish(Call& call, CounterOutcome outcome, double total = 0);
 
   boost::asio::io_context& io_;
   Timers& timers_;
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -48,9 +48,10 @@
 
 }  // namespace
 
-Discovery::Discovery(asio::io_context& io, Timers& timers, const Clock& clock, tcp::endpoint agent,
-                     std::int64_t revision, Told told, std::uint64_t seed, Micros most_wait,
-                     std::function<void()> spoke, ListLimits limits)
+DiscoveryClient::DiscoveryClient(asio::io_context& io, Timers& timers, const Clock& clock,
+                                 tcp::endpoint agent, std::int64_t revision, Told told,
+                                 std::uint64_t seed, Micros most_wait, std::function<void()> spoke,
+                                 ListLimits limits)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -65,13 +66,13 @@
       backoff_(pushed_ ? kFirstPause : kFirstBackoff, pushed_ ? kMostPause : kMostBackoff, seed),
       turned_away_(kTurnedAway, std::max(kTurnedAway, most_wait), seed + 1) {}
 
-void Discovery::start() {
+void DiscoveryClient::start() {
   connect();
 }
 
 // Danger: another agent may not know our revision; what was told between would be lost. So the
 // whole list.
-void Discovery::move_to(tcp::endpoint agent) {
+void DiscoveryClient::move_to(tcp::endpoint agent) {
   agent_ = std::move(agent);
   whole_ = moved_ = true;
   list_.reset();  // what is left of it says nothing of the new agent
@@ -82,14 +83,14 @@
   lost("moves to another agent");
 }
 
-Micros Discovery::patience() const {
+Micros DiscoveryClient::patience() const {
   return spoke_ ? kQuiet : pushed_ ? kAnswerWithin : kAskedWithin;
 }
 
 // Danger: a watch can break without a word, and an agent can accept and never say one. Danger: when
 // this process stood still, what came meanwhile lies unread; only time in which the loop ran
 // counts.
-void Discovery::watch_quiet(int life, Micros due) {
+void DiscoveryClient::watch_quiet(int life, Micros due) {
   if (life != life_) {
     return;
   }
@@ -104,7 +105,7 @@
   timers_.at(next, [this, life, next] { watch_quiet(life, next); });
 }
 
-void Discovery::connect() {
+void DiscoveryClient::connect() {
   const int life = ++life_;
   heard_ = clock_.now();
   spoke_ = false;
@@ -122,7 +123,7 @@
   }
   const std::size_t most = tries_.most(heard_);
   narrow_ = false;
-  narrow(most == ListTries::kAll ? 0 : most <= limits_.peek ? kPeekBuffer : kSmallBuffer);
+  narrow(most == ListRetryPolicy::kAll ? 0 : most <= limits_.peek ? kPeekBuffer : kSmallBuffer);
   socket_.async_connect(agent_, [this, life](error_code ec) {
     if (life != life_) {
       return;
@@ -133,7 +134,7 @@
 
 // Danger: what an agent has sent has gone over the wire, read or not, and the system takes
 // megabytes ahead.
-void Discovery::narrow(int buffer) {
+void DiscoveryClient::narrow(int buffer) {
   if (!narrow_ && buffer == 0) {
     return;
   }
@@ -144,7 +145,7 @@
 }
 
 // Danger: a whole list may be what fails, while changes after the list in force would still come.
-void Discovery::request(int life) {
+void DiscoveryClient::request(int life) {
   request_ = "GET /catalog/members?watch=1";
   if (!moved_ && (!whole_ || narrow_)) {
     request_ += "&after=" + std::to_string(revision_);
@@ -158,7 +159,7 @@
   read(life);
 }
 
-void Discovery::read(int life) {
+void DiscoveryClient::read(int life) {
   const std::size_t most = narrow_ ? std::min(limits_.peek, chunk_.size()) : chunk_.size();
   socket_.async_read_some(asio::buffer(chunk_, most),
                           [this, life](error_code ec, std::size_t size) {
@@ -174,7 +175,7 @@
                               took(size);
                             } catch (const TooLarge& e) {
                               whole_ = true;
-                              return lost(e.what(), ListTries::Cause::kTooLarge);
+                              return lost(e.what(), ListRetryPolicy::Cause::kTooLarge);
                             } catch (const std::exception& e) {
                               // Danger: what was not understood is a gap; only the whole list
                               // closes it.
@@ -187,7 +188,7 @@
                           });
 }
 
-void Discovery::took(std::size_t size) {
+void DiscoveryClient::took(std::size_t size) {
   pending_.append(chunk_.data(), size);
   while (!pending_.empty()) {
     error_code ec;
@@ -230,7 +231,7 @@
 
 // A list is over where its brackets are, not where its line is: it may come indented. An empty line
 // between two is a heartbeat.
-void Discovery::text(std::string_view piece) {
+void DiscoveryClient::text(std::string_view piece) {
   while (!piece.empty()) {
     if (!list_) {
       if (piece[0] == '\n') {
@@ -254,7 +255,7 @@
   }
 }
 
-void Discovery::begin_list() {
+void DiscoveryClient::begin_list() {
   list_.emplace(std::vector<std::string>{"members"},
                 ReadLimits{limits_.memory, kTextForMemory * limits_.memory, kMostAround});
   ++begun_;
@@ -265,8 +266,8 @@
 
 // Danger: a list that fails again and again is left as soon as it can be told from one that would
 // not.
-void Discovery::judge() {
-  if (most_ == ListTries::kAll) {
+void DiscoveryClient::judge() {
+  if (most_ == ListRetryPolicy::kAll) {
     return;
   }
   if (const auto head = judged_ ? std::nullopt : list_->head()) {
@@ -274,7 +275,7 @@
     // What does not say so before its members may be whole.
     const bool whole = head->complete.value_or(true);
     if (!whole && (!failed_ || failed_->complete.value_or(true))) {
-      most_ = ListTries::kAll;
+      most_ = ListRetryPolicy::kAll;
       return narrow(0);
     }
     if (whole && most_ <= limits_.peek && failed_ && failed_->revision == head->revision) {
@@ -286,9 +287,9 @@
   }
 }
 
-void Discovery::end_list() {
+void DiscoveryClient::end_list() {
   heard();
-  MemberList list = list_->list(list_->rest());
+  EndpointList list = list_->list(list_->rest());
   // Danger: a discovery that has lost its own list would take every server from all gateways at
   // once.
   if (list.complete && list.members.empty()) {
@@ -308,12 +309,12 @@
   told_(std::move(list));
 }
 
-Micros Discovery::list_within() const {
+Micros DiscoveryClient::list_within() const {
   return pushed_ ? kListWithin : kAskedListWithin;
 }
 
 // Some of a list that is not over yet.
-void Discovery::came(std::size_t size) {
+void DiscoveryClient::came(std::size_t size) {
   const Micros now = clock_.now();
   const bool first = came_ == 0;
   came_ = now;
@@ -325,7 +326,7 @@
 }
 
 // Danger: as with a quiet watch, only time in which the loop ran counts.
-void Discovery::watch_list(int life, int begun, Micros due) {
+void DiscoveryClient::watch_list(int life, int begun, Micros due) {
   if (life != life_ || begun != begun_ || !list_) {
     return;
   }
@@ -337,12 +338,12 @@
   const Micros next = std::min(came_ + list_within(), pace_);
   if (now >= next) {
     whole_ = true;
-    return lost("a list does not end", ListTries::Cause::kUnended);
+    return lost("a list does not end", ListRetryPolicy::Cause::kUnended);
   }
   timers_.at(next, [this, life, begun, next] { watch_list(life, begun, next); });
 }
 
-void Discovery::heard() {
+void DiscoveryClient::heard() {
   backoff_.reset();
   turned_away_.reset();
   if (lost_at_ > 0) {
@@ -352,13 +353,13 @@
 }
 
 // Returns how long to wait before the next is asked for.
-Micros Discovery::give_up_list(const std::string& why, ListTries::Cause cause) {
+Micros DiscoveryClient::give_up_list(const std::string& why, ListRetryPolicy::Cause cause) {
   const Micros now = clock_.now();
   const std::size_t bytes = list_->bytes();
   const std::size_t members = list_->members();
   if (most_ > limits_.peek) {
     try {
-      failed_ = list_->head().value_or(MemberReader::Head{});
+      failed_ = list_->head().value_or(EndpointListParser::Head{});
     } catch (const std::exception&) {
       failed_.emplace();
     }
@@ -375,7 +376,7 @@
   return wait;
 }
 
-void Discovery::lost(const std::string& why, ListTries::Cause cause) {
+void DiscoveryClient::lost(const std::string& why, ListRetryPolicy::Cause cause) {
   error_code ignored;
   socket_.close(ignored);
   const int life = ++life_;
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -17,14 +17,14 @@
 
 namespace quota_gateway::net {
 
-class Discovery {
+class DiscoveryClient {
  public:
-  using Told = std::function<void(MemberList)>;
+  using Told = std::function<void(EndpointList)>;
   // `spoke` comes first: the agent answers, whether it has news or not. `most_wait`: between two
   // calls where lists are asked for and discovery turns us away; 0: lists are pushed, and an agent
   // beside us answers at once and at no cost. `limits`: what a list may take, and what those that
   // come to nothing may cost.
-  Discovery(
+  DiscoveryClient(
       boost::asio::io_context& io, Timers& timers, const Clock& clock,
       boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Told told,
       std::uint64_t seed = 0, Micros most_wait = 0, std::function<void()> spoke = [] {},
@@ -49,8 +49,8 @@
   Micros list_within() const;
   void watch_list(int life, int begun, Micros due);
   void narrow(int buffer);
-  void lost(const std::string& why, ListTries::Cause cause = ListTries::Cause::kBroken);
-  Micros give_up_list(const std::string& why, ListTries::Cause cause);
+  void lost(const std::string& why, ListRetryPolicy::Cause cause = ListRetryPolicy::Cause::kBroken);
+  Micros give_up_list(const std::string& why, ListRetryPolicy::Cause cause);
   Micros patience() const;
   void watch_quiet(int life, Micros due);
 
@@ -69,11 +69,11 @@
   std::array<char, 16384> chunk_;
   std::string pending_, request_;
   const ListLimits limits_;
-  ListTries tries_;
-  std::optional<MemberReader> list_;          // that is coming
-  std::size_t most_ = 0;                      // bytes of it that may be read
-  bool judged_ = false;                       // it is known what it is
-  std::optional<MemberReader::Head> failed_;  // of the last list that failed
+  ListRetryPolicy tries_;
+  std::optional<EndpointListParser> list_;          // that is coming
+  std::size_t most_ = 0;                            // bytes of it that may be read
+  bool judged_ = false;                             // it is known what it is
+  std::optional<EndpointListParser::Head> failed_;  // of the last list that failed
   Micros came_ = 0, pace_ = 0;  // when some of it last came; by when more of it must have come
   int begun_ = 0;               // lists, so far
   bool narrow_ = false;         // little of what this connection brings may be read
--- a/src/net/discovery/endpoint_list_parser.cpp
+++ b/src/net/discovery/endpoint_list_parser.cpp
@@ -19,15 +19,15 @@
   return c == ' ' || c == '\t' || c == '\r' || c == '\n';
 }
 
-ServerState parse_state(const std::string& phase) {
+EndpointState parse_state(const std::string& phase) {
   if (phase == "draining") {
-    return ServerState::kDraining;
+    return EndpointState::kDraining;
   }
   if (phase == "removed") {
-    return ServerState::kRemoved;
+    return EndpointState::kRemoved;
   }
   if (phase == "up") {
-    return ServerState::kUp;
+    return EndpointState::kUp;
   }
   throw std::runtime_error("unknown phase " + phase);
 }
@@ -61,7 +61,7 @@
     }
     MemberEntry& e = member_.entry;
     e.state = parse_state(phase_);
-    if (e.state != ServerState::kRemoved || has_address_) {
+    if (e.state != EndpointState::kRemoved || has_address_) {
       if (!has_address_) {
         throw std::runtime_error("no address of '" + e.server + "'");
       }
@@ -209,8 +209,8 @@
   return {address, static_cast<unsigned short>(port)};
 }
 
-MemberList parse_members(const json& list) {
-  MemberReader reader({"members"});
+EndpointList parse_members(const json& list) {
+  EndpointListParser reader({"members"});
   reader.take(list.dump());
   return reader.list(reader.rest());
 }
@@ -229,10 +229,10 @@
 
 // ---- From text
 // ----------------------------------------------------------------------------------------
-MemberReader::MemberReader(std::vector<std::string> path, ReadLimits limits, Keep keep)
+EndpointListParser::EndpointListParser(std::vector<std::string> path, ReadLimits limits, Keep keep)
     : path_(std::move(path)), limits_(limits), keep_(keep), keys_(path_.size() + 1) {}
 
-std::size_t MemberReader::take(std::string_view piece) {
+std::size_t EndpointListParser::take(std::string_view piece) {
   std::size_t at = 0;
   bytes_ += piece.size();
   while (at < piece.size() && !done_) {
@@ -252,7 +252,7 @@
 }
 
 // The text but for the members. Of spaces one is as good as many, and many could fill the memory.
-void MemberReader::around(char c) {
+void EndpointListParser::around(char c) {
   if (quoted_) {
     rest_ += c;
     if (!std::exchange(escaped_, false)) {
@@ -289,7 +289,7 @@
   }
 }
 
-void MemberReader::opened(char bracket) {
+void EndpointListParser::opened(char bracket) {
   const auto depth = std::size_t(++depth_);
   if (depth < keys_.size()) {
     keys_[depth].clear();
@@ -309,7 +309,7 @@
 }
 
 // Between two members.
-void MemberReader::between(char c) {
+void EndpointListParser::between(char c) {
   if (is_space(c)) {
     return;
   }
@@ -324,7 +324,7 @@
 }
 
 // Of a member, which begins here or has begun before: how much of the piece is part of it.
-std::size_t MemberReader::within(std::string_view piece) {
+std::size_t EndpointListParser::within(std::string_view piece) {
   for (std::size_t i = 0; i < piece.size(); ++i) {
     const char c = piece[i];
     if (quoted_) {
@@ -356,7 +356,7 @@
   return piece.size();
 }
 
-void MemberReader::member(std::string_view text) {
+void EndpointListParser::member(std::string_view text) {
   thread_local MemberHandler handler;
   handler.reset();
   json::sax_parse(text.begin(), text.end(), &handler);
@@ -378,7 +378,7 @@
   }
 }
 
-std::optional<MemberReader::Head> MemberReader::head() const {
+std::optional<EndpointListParser::Head> EndpointListParser::head() const {
   if (!in_array_) {
     return std::nullopt;
   }
@@ -393,8 +393,8 @@
   return out;
 }
 
-MemberList MemberReader::list(const json& around) {
-  MemberList out;
+EndpointList EndpointListParser::list(const json& around) {
+  EndpointList out;
   out.revision = around.at("revision").get<std::int64_t>();
   out.complete = around.value("complete", false);
   if (const json& members = around.at("members"); !members.is_array() && !members.is_null()) {
--- a/src/net/discovery/endpoint_list_parser.hpp
+++ b/src/net/discovery/endpoint_list_parser.hpp
@@ -18,15 +18,15 @@
 
 namespace quota_gateway::net {
 
-// As the module's ServerEntry, which it becomes where one is wanted, without the kind that nothing
-// reads. Danger: a list may name 170,000 of them; each byte here is 170 KB.
+// As the module's EndpointEntry, which it becomes where one is wanted, without the kind that
+// nothing reads. Danger: a list may name 170,000 of them; each byte here is 170 KB.
 struct MemberEntry {
   std::string server, zone;
   std::int64_t cell = 0;
   double weight = 1;
   Micros started_at = 0;
-  ServerState state = ServerState::kUp;
-  operator ServerEntry() const { return {server, zone, "", cell, state, weight, started_at}; }
+  EndpointState state = EndpointState::kUp;
+  operator EndpointEntry() const { return {server, zone, "", cell, state, weight, started_at}; }
 };
 struct Member {
   MemberEntry entry;
@@ -37,14 +37,14 @@
 // Bytes, about.
 std::size_t memory(const Member& member);
 
-struct MemberList {
+struct EndpointList {
   std::int64_t revision = 0;
   bool complete = false;  // else only what changed
   Members members;
 };
 
 // Throws std::exception on a list of the wrong shape.
-MemberList parse_members(const nlohmann::json& list);
+EndpointList parse_members(const nlohmann::json& list);
 boost::asio::ip::tcp::endpoint parse_endpoint(const std::string& text);
 
 // More than may be kept or waited for, whatever else would follow.
@@ -62,15 +62,15 @@
 // Takes a JSON object in pieces. Each object of the array at `path` is parsed once its closing
 // bracket has come and is kept as a member; the rest of the text stays as it is and is parsed at
 // the end.
-class MemberReader {
+class EndpointListParser {
  public:
   enum class Keep {
     kMembers,
     kSamples,  // besides, in the rest, one member of each shape: of keys and kinds of values
     kOnlySamples
   };
-  explicit MemberReader(std::vector<std::string> path, ReadLimits limits = {},
-                        Keep keep = Keep::kMembers);
+  explicit EndpointListParser(std::vector<std::string> path, ReadLimits limits = {},
+                              Keep keep = Keep::kMembers);
 
   // Returns how many bytes it took: all, or those up to the object's end. Throws std::exception.
   std::size_t take(std::string_view piece);
@@ -87,7 +87,7 @@
   // Once done: all but the members.
   nlohmann::json rest() const { return nlohmann::json::parse(rest_); }
   // Once done; `around`: the object in rest() that the members stand in.
-  MemberList list(const nlohmann::json& around);
+  EndpointList list(const nlohmann::json& around);
 
  private:
   enum class Next { kFirst, kMember, kComma };  // within the array
--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -127,7 +127,7 @@
 
 // ---- Lists on their way
 // -------------------------------------------------------------------------------
-void Catalog::take(MemberList list) {
+void EndpointTable::take(EndpointList list) {
   if (list.complete) {
     pending_.clear();
     newer_.clear();
@@ -137,7 +137,7 @@
   pending_.back().sequence = ++sequence_;
 }
 
-Difference Catalog::apply() {
+Difference EndpointTable::apply() {
   looks_ = 0;
   while (!pending_.empty() && within_slice()) {
     advance(next());
@@ -149,7 +149,7 @@
 }
 
 // What is urgent in any list comes before what is not in the first.
-Catalog::Pending& Catalog::next() {
+EndpointTable::Pending& EndpointTable::next() {
   for (Pending& p : pending_) {
     if (p.phase < Pending::Phase::kRest) {
       return p;
@@ -158,7 +158,7 @@
   return pending_.front();
 }
 
-void Catalog::advance(Pending& p) {
+void EndpointTable::advance(Pending& p) {
   using Phase = Pending::Phase;
   auto& members = p.list.members;
   if (p.phase == Phase::kDone) {
@@ -197,7 +197,7 @@
 }
 
 // Lets a list go that is in force, the first. Danger: all of a long one at once takes milliseconds.
-void Catalog::end(Pending& p) {
+void EndpointTable::end(Pending& p) {
   auto& members = p.list.members;
   for (; !members.empty() && within_slice(); ++looks_) {
     members.pop_back();
@@ -208,7 +208,7 @@
 }
 
 // Applies what must not wait. False if nothing else is to be done about the member.
-bool Catalog::look_urgent(const Member& m, const Pending& p) {
+bool EndpointTable::look_urgent(const Member& m, const Pending& p) {
   const auto slot = slot_of(m.entry.server);
   if (overtaken(m.entry.server, slot, p.sequence)) {
     return false;
@@ -225,9 +225,9 @@
   if (unchanged) {
     return !p.list.complete;
   }
-  if (m.entry.state == ServerState::kRemoved) {
+  if (m.entry.state == EndpointState::kRemoved) {
     remove(*slot, p.sequence);
-  } else if (m.entry.state == ServerState::kDraining || r.started_at != m.entry.started_at ||
+  } else if (m.entry.state == EndpointState::kDraining || r.started_at != m.entry.started_at ||
              (m.address.port() != 0 && !is_at(r, m.address))) {
     update(*slot, m, p.sequence);
   }
@@ -236,8 +236,8 @@
 
 // Danger: what is meant for the one that was at an address would come to the new one there, which
 // may be cold. The last to start is the one that is there, and of equals the one told last.
-void Catalog::settle_address(const Member& m, const Pending& p) {
-  if (m.entry.state == ServerState::kRemoved || m.address.port() == 0) {
+void EndpointTable::settle_address(const Member& m, const Pending& p) {
+  if (m.entry.state == EndpointState::kRemoved || m.address.port() == 0) {
     return;
   }
   if (overtaken(m.entry.server, slot_of(m.entry.server), p.sequence)) {
@@ -252,7 +252,7 @@
   }
 }
 
-bool Catalog::outranked(const Member& m, Sequence sequence) const {
+bool EndpointTable::outranked(const Member& m, Sequence sequence) const {
   return m.address.port() != 0 &&
          other_at(m, [&](const Record& r) {
            return std::tuple(r.started_at, r.told) > std::tuple(m.entry.started_at, sequence);
@@ -261,12 +261,12 @@
 
 // By now all that was in force before is as the list tells it, so others at the address are those
 // that stay.
-void Catalog::add(Member& m, const Pending& p) {
+void EndpointTable::add(Member& m, const Pending& p) {
   const auto slot = slot_of(m.entry.server);
   if (overtaken(m.entry.server, slot, p.sequence)) {
     return;
   }
-  if (m.entry.state == ServerState::kRemoved) {
+  if (m.entry.state == EndpointState::kRemoved) {
     if (slot) {
       remove(*slot, p.sequence);
     }
@@ -287,7 +287,8 @@
   }
 }
 
-bool Catalog::overtaken(const std::string& id, std::optional<Slot> slot, Sequence sequence) const {
+bool EndpointTable::overtaken(const std::string& id, std::optional<Slot> slot,
+                              Sequence sequence) const {
   if (slot) {
     return at(*slot).told > sequence;
   }
@@ -298,7 +299,7 @@
   return it != newer_.end() && it->second > sequence;
 }
 
-void Catalog::remember(const std::string& id, Sequence sequence) {
+void EndpointTable::remember(const std::string& id, Sequence sequence) {
   if (pending_.front().sequence < sequence) {
     newer_[id] = sequence;
   }
@@ -306,7 +307,7 @@
 
 // ---- Records
 // ------------------------------------------------------------------------------------------
-std::optional<Catalog::Server> Catalog::find(const std::string& server) const {
+std::optional<EndpointTable::Server> EndpointTable::find(const std::string& server) const {
   const auto slot = slot_of(server);
   if (!slot) {
     return std::nullopt;
@@ -315,12 +316,12 @@
   return Server{r.up, r.started_at, address_of(r)};
 }
 
-std::optional<Catalog::Slot> Catalog::slot_of(const std::string& id) const {
+std::optional<EndpointTable::Slot> EndpointTable::slot_of(const std::string& id) const {
   return by_id_.find(hash_id(id), [&](Slot slot) { return at(slot).id == id; });
 }
 
 template <typename Is>
-std::optional<Catalog::Slot> Catalog::other_at(const Member& m, const Is& is) const {
+std::optional<EndpointTable::Slot> EndpointTable::other_at(const Member& m, const Is& is) const {
   const auto host = host_of(m.address.address());
   if (!host) {
     return std::nullopt;
@@ -333,7 +334,8 @@
 }
 
 // None for one that nothing here has.
-std::optional<Catalog::Host> Catalog::host_of(const boost::asio::ip::address& address) const {
+std::optional<EndpointTable::Host> EndpointTable::host_of(
+    const boost::asio::ip::address& address) const {
   if (address.is_v4()) {
     return Host{address.to_v4().to_uint(), false};
   }
@@ -344,33 +346,33 @@
   return Host{*name, true};
 }
 
-tcp::endpoint Catalog::address_of(const Record& r) const {
+tcp::endpoint EndpointTable::address_of(const Record& r) const {
   if (r.named) {
     return {boost::asio::ip::make_address(names_.at(r.host)), r.port};
   }
   return {boost::asio::ip::address_v4(r.host), r.port};
 }
 
-bool Catalog::is_at(const Record& r, const tcp::endpoint& address) const {
+bool EndpointTable::is_at(const Record& r, const tcp::endpoint& address) const {
   return r.port == address.port() && host_of(address.address()) == Host{r.host, r.named};
 }
 
-bool Catalog::same(const Record& r, const Member& m) const {
+bool EndpointTable::same(const Record& r, const Member& m) const {
   const auto& e = m.entry;
-  const auto state = r.draining ? ServerState::kDraining : ServerState::kUp;
+  const auto state = r.draining ? EndpointState::kDraining : EndpointState::kUp;
   return state == e.state && r.started_at == e.started_at && r.cell == e.cell &&
          r.weight == e.weight && is_at(r, m.address) && names_.at(r.zone) == e.zone;
 }
 
-std::uint64_t Catalog::id_hash(Slot slot) const {
+std::uint64_t EndpointTable::id_hash(Slot slot) const {
   return hash_id(at(slot).id);
 }
-std::uint64_t Catalog::address_hash(Slot slot) const {
+std::uint64_t EndpointTable::address_hash(Slot slot) const {
   const Record& r = at(slot);
   return hash_address(r.host, r.named, r.port);
 }
 
-void Catalog::insert(Member& m, Sequence sequence) {
+void EndpointTable::insert(Member& m, Sequence sequence) {
   Slot slot = slots_;
   if (!free_.empty()) {
     slot = free_.back();
@@ -391,7 +393,7 @@
   difference_.entries.push_back(std::move(m.entry));
 }
 
-void Catalog::update(Slot slot, const Member& m, Sequence sequence) {
+void EndpointTable::update(Slot slot, const Member& m, Sequence sequence) {
   Record& r = at(slot);
   const bool moves = m.address.port() != 0 && !is_at(r, m.address);
   if (moves || r.started_at != m.entry.started_at) {
@@ -410,26 +412,26 @@
 }
 
 // What a list tells of a server, but for its names and its address, which are counted and indexed.
-void Catalog::set(Record& r, const Member& m, Sequence sequence) {
+void EndpointTable::set(Record& r, const Member& m, Sequence sequence) {
   r.cell = m.entry.cell;
   r.weight = m.entry.weight;
   r.started_at = m.entry.started_at;
-  r.draining = m.entry.state == ServerState::kDraining;
-  r.up = m.entry.state == ServerState::kUp && m.address.port() != 0;
+  r.draining = m.entry.state == EndpointState::kDraining;
+  r.up = m.entry.state == EndpointState::kUp && m.address.port() != 0;
   r.told = sequence;
   up_ += r.up;
 }
 
-void Catalog::remove(Slot slot, Sequence sequence) {
+void EndpointTable::remove(Slot slot, Sequence sequence) {
   Record& r = at(slot);
   remember(r.id, sequence);
-  ServerEntry& gone = difference_.entries.emplace_back();
+  EndpointEntry& gone = difference_.entries.emplace_back();
   gone.server = r.id;
   gone.zone = names_.at(r.zone);
   gone.cell = r.cell;
   gone.weight = r.weight;
   gone.started_at = r.started_at;
-  gone.state = ServerState::kRemoved;
+  gone.state = EndpointState::kRemoved;
   difference_.closed.push_back(r.id);
   by_id_.erase(id_hash(slot), slot, [this](Slot s) { return id_hash(s); });
   drop_address(slot);
@@ -440,7 +442,7 @@
   free_.push_back(slot);
 }
 
-void Catalog::put_address(Slot slot, const tcp::endpoint& address) {
+void EndpointTable::put_address(Slot slot, const tcp::endpoint& address) {
   Record& r = at(slot);
   const auto host = address.address();
   r.named = !host.is_v4();
@@ -449,7 +451,7 @@
   by_address_.insert(address_hash(slot), slot, [this](Slot s) { return address_hash(s); });
 }
 
-void Catalog::drop_address(Slot slot) {
+void EndpointTable::drop_address(Slot slot) {
   Record& r = at(slot);
   if (r.port == 0) {
     return;
--- a/src/net/discovery/endpoint_table.hpp
+++ b/src/net/discovery/endpoint_table.hpp
@@ -57,13 +57,13 @@
 
 // What a slice of a list has changed, in the order in which it happened.
 struct Difference {
-  std::vector<ServerEntry> entries;  // new, changed or, as kRemoved, gone
+  std::vector<EndpointEntry> entries;  // new, changed or, as kRemoved, gone
   std::vector<std::string>
       closed;  // gone, moved or restarted: connections there mean nothing any more
   std::vector<std::string> replaced;  // of these, gone since another one has their address now
 };
 
-class Catalog {
+class EndpointTable {
  public:
   // Changes of one slice. Danger: a slice and what the module makes of it hold up all requests.
   static constexpr std::size_t kSlice = 512;
@@ -75,7 +75,7 @@
   };
 
   // Takes a list, whole or changes, behind those that are on their way. A whole one replaces these.
-  void take(MemberList list);
+  void take(EndpointList list);
   // The next slice of what was taken. What is gone, drains, has moved, restarted or been replaced
   // goes first, also of lists that came later; of a server that several lists tell of the newest
   // counts.
@@ -112,7 +112,7 @@
   };
   static_assert(sizeof(Record) <= 72, "at 170,000 servers each byte counts");
   struct Pending {
-    MemberList list;
+    EndpointList list;
     Sequence sequence = 0;
     enum class Phase { kUrgent, kUnlisted, kReplaced, kRest, kDone } phase = Phase::kUrgent;
     std::size_t at = 0;    // members, or slots, that are done
--- a/src/net/discovery/list_retry_policy.hpp
+++ b/src/net/discovery/list_retry_policy.hpp
@@ -36,12 +36,12 @@
 // double up to what `rate` gives: a small list, and one of any size. So a change that comes as one
 // counts as ever, and a fault that is over is seen after no more than about the time that it took,
 // of a small list within minutes.
-class ListTries {
+class ListRetryPolicy {
  public:
   static constexpr std::size_t kAll = std::numeric_limits<std::size_t>::max();
   enum class Cause { kBroken, kUnended, kTooLarge };
 
-  ListTries(const ListLimits& limits, std::uint64_t seed) : limits_(limits), random_(seed) {
+  ListRetryPolicy(const ListLimits& limits, std::uint64_t seed) : limits_(limits), random_(seed) {
     succeeded(true);
   }
 
--- a/src/net/hot_restart/hot_restart.cpp
+++ b/src/net/hot_restart/hot_restart.cpp
@@ -155,7 +155,7 @@
 
 }  // namespace
 
-Succession::Succession(boost::asio::io_context& io, Timers& timers, const std::string& folder,
+HotRestart::HotRestart(boost::asio::io_context& io, Timers& timers, const std::string& folder,
                        const std::string& name, const tcp::endpoint& clients,
                        std::function<void()> changed)
     : io_(io),
@@ -168,7 +168,7 @@
   find_predecessor();
 }
 
-Succession::~Succession() {
+HotRestart::~HotRestart() {
   if (inherited_ >= 0) {
     ::close(inherited_);
   }
@@ -176,7 +176,7 @@
 
 // Whatever is there, a socket that nobody serves, a file, a stranger or a process that dies midway,
 // ends in a start on our own.
-void Succession::find_predecessor() {
+void HotRestart::find_predecessor() {
   sockaddr_un at;
   if (!fill(at, path_)) {
     return;
@@ -199,7 +199,7 @@
   watch_predecessor();
 }
 
-void Succession::watch_predecessor() {
+void HotRestart::watch_predecessor() {
   predecessor_->async_wait(Descriptor::wait_read, [this](error_code ec) {
     if (ec || !predecessor_) {
       return;
@@ -214,11 +214,11 @@
   });
 }
 
-int Succession::take_listening() {
+int HotRestart::take_listening() {
   return std::exchange(inherited_, -1);
 }
 
-void Succession::ready() {
+void HotRestart::ready() {
   if (predecessor_) {
     say(predecessor_->native_handle(), kReady);
   }
@@ -227,7 +227,7 @@
 // Danger: a name that is taken away before ours is there would leave a moment in which a new
 // process finds nobody. So ours is made under another name and takes the place of whatever is
 // there.
-void Succession::wait_for_successor(int listening) {
+void HotRestart::wait_for_successor(int listening) {
   listening_ = listening;
   sockaddr_un at;
   const std::string fresh = path_ + "." + std::to_string(::getpid());
@@ -248,7 +248,7 @@
             << "; a new process will have to listen beside us\n";
 }
 
-void Succession::accept() {
+void HotRestart::accept() {
   door_->async_wait(Descriptor::wait_read, [this](error_code ec) {
     if (ec) {
       return;
@@ -261,7 +261,7 @@
   });
 }
 
-void Succession::greet(std::shared_ptr<Descriptor> guest) {
+void HotRestart::greet(std::shared_ptr<Descriptor> guest) {
   guest->async_wait(Descriptor::wait_read, [this, guest](error_code ec) {
     if (ec) {
       return;
@@ -290,7 +290,7 @@
   });
 }
 
-void Succession::watch_successor() {
+void HotRestart::watch_successor() {
   successor_->async_wait(Descriptor::wait_read, [this](error_code ec) {
     if (ec || !successor_) {
       return;
--- a/src/net/hot_restart/hot_restart.hpp
+++ b/src/net/hot_restart/hot_restart.hpp
@@ -15,14 +15,14 @@
 
 namespace quota_gateway::net {
 
-class Succession {
+class HotRestart {
  public:
   // `folder` empty: no process is looked for, and none can follow. `changed` follows each change of
   // what predecessor(), successor() and taken() tell, never from within the constructor.
-  Succession(boost::asio::io_context& io, Timers& timers, const std::string& folder,
+  HotRestart(boost::asio::io_context& io, Timers& timers, const std::string& folder,
              const std::string& name, const boost::asio::ip::tcp::endpoint& clients,
              std::function<void()> changed);
-  ~Succession();
+  ~HotRestart();
 
   // The predecessor's listening socket, once; -1: there is none. Whoever takes it closes it.
   int take_listening();
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-Driver::Driver(asio::io_context& io, Config config)
+GatewayServer::GatewayServer(asio::io_context& io, Config config)
     : io_(io),
       settings_(config.settings),
       dial_timeout_(config.dial_timeout),
@@ -66,7 +66,7 @@
       discovery_at_(config.discovery),
       discovery_(
           io, timers_, clock_, config.discovery, known_->revision,
-          [this](MemberList list) { told(std::move(list)); }, config.seed, config.discovery_wait,
+          [this](EndpointList list) { told(std::move(list)); }, config.seed, config.discovery_wait,
           [this] { believe_known(); }, lists_within(config.memory_mb)),
       frontend_(
           io, timers_, clock_, settings_, most_clients(config),
@@ -102,7 +102,7 @@
 
 // ---- What happened
 // ------------------------------------------------------------------------------------
-std::uint64_t Driver::took(std::uint64_t client, ClientRequest request) {
+std::uint64_t GatewayServer::took(std::uint64_t client, ClientRequest request) {
   // Danger: an id that is open belongs to somebody else; a server would take it for a second copy.
   if (!open_ids_.insert(request.outgoing.trace_id).second) {
     return 0;
@@ -120,7 +120,7 @@
   r.outgoing = std::move(request.outgoing);
   request.arrived.id = std::to_string(id);  // ours, since a client's may come twice
   request.arrived.deadline = r.deadline;
-  request.arrived.body_follows = !r.whole;
+  request.arrived.body_pending = !r.whole;
   if (r.whole) {
     timers_.at(r.deadline + kBackstop, [this, id] { overdue(id); });
   }
@@ -132,7 +132,7 @@
   return id;
 }
 
-void Driver::gone(std::uint64_t id) {
+void GatewayServer::gone(std::uint64_t id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !close(it->second, &Replies::error)) {
     return;
@@ -141,12 +141,12 @@
     upstream_.abandon({id, int(it->second.attempts.size()) - 1});
     return forget(it);  // the module has had its end
   }
-  push(ClientGone{std::to_string(id)});
+  push(ClientDisconnected{std::to_string(id)});
   forget(it);
 }
 
 // A request must not go unanswered, whatever the module does.
-void Driver::overdue(std::uint64_t id) {
+void GatewayServer::overdue(std::uint64_t id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.answered || it->second.streaming) {
     return;
@@ -154,10 +154,10 @@
   std::cerr << "driver: request " << id << " overdue, failed\n";
   it->second.late = true;
   act(Fail{std::to_string(id)});
-  push(ClientGone{std::to_string(id)});
+  push(ClientDisconnected{std::to_string(id)});
 }
 
-void Driver::told(MemberList list, ServerListUpdate::Kind kind) {
+void GatewayServer::told(EndpointList list, EndpointListUpdate::Kind kind) {
   upstream_.take(std::move(list));
   if (!applying_) {
     apply(kind);
@@ -166,9 +166,9 @@
 
 // A slice of what was told, with the loop running before the next: a small list is in force at
 // once. Danger: many thousand changes on end would hold up every request.
-void Driver::apply(ServerListUpdate::Kind kind) {
+void GatewayServer::apply(EndpointListUpdate::Kind kind) {
   applying_ = false;
-  ServerListUpdate update;
+  EndpointListUpdate update;
   update.kind = kind;
   update.entries = upstream_.apply().entries;
   if (!update.entries.empty()) {
@@ -186,14 +186,14 @@
 
 // Danger: while the first list is only partly in force, all of a fleet that was started at once
 // would turn to the same few servers.
-bool Driver::partly_listed() const {
+bool GatewayServer::partly_listed() const {
   return applying_ && !listed_;
 }
-bool Driver::waits_for_list() const {
-  return partly_listed() || (known_ && known_->members.size() > Catalog::kSlice);
+bool GatewayServer::waits_for_list() const {
+  return partly_listed() || (known_ && known_->members.size() > EndpointTable::kSlice);
 }
 
-void Driver::release() {
+void GatewayServer::release() {
   for (auto& [id, arrived] : std::exchange(waiting_, {})) {
     if (requests_.contains(id)) {
       push(std::move(arrived));  // else its end has come
@@ -201,7 +201,7 @@
   }
 }
 
-void Driver::ended(AttemptKey key, AttemptResult result) {
+void GatewayServer::ended(AttemptKey key, AttemptResult result) {
   const auto it = requests_.find(key.request);
   if (it == requests_.end()) {
     return;
@@ -223,13 +223,13 @@
 }
 
 // The attempt is over for the module.
-void Driver::settle(Requests::iterator it, AttemptKey key, const AttemptResult& result) {
+void GatewayServer::settle(Requests::iterator it, AttemptKey key, const AttemptResult& result) {
   Request& r = it->second;
   Attempt& a = r.attempts.at(std::size_t(key.attempt));
   a.out = false;
   --r.out;
   r.late = result.outcome == Outcome::kTimeout;
-  AttemptEnded e;
+  AttemptCompleted e;
   e.id = std::to_string(key.request);
   e.attempt = key.attempt;
   e.server = a.server;
@@ -238,14 +238,14 @@
   // longer than others; told as its work it would look like a fleet that holds too much.
   e.duration = (result.began > 0 ? result.began : clock_.now()) - a.sent;
   e.load = result.load;
-  e.billed = result.billed;
-  e.meter = result.meter;
-  e.finished = r.answered || r.streaming;
+  e.billed_units = result.billed_units;
+  e.quota_usage = result.quota_usage;
+  e.request_answered = r.answered || r.streaming;
   push(std::move(e));
   forget(it);
 }
 
-void Driver::written(AttemptKey key) {
+void GatewayServer::written(AttemptKey key) {
   ++dispatches_;
   const auto it = requests_.find(key.request);
   // A long body's time runs from here on; that of others runs since they were sent.
@@ -259,7 +259,7 @@
   push(AttemptWritten{std::to_string(key.request), key.attempt});
 }
 
-void Driver::more(std::uint64_t id, const std::string& piece, bool last) {
+void GatewayServer::more(std::uint64_t id, const std::string& piece, bool last) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.answered) {
     return;
@@ -276,7 +276,8 @@
 
 // A long answer begins. For the module the attempt has ended well: its server has done the work,
 // and nothing is left to decide.
-void Driver::started(AttemptKey key, AttemptResult result, std::optional<std::uint64_t> length) {
+void GatewayServer::started(AttemptKey key, AttemptResult result,
+                            std::optional<std::uint64_t> length) {
   const auto it = requests_.find(key.request);
   if (it == requests_.end() || !it->second.attempts.at(std::size_t(key.attempt)).out) {
     return;
@@ -288,19 +289,19 @@
 }
 
 // A long answer has ended, as it should or not.
-void Driver::finished(Request& r, AttemptKey key, const AttemptResult& result) {
+void GatewayServer::finished(Request& r, AttemptKey key, const AttemptResult& result) {
   const bool ok = result.outcome == Outcome::kOk;
   if (!close(r, ok ? &Replies::success : &Replies::error)) {
     return;
   }
   ok ? frontend_.finish(r.client) : frontend_.cut(r.client);
   if (!ok) {
-    push(AnswerCut{r.attempts.at(std::size_t(key.attempt)).server});
+    push(ResponseAborted{r.attempts.at(std::size_t(key.attempt)).server});
   }
   forget(requests_.find(key.request));
 }
 
-void Driver::expire(AttemptKey key) {
+void GatewayServer::expire(AttemptKey key) {
   const auto it = requests_.find(key.request);
   if (it == requests_.end() || !it->second.attempts.at(std::size_t(key.attempt)).out) {
     return;
@@ -315,7 +316,7 @@
 // ---- The module
 // --------------------------------------------------------------------------------------- What
 // comes in one turn of the loop goes to the module together, once all of the turn is in.
-void Driver::push(Event event) {
+void GatewayServer::push(Event event) {
   events_.push_back(std::move(event));
   if (std::exchange(flushing_, true)) {
     return;
@@ -323,7 +324,7 @@
   asio::post(io_, [this] { flush(); });
 }
 
-void Driver::flush() {
+void GatewayServer::flush() {
   flushing_ = false;
   std::vector<Event> events;
   std::vector<Action> actions;
@@ -336,7 +337,7 @@
   }
 }
 
-void Driver::act(const SendAttempt& a) {
+void GatewayServer::act(const SendAttempt& a) {
   const auto it = find(a.id);
   if (it == requests_.end()) {
     return;
@@ -359,7 +360,7 @@
   upstream_.send(key, a.server, r.outgoing, until);
 }
 
-void Driver::act(const CancelAttempt& a) {
+void GatewayServer::act(const CancelAttempt& a) {
   const auto it = find(a.id);
   if (it == requests_.end() || a.attempt < 0 || a.attempt >= int(it->second.attempts.size())) {
     return;
@@ -372,7 +373,7 @@
   ended(key, {written ? Outcome::kCancelled : Outcome::kNotSent, {}, {}});
 }
 
-void Driver::act(const Refuse& a) {
+void GatewayServer::act(const Reject& a) {
   const auto it = find(a.id);
   if (it == requests_.end()) {
     return;
@@ -384,7 +385,7 @@
   forget(it);
 }
 
-void Driver::act(const Fail& a) {
+void GatewayServer::act(const Fail& a) {
   const auto it = find(a.id);
   if (it == requests_.end()) {
     return;
@@ -395,30 +396,30 @@
   forget(it);
 }
 
-void Driver::act(const SetTimer& a) {
+void GatewayServer::act(const SetTimer& a) {
   timers_.at(a.at, [this, token = a.token] { push(TimerFired{token}); });
 }
 
-void Driver::act(const AddToCounter& a) {
+void GatewayServer::act(const AddToCounter& a) {
   if (counter_) {
     return counter_->add(a);
   }
-  push(CounterAnswered{a.name, 0, CountOutcome::kNotAdded, 0});
+  push(CounterReply{a.name, 0, CounterOutcome::kNotAdded, 0});
 }
 
-void Driver::act(const LogLine& a) {
+void GatewayServer::act(const LogLine& a) {
   std::cerr << a.text << '\n';
 }
 
 // ---- Requests
 // -----------------------------------------------------------------------------------------
-Driver::Requests::iterator Driver::find(const std::string& id) {
+GatewayServer::Requests::iterator GatewayServer::find(const std::string& id) {
   std::uint64_t number = 0;
   std::from_chars(id.data(), id.data() + id.size(), number);
   return requests_.find(number);
 }
 
-void Driver::answer(Request& r, Answer answer) {
+void GatewayServer::answer(Request& r, Answer answer) {
   const bool refused = answer.status == 429 || answer.status == 503;
   const auto end = answer.status == 200 ? &Replies::success
                    : refused            ? &Replies::overload
@@ -429,7 +430,7 @@
   frontend_.answer(r.client, std::move(answer));
 }
 
-bool Driver::close(Request& r, std::uint64_t Replies::*end) {
+bool GatewayServer::close(Request& r, std::uint64_t Replies::*end) {
   if (std::exchange(r.answered, true)) {
     return false;
   }
@@ -438,7 +439,7 @@
   return true;
 }
 
-void Driver::forget(Requests::iterator it) {
+void GatewayServer::forget(Requests::iterator it) {
   if (!it->second.answered || it->second.out > 0) {
     return;
   }
@@ -448,7 +449,7 @@
 
 // ---- A new configuration
 // ------------------------------------------------------------------------------
-void Driver::reload(const Config& config) {
+void GatewayServer::reload(const Config& config) {
   settings_ = config.settings;
   for (const ClassSettings& c : settings_.classes) {
     replies_[c.name];
@@ -464,7 +465,7 @@
   ++reload_success_;
 }
 
-void Driver::count_at(const std::optional<asio::ip::tcp::endpoint>& address) {
+void GatewayServer::count_at(const std::optional<asio::ip::tcp::endpoint>& address) {
   counter_at_ = address;
   if (counter_) {
     std::exchange(counter_, nullptr)->retire();
@@ -472,20 +473,20 @@
   if (!address) {
     return;
   }
-  counter_ =
-      std::make_shared<Counter>(io_, timers_, clock_, *address, settings_.counter_timeout,
-                                dial_timeout_, [this](CounterAnswered a) { push(std::move(a)); });
+  counter_ = std::make_shared<CounterClient>(io_, timers_, clock_, *address,
+                                             settings_.counter_timeout, dial_timeout_,
+                                             [this](CounterReply a) { push(std::move(a)); });
   counter_->start();
 }
 
 // ---- For the operators
 // --------------------------------------------------------------------------------
-bool Driver::ready() const {
+bool GatewayServer::ready() const {
   return !drained_ && frontend_.is_open() && fit();
 }
 
 // Servers are known, by discovery if it answers at all.
-bool Driver::fit() const {
+bool GatewayServer::fit() const {
   return upstream_.any_up() && !known_ && !partly_listed();
 }
 
@@ -493,14 +494,14 @@
 // given may name servers that have long been draining. So it is in force only once the agent
 // answers, with its news right behind; without one it must do. What comes meanwhile is held as
 // while no server has room.
-void Driver::believe_known() {
+void GatewayServer::believe_known() {
   if (!known_) {
     return;
   }
-  told(*std::exchange(known_, std::nullopt), ServerListUpdate::Kind::kPersisted);
+  told(*std::exchange(known_, std::nullopt), EndpointListUpdate::Kind::kPersisted);
 }
 
-std::string Driver::figures() const {
+std::string GatewayServer::figures() const {
   std::string out;
   const auto line = [&](const std::string& name, std::uint64_t value) {
     out.append("app.").append(name).append("=").append(std::to_string(value)).append("\n");
@@ -513,13 +514,13 @@
   line("dispatches", dispatches_);
   line("concurrent", concurrent_);
   line("targets", upstream_.listed());
-  line("targets_disabled", std::uint64_t(gateway_.avoided()));
+  line("targets_disabled", std::uint64_t(gateway_.unavailable_endpoints()));
   line("reload_success", reload_success_);
   line("reload_failure", reload_failure_);
   return out;
 }
 
-std::optional<asio::ip::tcp::endpoint> Driver::operators_address() const {
+std::optional<asio::ip::tcp::endpoint> GatewayServer::operators_address() const {
   if (!operators_) {
     return std::nullopt;
   }
@@ -528,11 +529,11 @@
 
 // ---- Another process of this gateway
 // ------------------------------------------------------------------
-void Driver::met() {
+void GatewayServer::met() {
   const int others = int(succession_.predecessor()) + int(succession_.successor());
   if (std::exchange(others_, others) != others) {
     std::cerr << "succession: " << others << " other processes\n";
-    push(ProcessesChanged{others});
+    push(PeerProcessesChanged{others});
   }
   // The limits are those of one gateway.
   upstream_.bound(std::max<std::size_t>(1, connections_ / std::size_t(1 + others)));
@@ -546,7 +547,7 @@
 }
 
 // Until we are fit to serve, the old process goes on taking the new clients.
-void Driver::look_ready() {
+void GatewayServer::look_ready() {
   if (!succession_.predecessor() || frontend_.is_open() || succession_.taken() || !fit()) {
     return;
   }
@@ -559,7 +560,7 @@
 // Danger: at a planned restart we are killed once the longest deadline has passed, counted as 3 s
 // where it is longer, and 0.7 s more. What is unanswered then is lost, so all of it has its answer
 // shortly before.
-void Driver::drain(std::function<void()> done) {
+void GatewayServer::drain(std::function<void()> done) {
   if (drained_) {
     return;
   }
@@ -576,7 +577,7 @@
 }
 
 // Attempts have had their time; the module tells what becomes of their requests.
-void Driver::hurry() {
+void GatewayServer::hurry() {
   std::vector<AttemptKey> out;
   for (auto& [id, r] : requests_) {
     r.deadline = latest(r.deadline);
@@ -591,7 +592,7 @@
   }
 }
 
-void Driver::end_all() {
+void GatewayServer::end_all() {
   std::vector<std::uint64_t> open;
   for (const auto& [id, r] : requests_) {
     if (!r.answered) {
@@ -604,7 +605,7 @@
   }
 }
 
-void Driver::look_drained() {
+void GatewayServer::look_drained() {
   const bool held = std::any_of(requests_.begin(), requests_.end(),
                                 [](const auto& entry) { return !entry.second.answered; });
   if ((!held && frontend_.quiet()) || clock_.now() >= drain_until_ + kLastWords) {
--- a/src/net/server/gateway_server.hpp
+++ b/src/net/server/gateway_server.hpp
@@ -34,12 +34,12 @@
   Settings settings;
   Micros conn_idle = 15'000'000, dial_timeout = 250'000;
   Micros discovery_wait = 0;  // the most between two calls while discovery turns us away
-  MemberList known;
+  EndpointList known;
 };
 
-class Driver {
+class GatewayServer {
  public:
-  Driver(boost::asio::io_context& io, Config config);
+  GatewayServer(boost::asio::io_context& io, Config config);
 
   boost::asio::ip::tcp::endpoint address() const { return frontend_.address(); }
   // Takes what may change while it runs: the settings, and where discovery and the counter are. The
@@ -86,8 +86,8 @@
   std::uint64_t took(std::uint64_t client, ClientRequest request);
   void gone(std::uint64_t id);
   void overdue(std::uint64_t id);
-  void told(MemberList list, ServerListUpdate::Kind kind = ServerListUpdate::Kind::kPartial);
-  void apply(ServerListUpdate::Kind kind = ServerListUpdate::Kind::kPartial);
+  void told(EndpointList list, EndpointListUpdate::Kind kind = EndpointListUpdate::Kind::kPartial);
+  void apply(EndpointListUpdate::Kind kind = EndpointListUpdate::Kind::kPartial);
   bool partly_listed() const;
   bool waits_for_list() const;
   void release();
@@ -104,10 +104,10 @@
   void flush();
   void act(const SendAttempt& a);
   void act(const CancelAttempt& a);
-  void act(const Refuse& a);
+  void act(const Reject& a);
   void act(const Fail& a);
   void act(const SetTimer& a);
-  void act(const SendProbe&) {}  // no site allows probes here
+  void act(const SendHealthCheck&) {}  // no site allows probes here
   void act(const AddToCounter& a);
   void act(const LogLine& a);
 
@@ -139,24 +139,24 @@
   std::map<std::string, Replies>
       replies_;  // by class, also of those that the settings no longer name
   std::uint64_t concurrent_ = 0, dispatches_ = 0, reload_success_ = 0, reload_failure_ = 0;
-  std::optional<MemberList> known_;  // the list that we were given, until it is taken
-  bool listed_ = false;              // a list that names servers has been in force, whole
-  bool applying_ = false;            // the next slice of one is on its way
+  std::optional<EndpointList> known_;  // the list that we were given, until it is taken
+  bool listed_ = false;                // a list that names servers has been in force, whole
+  bool applying_ = false;              // the next slice of one is on its way
   std::vector<std::pair<std::uint64_t, RequestArrived>> waiting_;  // for that, with their numbers
   std::vector<Event> events_;
   bool flushing_ = false;
   std::function<void()> drained_;
   Micros drain_until_ = 0;
-  Upstream upstream_;
+  ConnectionPool upstream_;
   boost::asio::ip::tcp::endpoint discovery_at_;
   std::optional<boost::asio::ip::tcp::endpoint> counter_at_;
-  std::shared_ptr<Counter> counter_;
-  Discovery discovery_;
-  Frontend frontend_;
-  Succession succession_;
+  std::shared_ptr<CounterClient> counter_;
+  DiscoveryClient discovery_;
+  ClientListener frontend_;
+  HotRestart succession_;
   int others_ = 0;  // processes of this gateway, as the module was last told
   const std::size_t connections_;
-  std::optional<Operators> operators_;
+  std::optional<AdminServer> operators_;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-using quota_gateway::net::ConfigReader;
+using quota_gateway::net::ConfigLoader;
 
 std::ifstream open_file() {
   const char* path = std::getenv("RELAY_CONFIG");
@@ -46,7 +46,7 @@
 
 quota_gateway::net::ConfigFile read_at_start() {
   auto file = open_file();
-  ConfigReader reader(file, ConfigReader::Known::kKept);
+  ConfigLoader reader(file, ConfigLoader::Known::kKept);
   while (reader.step()) {
   }
   return reader.finish();
@@ -68,7 +68,7 @@
 class Reload {
  public:
   // `taken`: the tree of the last file that was.
-  Reload(boost::asio::io_context& io, quota_gateway::net::Driver& driver, std::string name,
+  Reload(boost::asio::io_context& io, quota_gateway::net::GatewayServer& driver, std::string name,
          nlohmann::json taken)
       : io_(io), driver_(driver), name_(std::move(name)), taken_(std::move(taken)) {}
 
@@ -77,7 +77,7 @@
     attempt([&] {
       reader_.reset();
       file_ = open_file();
-      reader_.emplace(file_, ConfigReader::Known::kOnlyChecked);
+      reader_.emplace(file_, ConfigLoader::Known::kOnlyChecked);
       if (!std::exchange(posted_, true)) {
         go_on();
       }
@@ -121,11 +121,11 @@
   }
 
   boost::asio::io_context& io_;
-  quota_gateway::net::Driver& driver_;
+  quota_gateway::net::GatewayServer& driver_;
   const std::string name_;
   nlohmann::json taken_;
   std::ifstream file_;
-  std::optional<ConfigReader> reader_;
+  std::optional<ConfigLoader> reader_;
   bool posted_ = false;
 };
 
@@ -147,7 +147,7 @@
   boost::asio::io_context io(1);
   // First of all: a SIGHUP that nobody handles ends the process.
   boost::asio::signal_set signals(io, SIGTERM, SIGINT, SIGHUP);
-  quota_gateway::net::Driver driver(io, std::move(config));
+  quota_gateway::net::GatewayServer driver(io, std::move(config));
   Reload reload(io, driver, name, std::move(file.tree));
   on_signals(signals, [&](int signal) {
     if (signal == SIGHUP) {
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -104,13 +104,13 @@
   }
   const bool turned_away = answer.result() == http::status::service_unavailable ||
                            answer.result() == http::status::gateway_timeout;
-  return turned_away && answer["X-Never-Ran"] == "1" ? Outcome::kFull : Outcome::kError;
+  return turned_away && answer["X-Never-Ran"] == "1" ? Outcome::kOverloaded : Outcome::kError;
 }
 
 }  // namespace
 
 // Danger: every handler may run after its connection was closed; each asks `closed` first.
-class Upstream::Connection {
+class ConnectionPool::Connection {
  public:
   explicit Connection(asio::io_context& io) : socket(io) {}
   enum class State { kConnecting, kWriting, kWaiting, kIdle, kClosed };
@@ -187,8 +187,8 @@
   }
 };
 
-Upstream::Upstream(asio::io_context& io, Timers& timers, const Clock& clock, UpstreamLimits limits,
-                   AttemptEvents events)
+ConnectionPool::ConnectionPool(asio::io_context& io, Timers& timers, const Clock& clock,
+                               ConnectionPoolLimits limits, AttemptEvents events)
     : io_(io),
       timers_(timers),
       clock_(clock),
@@ -197,9 +197,9 @@
       reuse_for_(Micros(kIdleShare * double(limits.idle))) {
   sweep();
 }
-Upstream::~Upstream() = default;
+ConnectionPool::~ConnectionPool() = default;
 
-std::vector<std::string> Upstream::update(const MemberList& list) {
+std::vector<std::string> ConnectionPool::update(const EndpointList& list) {
   std::vector<std::string> replaced;
   take(list);
   while (!settled()) {
@@ -211,7 +211,7 @@
 }
 
 // Danger: connections to a process that is gone may stay open and silent.
-Difference Upstream::apply() {
+Difference ConnectionPool::apply() {
   Difference difference = catalog_.apply();
   for (const auto& server : difference.closed) {
     forget(server);
@@ -219,13 +219,13 @@
   return difference;
 }
 
-void Upstream::bound(std::size_t connections) {
+void ConnectionPool::bound(std::size_t connections) {
   limits_.connections = connections;
   while (open_ > connections && drop_oldest()) {
   }
 }
 
-void Upstream::forget(const std::string& server) {
+void ConnectionPool::forget(const std::string& server) {
   const auto pool = pools_.find(server);
   if (pool == pools_.end()) {
     return;
@@ -236,7 +236,8 @@
   }
 }
 
-void Upstream::send(AttemptKey key, const std::string& server, const Outgoing& what, Micros until) {
+void ConnectionPool::send(AttemptKey key, const std::string& server, const Outgoing& what,
+                          Micros until) {
   const auto found = catalog_.find(server);
   if (!found || !found->up) {
     return end_later(key, Outcome::kNotSent);
@@ -280,7 +281,7 @@
   fresh ? connect(c) : write(c);
 }
 
-bool Upstream::abandon(AttemptKey key) {
+bool ConnectionPool::abandon(AttemptKey key) {
   const auto it = attempts_.find(key);
   if (it == attempts_.end()) {
     return false;
@@ -296,7 +297,7 @@
   return written;
 }
 
-Upstream::Held Upstream::take_idle(const std::string& server) {
+ConnectionPool::Held ConnectionPool::take_idle(const std::string& server) {
   const Micros now = clock_.now();
   // Danger: what still comes after an answer would be read as that to the next request.
   const auto settled = [&](const Held& c) { return now - c->idle_since >= limits_.settle; };
@@ -322,12 +323,12 @@
   }
 }
 
-bool Upstream::make_room() {
+bool ConnectionPool::make_room() {
   return open_ < limits_.connections || drop_oldest();
 }
 
 // Closes what has idled longest. False if nothing idles.
-bool Upstream::drop_oldest() {
+bool ConnectionPool::drop_oldest() {
   const Held* oldest = nullptr;
   for (const auto& [server, pool] : pools_) {
     if (!oldest || pool.front()->idle_since < (*oldest)->idle_since) {
@@ -341,7 +342,7 @@
   return true;
 }
 
-void Upstream::connect(const Held& c) {
+void ConnectionPool::connect(const Held& c) {
   c->socket.async_connect(c->address, [this, c](error_code ec) {
     if (c->state != Connection::State::kConnecting) {
       return;
@@ -369,7 +370,7 @@
 }
 
 // Small requests are written at once: then there is no doubt whether the last byte has left.
-void Upstream::write(const Held& c) {
+void ConnectionPool::write(const Held& c) {
   c->state = Connection::State::kWriting;
   c->interim = 0;
   c->streaming = c->held = c->done = false;
@@ -389,7 +390,7 @@
   read(c);
 }
 
-void Upstream::write_rest(const Held& c, std::size_t from) {
+void ConnectionPool::write_rest(const Held& c, std::size_t from) {
   c->writing = true;
   const auto rest = asio::buffer(c->out) + from;
   asio::async_write(c->socket, rest, [this, c](error_code ec, std::size_t) {
@@ -420,7 +421,7 @@
 }
 
 // All of `out` has left.
-void Upstream::left(const Held& c) {
+void ConnectionPool::left(const Held& c) {
   if (c->more) {
     asio::post(io_, [this, c, key = c->attempt] {
       if (c->state == Connection::State::kWriting && c->attempt == key) {
@@ -433,7 +434,7 @@
   events_.written(c->attempt);
 }
 
-void Upstream::feed(AttemptKey key, const std::string& piece, bool last) {
+void ConnectionPool::feed(AttemptKey key, const std::string& piece, bool last) {
   const auto it = attempts_.find(key);
   if (it == attempts_.end() || !it->second->more || it->second->writing) {
     return;
@@ -447,7 +448,7 @@
   c->out.empty() ? left(c) : write_rest(c, 0);
 }
 
-void Upstream::read(const Held& c) {
+void ConnectionPool::read(const Held& c) {
   if (c->reading) {
     return;
   }
@@ -477,7 +478,7 @@
   });
 }
 
-void Upstream::took(const Held& c, std::size_t size) {
+void ConnectionPool::took(const Held& c, std::size_t size) {
   // Bytes that come before the request has gone can't be its answer, but for a server that wants no
   // more of a long one.
   if (c->state == Connection::State::kWriting && !c->more) {
@@ -514,7 +515,7 @@
 }
 
 // Passes on what has come of a long answer. False if there is nothing to pass on.
-bool Upstream::relay(const Held& c) {
+bool ConnectionPool::relay(const Held& c) {
   if (!c->parser->is_header_done() || c->is_interim()) {
     return false;
   }
@@ -544,7 +545,7 @@
   return true;
 }
 
-void Upstream::resume(AttemptKey key) {
+void ConnectionPool::resume(AttemptKey key) {
   const auto it = attempts_.find(key);
   if (it == attempts_.end() || !it->second->held) {
     return;
@@ -564,7 +565,7 @@
 
 // Danger: an answer whose length was said too large would hold its request until the end of its
 // time, and nothing would be left for another attempt. One that comes slowly goes on coming.
-void Upstream::watch_answer(const Held& c) {
+void ConnectionPool::watch_answer(const Held& c) {
   const Micros quiet = c->streaming ? kStuck : kQuiet;
   timers_.at(c->heard + quiet, [this, key = c->attempt, weak = std::weak_ptr<Connection>(c)] {
     const Held c = weak.lock();
@@ -586,7 +587,7 @@
 
 // Danger: a kept connection that was closed without a word resets the next request, which then may
 // have run and costs a keyed one its choice of servers. How long they last shows only so.
-void Upstream::learn_reuse(const Connection& c, bool answered) {
+void ConnectionPool::learn_reuse(const Connection& c, bool answered) {
   if (c.rested == 0) {
     return;
   }
@@ -599,10 +600,10 @@
 }
 
 // All of an answer has come.
-void Upstream::whole(const Held& c) {
+void ConnectionPool::whole(const Held& c) {
   if (c->more) {  // a server that turns away a request of which it has seen a part has not run it
-    const bool full = outcome_of(c->parser->get()) == Outcome::kFull;
-    return end(c, {full ? Outcome::kFull : Outcome::kConnectFailed, {}, {}}, false);
+    const bool full = outcome_of(c->parser->get()) == Outcome::kOverloaded;
+    return end(c, {full ? Outcome::kOverloaded : Outcome::kConnectFailed, {}, {}}, false);
   }
   error_code ec;
   if (c->pending.empty() && c->socket.available(ec) > 0) {
@@ -618,28 +619,28 @@
   }
 }
 
-AttemptResult Upstream::result_of(Connection& c) {
+AttemptResult ConnectionPool::result_of(Connection& c) {
   auto& answer = c.parser->get();
   AttemptResult result;
   result.outcome = outcome_of(answer);
   const auto load = answer["Endpoint-Load-Metrics"];
   result.load = parse_load({load.data(), load.size()});
   result.began = c.began;
-  result.meter = 1 + int(parse_figure(answer["Usage-Percent"], kMostPercent));
+  result.quota_usage = 1 + int(parse_figure(answer["Usage-Percent"], kMostPercent));
   if (result.outcome == Outcome::kOk) {
-    result.billed = std::max(0.0, parse_figure(answer["Billed-Units"], kMostUnits));
+    result.billed_units = std::max(0.0, parse_figure(answer["Billed-Units"], kMostUnits));
     result.body = std::exchange(answer.body(), {});
   }
   return result;
 }
 
-void Upstream::answered(const Held& c) {
+void ConnectionPool::answered(const Held& c) {
   learn_reuse(*c, true);
   const bool keep = c->parser->get().keep_alive() && c->pending.empty();
   end(c, result_of(*c), keep);
 }
 
-void Upstream::broke(const Held& c) {
+void ConnectionPool::broke(const Held& c) {
   if (c->state != Connection::State::kWriting) {
     if (!c->parser->got_some() && c->pending.empty()) {
       learn_reuse(*c, false);
@@ -655,7 +656,7 @@
   c->socket.cancel(ignored);
 }
 
-void Upstream::end(const Held& c, AttemptResult result, bool keep) {
+void ConnectionPool::end(const Held& c, AttemptResult result, bool keep) {
   const AttemptKey key = c->attempt;
   attempts_.erase(key);
   const auto now = catalog_.find(c->server);
@@ -671,7 +672,7 @@
   events_.ended(key, std::move(result));
 }
 
-void Upstream::drop(Connection& c) {
+void ConnectionPool::drop(Connection& c) {
   if (c.state == Connection::State::kClosed) {
     return;
   }
@@ -684,7 +685,7 @@
   c.socket.close(ignored);
 }
 
-void Upstream::forget_idle(const Connection& c) {
+void ConnectionPool::forget_idle(const Connection& c) {
   const auto pool = pools_.find(c.server);
   if (pool == pools_.end()) {
     return;
@@ -695,11 +696,11 @@
   }
 }
 
-void Upstream::end_later(AttemptKey key, Outcome outcome) {
+void ConnectionPool::end_later(AttemptKey key, Outcome outcome) {
   asio::post(io_, [this, key, outcome] { events_.ended(key, {outcome, {}, {}}); });
 }
 
-void Upstream::sweep() {
+void ConnectionPool::sweep() {
   const Micros now = clock_.now();
   std::vector<Held> rested;
   for (const auto& [server, pool] : pools_) {
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -25,7 +25,7 @@
   std::optional<std::uint64_t> length;  // of all of it, where that is known
 };
 
-struct UpstreamLimits {
+struct ConnectionPoolLimits {
   Micros idle = 15'000'000;  // a server closes what has idled for so long
   Micros dial_timeout = 250'000;
   std::size_t connections = 400;
@@ -46,10 +46,10 @@
 struct AttemptResult {
   Outcome outcome = Outcome::kReset;
   LoadReport load;
-  std::string body;   // of a kOk: all of it, or what there is yet
-  double billed = 0;  // of a kOk: the true units, where it told them
-  Micros began = 0;   // when its first byte came; 0: none did
-  int meter = 0;      // 1 + percent of its quota that the customer used; 0: not said
+  std::string body;         // of a kOk: all of it, or what there is yet
+  double billed_units = 0;  // of a kOk: the true units, where it told them
+  Micros began = 0;         // when its first byte came; 0: none did
+  int quota_usage = 0;      // 1 + percent of its quota that the customer used; 0: not said
 };
 
 // What becomes of attempts. But for `written`, none is told from within a call to Upstream.
@@ -64,21 +64,21 @@
   std::function<void(AttemptKey, std::string)> piece = [](AttemptKey, std::string) {};
 };
 
-class Upstream {
+class ConnectionPool {
  public:
-  Upstream(boost::asio::io_context& io, Timers& timers, const Clock& clock, UpstreamLimits limits,
-           AttemptEvents events);
-  ~Upstream();
+  ConnectionPool(boost::asio::io_context& io, Timers& timers, const Clock& clock,
+                 ConnectionPoolLimits limits, AttemptEvents events);
+  ~ConnectionPool();
 
   // Takes a list, behind those that are on their way, for apply(); see Catalog.
-  void take(MemberList list) { catalog_.take(std::move(list)); }
+  void take(EndpointList list) { catalog_.take(std::move(list)); }
   // Puts the next slice of it in force and returns what has changed.
   Difference apply();
   // All that was taken is in force.
   bool settled() const { return catalog_.settled(); }
   // All of a list at once. Returns the servers whose address another one has now: what was there is
   // gone, told or not.
-  std::vector<std::string> update(const MemberList& list);
+  std::vector<std::string> update(const EndpointList& list);
   // One result follows, never from within this call, unless the attempt is abandoned.
   void send(AttemptKey key, const std::string& server, const Outgoing& what, Micros until);
   // More of the body of an attempt that wants it.
@@ -123,9 +123,9 @@
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
-  UpstreamLimits limits_;
+  ConnectionPoolLimits limits_;
   AttemptEvents events_;
-  Catalog catalog_;
+  EndpointTable catalog_;
   std::unordered_map<std::string, Pool> pools_;  // by server, of those that have one
   std::unordered_map<AttemptKey, Held, AttemptKeyHash> attempts_;
   std::size_t open_ = 0;
--- a/src/policy/endpoints/endpoint_list.hpp
+++ b/src/policy/endpoints/endpoint_list.hpp
@@ -34,22 +34,22 @@
 
   // Calls `tell(change)` for each entry, and for each server that a whole list may have left out.
   template <typename Tell>
-  void update(const ServerListUpdate& update, Tell tell) {
-    if (update.kind == ServerListUpdate::Kind::kError) {
+  void update(const EndpointListUpdate& update, Tell tell) {
+    if (update.kind == EndpointListUpdate::Kind::kError) {
       return;
     }
-    const bool whole = update.kind != ServerListUpdate::Kind::kPartial;
+    const bool whole = update.kind != EndpointListUpdate::Kind::kPartial;
     if (whole) {
-      ring_.each([&](At at) { tell(change(at, ServerState::kRemoved)); });
+      ring_.each([&](At at) { tell(change(at, EndpointState::kRemoved)); });
     }
-    for (const ServerEntry& e : update.entries) {
+    for (const EndpointEntry& e : update.entries) {
       take(e, whole, tell);
     }
     if (!whole) {
       return;
     }
     ring_.erase_if([this](const Listed& l) {
-      const bool gone = l.state == ServerState::kRemoved && !l.used;
+      const bool gone = l.state == EndpointState::kRemoved && !l.used;
       if (gone) {
         zones_.drop(l.zone);
       }
@@ -85,7 +85,7 @@
       }
       const At at = ring_.find(s->place, s->entry.server).first;
       ring_.at(at).used = nullptr;
-      if (ring_.at(at).state == ServerState::kRemoved) {
+      if (ring_.at(at).state == EndpointState::kRemoved) {
         erase(at);
       }
       return true;
@@ -94,27 +94,27 @@
 
  private:
   struct Listed {
-    CompactText name;
+    CompactString name;
     std::uint32_t zone;
     float weight = 1;
     Micros started_at = 0;
     std::int64_t cell = 0;
     Used* used = nullptr;
-    ServerState state = ServerState::kRemoved;
+    EndpointState state = EndpointState::kRemoved;
     bool counted = false;  // up
   };
-  using At = typename CountedRing<Listed>::Position;
+  using At = typename OrderStatisticRing<Listed>::Position;
 
   template <typename Tell>
-  void take(const ServerEntry& e, bool whole, Tell tell) {
+  void take(const EndpointEntry& e, bool whole, Tell tell) {
     const std::uint64_t place = hash_text(e.server);
     auto [at, found] = ring_.find(place, e.server);
-    const bool gone = e.state == ServerState::kRemoved;
+    const bool gone = e.state == EndpointState::kRemoved;
     if (!found && gone) {
       return;
     }
     if (!found) {
-      at = ring_.insert(at, place, Listed{CompactText(e.server), zones_.take(e.zone)});
+      at = ring_.insert(at, place, Listed{CompactString(e.server), zones_.take(e.zone)});
     }
     Listed& l = ring_.at(at);
     const bool restarted = e.started_at > std::exchange(l.started_at, e.started_at);
@@ -130,12 +130,12 @@
     }
     tell(c);
   }
-  Change change(At at, ServerState state) {
+  Change change(At at, EndpointState state) {
     Listed& l = ring_.at(at);
-    draining_ += (state == ServerState::kDraining) - (l.state == ServerState::kDraining);
+    draining_ += (state == EndpointState::kDraining) - (l.state == EndpointState::kDraining);
     l.state = state;
     const int was = l.counted;
-    ring_.count(at, state == ServerState::kUp);
+    ring_.count(at, state == EndpointState::kUp);
     if (l.used) {
       describe(l);
     }
@@ -155,8 +155,8 @@
     s.entry.zone = zones_[l.zone];
   }
 
-  CountedRing<Listed> ring_;
-  Interned zones_;
+  OrderStatisticRing<Listed> ring_;
+  StringInterner zones_;
   std::vector<std::unique_ptr<Used>> used_;
   int draining_ = 0;
 };
--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -50,7 +50,7 @@
 constexpr Micros kEjectFor = 3'000'000;  // us; then one request at a time until an answer
 constexpr double kColdSafety = 0.55;     // of our part of a cold server's budget
 
-struct Server {
+struct EndpointHealth {
   bool usable = false, ejected = false;
   bool on_trial = false;                              // ejected and not yet answered since
   bool counts_ejected = false, counts_trial = false;  // in the list's sums
@@ -58,31 +58,31 @@
   int out = 0;                                        // our attempts there
   int named = 0;                                      // attempts of open requests that point here
   Micros owing_since = 0;  // an answer: when we last had one, or sent with nothing out
-  FadingMean ratio;        // answers' times over their class's mean
+  DecayingMean ratio;      // answers' times over their class's mean
   double others = 0;       // attempts of other gateways there, as last reported
   Micros report_at = 0;
   double odds = 0;  // log; that it is bad, over what one would think of any
   Micros ejected_until = 0;
-  Spent cold_sends;         // work, while it was cold
-  double carried = 0;       // work sent since the last look
-  Micros used_at = 0;       // last in our part, or sent to
-  std::uint64_t place = 0;  // in the order that all gateways see
-  ServerEntry entry;
+  SlidingWindowSum cold_sends;  // work, while it was cold
+  double carried = 0;           // work sent since the last look
+  Micros used_at = 0;           // last in our part, or sent to
+  std::uint64_t place = 0;      // in the order that all gateways see
+  EndpointEntry entry;
 };
-using List = ServerList<Server>;
+using List = ServerList<EndpointHealth>;
 
 // Fit servers that a part has.
 inline double part_size(const List& list, const Settings& settings) {
-  return std::max(kLeastPart, std::ceil(double(list.up()) * kSharers / settings.gateways));
+  return std::max(kLeastPart, std::ceil(double(list.up()) * kSharers / settings.gateway_count));
 }
 
 // Where on the ring our part begins; true if that changed. Danger: at an exactly even index one
 // server more or less shifts the parts of half of all gateways; at a fixed place the parts lie as
 // unevenly as chance has it. So a place is kept while it is near its even index; small parts have
 // no slack.
-inline bool place_part(RankMark& start, const List& list, const Settings& settings) {
+inline bool place_part(RankCursor& start, const List& list, const Settings& settings) {
   const double n = double(list.up());
-  const double at = settings.position * kGolden;
+  const double at = settings.gateway_index * kGolden;
   const double even = std::floor(n * (at - std::floor(at)));
   const double off = std::abs(start.rank() - even);
   if (n <= 0 || std::min(off, n - off) <= std::floor(kStartSlack * part_size(list, settings))) {
@@ -92,9 +92,9 @@
   return true;
 }
 
-class Servers {
+class LoadBalancer {
  public:
-  Servers(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {
+  LoadBalancer(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {
     settings_changed();
   }
   void settings_changed() {
@@ -105,7 +105,7 @@
     stale_ = true;
   }
 
-  void update(Micros now, const ServerListUpdate& update) {
+  void update(Micros now, const EndpointListUpdate& update) {
     list_.update(update, [&](const List::Change& c) {
       start_.moved(c.place, c.came);
       if (c.place - start_.place() <= part_end_ - start_.place()) {
@@ -131,9 +131,9 @@
   // hundred gateways would shake hands with every server, and meet it too seldom to learn that it
   // is sick. The stretches begin at even distances, neighbours' far apart, and go on until enough
   // of theirs is fit.
-  const std::vector<Server*>& part(Micros now) {
+  const std::vector<EndpointHealth*>& part(Micros now) {
     for (; !ejections_.empty() && ejections_.front().first <= now; ejections_.pop_front()) {
-      if (Server& s = *ejections_.front().second;
+      if (EndpointHealth& s = *ejections_.front().second;
           s.ejected_until <= now && std::exchange(s.ejected, false)) {
         recount(s);
       }
@@ -147,7 +147,7 @@
     weights_ = 0;
     double fit = 0;
     bool cold = false;
-    list_.use(start_.place(), [&](Server& s) {
+    list_.use(start_.place(), [&](EndpointHealth& s) {
       part_.push_back(&s);
       s.used_at = now;
       s.elsewhere = s.entry.zone != settings_.zone;
@@ -167,37 +167,38 @@
   }
 
   // The least share of its full capacity that the server can have by now.
-  double warmth(Micros now, const Server& s) const {
-    if (s.entry.started_at <= 0 || settings_.cold_time <= 0) {
+  double warmth(Micros now, const EndpointHealth& s) const {
+    if (s.entry.started_at <= 0 || settings_.slow_start_duration <= 0) {
       return 1;
     }
-    const double age = double(now - s.entry.started_at) / double(settings_.cold_time);
-    return std::clamp(settings_.cold_share + (1 - settings_.cold_share) * age, settings_.cold_share,
-                      1.0);
+    const double age = double(now - s.entry.started_at) / double(settings_.slow_start_duration);
+    return std::clamp(
+        settings_.slow_start_min_fraction + (1 - settings_.slow_start_min_fraction) * age,
+        settings_.slow_start_min_fraction, 1.0);
   }
 
   // Danger: a cold server sent too much falls over for good. We stay within our own part of what it
   // can bear, taking what we send a warm peer for our part of a warm server's load.
-  bool cold_covers(Micros now, Server& s, double work) {
+  bool cold_covers(Micros now, EndpointHealth& s, double work) {
     const double warm = warmth(now, s);
     if (warm >= 1) {
       return true;
     }
     // Where our part is less than one request, requests are so much further apart.
-    const double window = double(settings_.cold_window);
-    const double sharers = settings_.gateways * processes_ * double(part_.size()) /
+    const double window = double(settings_.slow_start_overload_window);
+    const double sharers = settings_.gateway_count * processes_ * double(part_.size()) /
                            double(std::max<std::size_t>(1, list_.up()));
-    const double budget = kColdSafety * settings_.cold_multiple * warm * peer_rate_ * weight(s) *
-                          window / kSecond / processes_;
+    const double budget = kColdSafety * settings_.slow_start_overload_factor * warm * peer_rate_ *
+                          weight(s) * window / kSecond / processes_;
     const double span = window * std::clamp(work / std::max(budget, 1e-9), 1.0, sharers);
     const double spent = s.cold_sends.within(now, span);
     return s.cold_sends.empty() || spent + work <= budget;
   }
 
-  double weight(const Server& s) const { return s.entry.weight > 0 ? s.entry.weight : 1; }
+  double weight(const EndpointHealth& s) const { return s.entry.weight > 0 ? s.entry.weight : 1; }
 
   // How slow a server is against its peers, by its answers and by what it still owes.
-  double slowness(Micros now, const Server& s, double mean) const {
+  double slowness(Micros now, const EndpointHealth& s, double mean) const {
     const double r = s.ratio.mean(now, kLatencyMemory, kPriorSamples);
     if (s.out == 0 || mean <= 0) {
       return r;
@@ -207,7 +208,7 @@
 
   // The server where an attempt should end soonest, or none with room; `mean` is an answer's time.
   template <typename Filter>
-  Server* choose(Micros now, double work, double mean, Filter allowed) {
+  EndpointHealth* choose(Micros now, double work, double mean, Filter allowed) {
     part(now);
     if (!has_room(now)) {
       return nullptr;
@@ -220,27 +221,27 @@
     const std::size_t n = part_.size();
     const std::size_t from = n > kWindow ? std::size_t(uniform(random_) * double(n)) : 0;
     for (std::size_t i = 0; i < n && (i < kWindow || draws_.empty()); ++i) {
-      if (Server& s = *part_[from + i < n ? from + i : from + i - n]; allowed(s)) {
+      if (EndpointHealth& s = *part_[from + i < n ? from + i : from + i - n]; allowed(s)) {
         draw(now, s, work, mean, most);
       }
     }
-    return draws_.best_of(std::size_t(kDraws + listed() / settings_.gateways));
+    return draws_.best_of(std::size_t(kDraws + listed() / settings_.gateway_count));
   }
 
   void split(int processes) { processes_ = processes; }
 
-  int avoided() const { return list_.draining() + on_trial_; }
+  int unavailable_endpoints() const { return list_.draining() + on_trial_; }
   std::size_t used() const { return list_.used(); }
 
   // May any that we use be sent to, now or when it has room?
   template <typename Filter>
   bool any(Micros now, Filter allowed) {
-    const std::vector<Server*>& ours = part(now);
+    const std::vector<EndpointHealth*>& ours = part(now);
     return std::any_of(ours.begin(), ours.end(),
-                       [&](const Server* s) { return !s->ejected && allowed(*s); });
+                       [&](const EndpointHealth* s) { return !s->ejected && allowed(*s); });
   }
 
-  void sent(Micros now, Server& s, double work) {
+  void sent(Micros now, EndpointHealth& s, double work) {
     s.used_at = now;
     ++s.named;
     s.carried += work;
@@ -250,7 +251,7 @@
   }
 
   // So many attempts more are with a server, from the last byte of their requests to their end.
-  void occupy(Micros now, Server& s, int attempts) {
+  void occupy(Micros now, EndpointHealth& s, int attempts) {
     settle(now);
     s.out += attempts;
     out_ += attempts;
@@ -261,11 +262,11 @@
 
   // `ratio`: its time over its class's mean. Danger: a sick server that answers errors at once
   // looks fast.
-  bool ended(Micros now, Server& s, Outcome o, double ratio, double over_aim, double mean,
+  bool ended(Micros now, EndpointHealth& s, Outcome o, double ratio, double over_aim, double mean,
              bool blame, const LoadReport& load) {
     const bool answered = o == Outcome::kOk || o == Outcome::kError;
     const bool timed = o == Outcome::kOk || o == Outcome::kTimeout || blame;
-    const bool failed = blame || (o != Outcome::kOk && o != Outcome::kFull &&
+    const bool failed = blame || (o != Outcome::kOk && o != Outcome::kOverloaded &&
                                   o != Outcome::kNotSent && o != Outcome::kCancelled);
     if (timed || failed) {
       s.ratio.add(now, kLatencyMemory, failed ? std::max(ratio, kFailedRatio) : ratio);
@@ -289,7 +290,7 @@
     return failed && fails(now, s);
   }
   bool cut(Micros now, const std::string& server) {
-    Server* s = list_.find(server);
+    EndpointHealth* s = list_.find(server);
     return s && fails(now, *s);
   }
 
@@ -298,7 +299,7 @@
   void look(Micros now) {
     double work = 0;
     double weights = 0;
-    for (Server* s : part(now)) {
+    for (EndpointHealth* s : part(now)) {
       s->used_at = now;
       if (warmth(now, *s) < 1 || s->ejected) {
         continue;
@@ -309,7 +310,7 @@
     if (weights > 0) {
       peer_rate_ += 0.3 * (work / weights / (kPeriod / kSecond) - peer_rate_);
     }
-    list_.forget_if([&](Server& s) {
+    list_.forget_if([&](EndpointHealth& s) {
       s.carried = 0;
       return s.named == 0 && now - s.used_at > forget_after_ &&
              (s.cold_sends.empty() || warmth(now, s) >= 1);
@@ -325,7 +326,7 @@
   }
 
   double even() const {
-    return std::max(limit_, kLeastInFlight * std::max(listed(), 1) / settings_.gateways);
+    return std::max(limit_, kLeastInFlight * std::max(listed(), 1) / settings_.gateway_count);
   }
 
   double pressure(Micros now) {
@@ -338,7 +339,7 @@
 
   // After any change of what a server is held for: the sums are kept, and our part is looked at
   // anew.
-  void recount(Server& s) {
+  void recount(EndpointHealth& s) {
     const bool ejected = s.usable && s.ejected;
     const bool trial = s.usable && s.on_trial;
     ejected_ += int(ejected) - int(std::exchange(s.counts_ejected, ejected));
@@ -346,7 +347,7 @@
     stale_ = true;
   }
 
-  void draw(Micros now, Server& s, double work, double mean, double most) {
+  void draw(Micros now, EndpointHealth& s, double work, double mean, double most) {
     // Danger: a whole zone gone may be more than may be ejected; its servers then come last, not in
     // turn.
     const bool last_resort = ejected_ > kMaxEjected * double(list_.up());
@@ -373,7 +374,7 @@
 
   // Danger: who meets a server seldom waits long for failures in a row. Each counts by how rare
   // failures are; where all servers fail, it says next to nothing of one.
-  bool fails(Micros now, Server& s) {
+  bool fails(Micros now, EndpointHealth& s) {
     failing_ = std::min(kBadFails, failing_ + kFailingGain * (1 - failing_));
     s.odds += std::log(kBadFails / std::max(kFailsLeast, failing_));
     if ((s.odds < kEjectOdds && !s.on_trial) || s.ejected_until > now) {
@@ -416,7 +417,7 @@
                            : std::min(slow_norm_, base_ + kBaseGain * (slow_norm_ - base_));
       }
     }
-    if (o == Outcome::kFull) {
+    if (o == Outcome::kOverloaded) {
       return;  // danger: one server, or one plan there, is not the fleet
     }
     if (base_ <= 0 || norm_ <= kBusy * base_) {
@@ -432,20 +433,20 @@
   const Settings& settings_;
   std::uint64_t random_;
   List list_;
-  RankMark start_;
-  std::vector<Server*> part_;
+  RankCursor start_;
+  std::vector<EndpointHealth*> part_;
   std::uint64_t part_end_ = 0;  // place of its last one
   bool stale_ = true;
   double enough_ = 0;               // fit servers that `part_` was made with
   double weights_ = 0;              // of those there that are not ejected, by their warmth
   Micros warm_at_ = 0;              // when it is looked at anew because cold ones warm up
   int ejected_ = 0, on_trial_ = 0;  // of the listed ones
-  std::deque<std::pair<Micros, Server*>> ejections_;  // by their end
-  Draws<Server> draws_;
+  std::deque<std::pair<Micros, EndpointHealth*>> ejections_;  // by their end
+  WeightedSample<EndpointHealth> draws_;
   double limit_ = 0, norm_ = 0, slow_norm_ = 0, base_ = 0, peer_rate_ = 0;
   double failing_ = kFailsLeast;  // part of all our attempts that fail; fading mean
   int answers_ = 0, out_ = 0, processes_ = 1;
-  Ends ends_;
+  OutcomeCounts ends_;
   double room_ = 1;  // attempt-seconds
   Micros room_at_ = 0, cut_at_ = 0, forget_after_ = kKnownFor;
 };
--- a/src/policy/endpoints/outcome_counts.hpp
+++ b/src/policy/endpoints/outcome_counts.hpp
@@ -7,7 +7,7 @@
 
 namespace quota_gateway {
 
-class Ends {
+class OutcomeCounts {
  public:
   // `blamed`: cancelled by us because its server had stalled.
   void add(Outcome outcome, bool blamed) { ++counts_[blamed ? kBlamed : std::size_t(outcome)]; }
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -28,7 +28,7 @@
 constexpr Micros kLogEvery = 5'000'000;  // us between log lines of one kind
 
 struct Attempt {
-  Server* server = nullptr;
+  EndpointHealth* server = nullptr;
   Micros sent = 0;
   bool out = true, may_have_run = true;
   bool with_server = true;  // all of it; a long body that comes slowly takes no room there
@@ -45,13 +45,13 @@
   std::string id;
   std::shared_ptr<Class> cls;
   int most_attempts = 1, out = 0;
-  Customer* customer = nullptr;
+  CustomerState* customer = nullptr;
   double units = 1,
          quota_units = 1;  // the latter of the quota: units, or attempt-seconds under an open cap
   double expected = 0, value = 1;  // us, its answer time; worth a unit of that work: who goes first
   Micros arrived = 0, hold_until = 0, give_up = 0;  // no answer after the last earns anything
   bool over = false;                                // beyond the quota as far as we know
-  bool body_follows = false, done = false, held = false;
+  bool body_pending = false, done = false, held = false;
   double* taken_from = nullptr;       // its units; null: they are not taken
   bool waits = false, tried = false;  // for the counter; to draw on the quota
   std::vector<Attempt> attempts;
@@ -82,7 +82,7 @@
     }
     drain_held();
   }
-  int avoided() const { return servers_.avoided(); }
+  int unavailable_endpoints() const { return servers_.unavailable_endpoints(); }
 
  private:
   void emit(Action action) { out_->push_back(std::move(action)); }
@@ -104,7 +104,7 @@
     emit(LogLine{std::string(kind).append(": ").append(text)});
   }
 
-  void on(const ServerListUpdate& e) { servers_.update(now_, e); }
+  void on(const EndpointListUpdate& e) { servers_.update(now_, e); }
   void on(const StreamStarted& e) {
     if (Request* r = find(e.id)) {
       r->done = true;  // the attempt is the client's now
@@ -120,16 +120,16 @@
       servers_.occupy(now_, *a.server, 1);
     }
   }
-  void on(const ProbeEnded&) {}
-  void on(const AnswerCut& e) {
+  void on(const HealthCheckCompleted&) {}
+  void on(const ResponseAborted& e) {
     if (servers_.cut(now_, e.server)) {
       log("server", e.server + " ejected: it fails");
     }
   }
-  void on(const ProcessesChanged& e) {
+  void on(const PeerProcessesChanged& e) {
     fill_ceilings();
-    slices_.split(now_, 1 + e.others);
-    servers_.split(1 + e.others);
+    slices_.split(now_, 1 + e.peer_count);
+    servers_.split(1 + e.peer_count);
   }
   void on(const SettingsChanged& e) {
     fill_ceilings();
@@ -139,12 +139,12 @@
     servers_.settings_changed();
   }
   void fill_ceilings() {
-    slices_.each([this](Customer& c) { ceilings_.covers(now_, c, 0); });
+    slices_.each([this](CustomerState& c) { ceilings_.covers(now_, c, 0); });
   }
   // Customers and open requests hold plans and classes: plans change in place, a changed class is
   // another.
   void settings_changed() {
-    settings_.gateways = std::max(1, settings_.gateways);
+    settings_.gateway_count = std::max(1, settings_.gateway_count);
     for (const PlanSettings& p : settings_.plans) {
       plans_[p.name] = p;
     }
@@ -156,21 +156,21 @@
           std::make_shared<Class>(Class{c, told.mean, told.usual_units, told.answers});
     }
   }
-  void on(const CounterAnswered& e) {
+  void on(const CounterReply& e) {
     slices_.pace(now_, e);
     const auto d = pools_.answered(now_, e);
-    if (d.counts && d.pool.drawn == &Customer::of_quota) {
+    if (d.counts && d.pool.drawn == &CustomerState::of_quota) {
       slices_.drew(now_, *d.owner, e.total,
                    std::max(d.pool.since(now_, *d.owner), d.pool.length / 2));
     }
-    Customer* counted = d.owner ? nullptr : slices_.answered(now_, e);
+    CustomerState* counted = d.owner ? nullptr : slices_.answered(now_, e);
     if (d.owner) {
       decide_all((d.owner->*d.pool.drawn).waiting);
     }
     if (counted) {
       decide_all(counted->waiting);
     }
-    if (e.outcome != CountOutcome::kOk) {
+    if (e.outcome != CounterOutcome::kOk) {
       log("counter", "no answer or refused; totals are held");
     }
   }
@@ -183,7 +183,7 @@
     }
   }
 
-  void on(const ClientGone& e) {
+  void on(const ClientDisconnected& e) {
     if (Request* r = find(e.id)) {
       close(*r);
     }
@@ -224,7 +224,7 @@
       return;
     }
     told_at_ = now_;
-    const Refusals r = std::exchange(refusals_, {});
+    const RejectionCounts r = std::exchange(refusals_, {});
     if (r.any()) {
       log("refused", join(r.text(), slices_.state(now_), "; ", servers_.state(now_)));
     }
@@ -235,22 +235,23 @@
     const auto known = classes_.find(e.request_class);
     const std::shared_ptr<Class> cls = known != classes_.end() ? known->second : unknown_class_;
     const PlanSettings* plan = &plans_[e.plan];  // one that nobody knows has no quota
-    Customer& c = slices_.find(now_, e, *plan);
+    CustomerState& c = slices_.find(now_, e, *plan);
     cls->usual_units += (cls->usual_units > 0 ? kMeanGain : 1.0) * (e.units - cls->usual_units);
-    const double quota_units = plan->rate > 0 ? e.units : expected(*cls, e.units) / kSecond;
+    const double quota_units = plan->quota_rate > 0 ? e.units : expected(*cls, e.units) / kSecond;
     slices_.count(now_, c, quota_units);
     Request& r = requests_[e.id];
     r.id = e.id;
     r.cls = cls;
     r.most_attempts = settings_.max_attempts;
-    r.body_follows = e.body_follows;
+    r.body_pending = e.body_pending;
     r.customer = &c;
     r.units = e.units;
     r.quota_units = quota_units;
     r.expected = expected(*cls, e.units);
-    r.value = cls->worth * plan->price * e.units / r.expected;
+    r.value = cls->priority_weight * plan->value_factor * e.units / r.expected;
     r.arrived = now_;
-    r.give_up = cls->late_worth > 0 ? e.deadline : std::min(e.deadline, now_ + cls->aim);
+    r.give_up = cls->late_value_fraction > 0 ? e.deadline
+                                             : std::min(e.deadline, now_ + cls->latency_objective);
     // Danger: gateways that meet a customer seldom would never know a total in time. The first one
     // waits. A draw comes first. Danger: with the total read no call was left to draw on the
     // ceiling.
@@ -265,22 +266,23 @@
   // For the counter: a call's time-out at most, all calls of a request together.
   bool may_wait(const Request& r) const {
     return now_ - r.arrived < settings_.counter_timeout &&
-           r.give_up - now_ > settings_.counter_timeout + 2 * settings_.tick;
+           r.give_up - now_ > settings_.counter_timeout + 2 * settings_.clock_tick;
   }
   void wait(Request& r, std::vector<std::string>& line) {
     r.waits = true;
     line.push_back(r.id);
-    arm(r, kDecide, r.arrived + settings_.counter_timeout + settings_.tick);
+    arm(r, kDecide, r.arrived + settings_.counter_timeout + settings_.clock_tick);
   }
 
   // Within the slice or not? Refused at once if not.
   void decide(Request& r) {
     r.waits = false;
-    Customer& c = *r.customer;
+    CustomerState& c = *r.customer;
     const PlanSettings& plan = *c.plan;
     slices_.advance(now_, c);
     // A plan that earns more beyond its quota than it costs is let through while servers have room.
-    const bool excess = plan.over_worth > plan.over_cost && servers_.pressure(now_) < kRelaxed;
+    const bool excess =
+        plan.over_quota_value > plan.over_quota_cost && servers_.pressure(now_) < kRelaxed;
     const auto spare = [this](int ahead) {
       return [this, ahead] { return slices_.spare_call(now_, ahead); };
     };
@@ -299,7 +301,7 @@
       }
       within = from || (!shut && slices_.passes_undrawn(c, r.units));
     }
-    within = within && (plan.max_open <= 0 || c.open < plan.max_open);
+    within = within && (plan.max_concurrent_attempts <= 0 || c.open < plan.max_concurrent_attempts);
     const bool under_ceiling = ceilings_.covers(now_, c, r.units);
     if ((within || excess) && !under_ceiling && may_wait(r) && settings_.has_counter) {
       const double ahead = std::max(r.units, std::min(c.own, c.rate) * kDrawAhead);
@@ -321,7 +323,7 @@
       // Danger: with units left in the slice the advice would be to come at once, and be refused at
       // once.
       const Micros room = under_ceiling ? 0 : ceilings_.room_in(now_, c, r.units);
-      emit(Refuse{r.id, slices_.retry_after(c, r.quota_units, r.cls->aim, room)});
+      emit(Reject{r.id, slices_.retry_after(c, r.quota_units, r.cls->latency_objective, room)});
       return close(r);
     }
     r.over = !within;
@@ -341,7 +343,9 @@
     forget(r);
   }
 
-  static double mean_of(const Class& cls) { return cls.mean > 0 ? cls.mean : double(cls.aim) / 6; }
+  static double mean_of(const Class& cls) {
+    return cls.mean > 0 ? cls.mean : double(cls.latency_objective) / 6;
+  }
   // Units tell a request's size where they vary within a class.
   static double expected(const Class& cls, double units) {
     return mean_of(cls) * (cls.usual_units > 0 && units > 0 ? units / cls.usual_units : 1.0);
@@ -351,32 +355,33 @@
   }
 
   // Rule 2: where may this request still go?
-  bool may_go(const Request& r, const Server& s) const {
+  bool may_go(const Request& r, const EndpointHealth& s) const {
     for (const Attempt& a : r.attempts) {
       if (a.server == &s) {
         return false;  // what failed there once may again
       }
-      if (!a.may_have_run || r.cls->repeat == Repeat::kSafe) {
+      if (!a.may_have_run || r.cls->idempotency == Idempotency::kIdempotent) {
         continue;
       }
-      if (r.cls->repeat == Repeat::kUnsafe) {
+      if (r.cls->idempotency == Idempotency::kNonIdempotent) {
         return false;
       }
       const bool same =
           r.cls->dedup_scope == DedupScope::kAll ||
           (r.cls->dedup_scope == DedupScope::kZone && s.entry.zone == a.server->entry.zone) ||
           (r.cls->dedup_scope == DedupScope::kCell && s.entry.cell == a.server->entry.cell);
-      if (!same || now_ - a.sent >= r.cls->dedup_window - 2 * settings_.tick) {
+      if (!same || now_ - a.sent >= r.cls->dedup_window - 2 * settings_.clock_tick) {
         return false;
       }
     }
     return true;
   }
   bool may_refuse(const Request& r) const {
-    if (r.cls->repeat == Repeat::kSafe) {
+    if (r.cls->idempotency == Idempotency::kIdempotent) {
       return true;
     }
-    if (r.cls->repeat == Repeat::kKeyed && r.cls->dedup_scope == DedupScope::kAll) {
+    if (r.cls->idempotency == Idempotency::kIdempotencyKey &&
+        r.cls->dedup_scope == DedupScope::kAll) {
       return true;
     }
     return std::none_of(r.attempts.begin(), r.attempts.end(),
@@ -384,13 +389,13 @@
   }
 
   bool send(Request& r) {
-    if (int(r.attempts.size()) >= most_attempts(r) || r.give_up - now_ <= settings_.tick) {
+    if (int(r.attempts.size()) >= most_attempts(r) || r.give_up - now_ <= settings_.clock_tick) {
       return false;
     }
     const bool again = !r.attempts.empty();
     const double work = r.expected / kSecond;
-    Server* s = servers_.choose(now_, work, mean_of(*r.cls),
-                                [&](const Server& to) { return may_go(r, to); });
+    EndpointHealth* s = servers_.choose(now_, work, mean_of(*r.cls),
+                                        [&](const EndpointHealth& to) { return may_go(r, to); });
     if (!s) {
       return false;
     }
@@ -403,8 +408,8 @@
     }
     servers_.sent(now_, *s, work);
     r.attempts.push_back({s, now_});
-    r.attempts.back().with_server = !r.body_follows;
-    if (!r.body_follows) {
+    r.attempts.back().with_server = !r.body_pending;
+    if (!r.body_pending) {
       servers_.occupy(now_, *s, 1);
     }
     ++r.out;
@@ -429,8 +434,10 @@
     if (!a.out || a.blamed) {
       return;
     }
-    const bool repeatable = r.cls->repeat == Repeat::kSafe || r.cls->repeat == Repeat::kKeyed;
-    if (repeatable && retries_ >= 1 && settings_.may_cancel && a.server->owing_since <= a.sent) {
+    const bool repeatable = r.cls->idempotency == Idempotency::kIdempotent ||
+                            r.cls->idempotency == Idempotency::kIdempotencyKey;
+    if (repeatable && retries_ >= 1 && settings_.cancellation_allowed &&
+        a.server->owing_since <= a.sent) {
       retries_ -= 1;
       a.blamed = true;
       emit(CancelAttempt{r.id, index});
@@ -439,7 +446,7 @@
     watch(r, index, Micros(kDoubtAfter * r.expected));
   }
 
-  void on(const AttemptEnded& e) {
+  void on(const AttemptCompleted& e) {
     Request* found = find(e.id);
     if (!found || e.attempt < 0 || e.attempt >= int(found->attempts.size())) {
       return;
@@ -452,8 +459,8 @@
     --r.out;
     --r.customer->open;
     using O = Outcome;
-    a.may_have_run =
-        !(e.outcome == O::kFull || e.outcome == O::kConnectFailed || e.outcome == O::kNotSent);
+    a.may_have_run = !(e.outcome == O::kOverloaded || e.outcome == O::kConnectFailed ||
+                       e.outcome == O::kNotSent);
     if (e.outcome == O::kOk) {
       const double gain = std::max(kMeanGain, 1 / (kMeanPrior + ++r.cls->answers));
       r.cls->mean = mean_of(*r.cls) + gain * (double(e.duration) - mean_of(*r.cls));
@@ -461,8 +468,9 @@
     const double mean = mean_of(*r.cls);
     // Danger: a gateway that stood still finds answers old; what they say they took counts, not the
     // clock.
-    const double over_aim =
-        double(e.duration) / double(std::max<Micros>(1, r.cls->aim)) * mean / r.expected;
+    const double over_aim = double(e.duration) /
+                            double(std::max<Micros>(1, r.cls->latency_objective)) * mean /
+                            r.expected;
     if (a.with_server) {
       servers_.occupy(now_, *a.server, -1);
     }
@@ -470,10 +478,10 @@
                        a.blamed, e.load)) {
       log("server", a.server->entry.server + " ejected: it fails");
     }
-    if (settings_.settles_later && e.billed > 0 && !r.over) {
-      slices_.take(*r.customer, e.billed - r.units);
+    if (settings_.units_settled_later && e.billed_units > 0 && !r.over) {
+      slices_.take(*r.customer, e.billed_units - r.units);
     }
-    if (e.finished) {
+    if (e.request_answered) {
       finish(r);
     }
     if (!r.done && r.out == 0) {
@@ -487,7 +495,7 @@
       // Danger: a keyed request that may have run has few servers to go to, which are soon all
       // taken.
       if (again && !send(r) &&
-          servers_.any(now_, [&](const Server& to) { return may_go(r, to); })) {
+          servers_.any(now_, [&](const EndpointHealth& to) { return may_go(r, to); })) {
         hold(r);
       } else if (r.out == 0) {
         end(r);
@@ -503,7 +511,7 @@
     }
     if (may_refuse(r)) {
       ++refusals_.servers;
-      emit(Refuse{r.id, Micros(mean_of(*r.cls))});
+      emit(Reject{r.id, Micros(mean_of(*r.cls))});
     } else {
       emit(Fail{r.id});
     }
@@ -517,7 +525,7 @@
     if (from && r.attempts.empty()) {
       slices_.give_back(*r.customer, from, r.quota_units);
     }
-    if (!settings_.may_cancel) {
+    if (!settings_.cancellation_allowed) {
       return;
     }
     for (std::size_t i = 0; i < r.attempts.size(); ++i) {
@@ -551,8 +559,8 @@
     held_.insert(std::upper_bound(held_.begin(), held_.end(), r.value, dearer), r.id);
     log("full", "servers are full; requests wait or are refused");
     const Micros since = r.attempts.empty() ? r.arrived : now_;
-    r.hold_until = std::min(r.give_up - std::max(settings_.tick, Micros(kNeed * r.expected)),
-                            since + Micros(kHoldShare * double(r.cls->aim)));
+    r.hold_until = std::min(r.give_up - std::max(settings_.clock_tick, Micros(kNeed * r.expected)),
+                            since + Micros(kHoldShare * double(r.cls->latency_objective)));
     arm(r, kWake, r.hold_until);
   }
 
@@ -588,15 +596,15 @@
   std::map<std::string, std::shared_ptr<Class>> classes_;
   std::map<std::string, PlanSettings> plans_;  // never taken out; customers hold them
   const std::uint64_t seed_;
-  QuotaSlices slices_;
-  Ceilings ceilings_;
-  PoolLedger<Customer> pools_;
-  Servers servers_;
+  QuotaAllocator slices_;
+  RateCeiling ceilings_;
+  PoolLedger<CustomerState> pools_;
+  LoadBalancer servers_;
   std::unordered_map<std::string, Request> requests_;  // looked up by id, never walked
   std::unordered_map<std::int64_t, std::pair<std::string, int>> timers_;
   std::map<std::string, Micros> logged_;
   std::vector<std::string> held_;  // dear ones first
-  Refusals refusals_;              // since last told
+  RejectionCounts refusals_;       // since last told
   Micros now_ = 0, next_look_ = 0, told_at_ = 0;
   std::vector<Action>* out_ = nullptr;
   std::int64_t timer_ = 1;
@@ -612,8 +620,8 @@
 void Gateway::handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions) {
   impl_->handle(now, events, actions);
 }
-int Gateway::avoided() const {
-  return impl_->avoided();
+int Gateway::unavailable_endpoints() const {
+  return impl_->unavailable_endpoints();
 }
 
 }  // namespace quota_gateway
--- a/src/policy/quota/quota_allocator.hpp
+++ b/src/policy/quota/quota_allocator.hpp
@@ -52,12 +52,12 @@
 constexpr double kAdviseShare =
     0.33;  // of the aim: longest retry-after, so that a retry still ends in time
 
-struct Customer {
+struct CustomerState {
   const PlanSettings* plan = nullptr;
   std::uint64_t key = 0;
-  int set_size = 1, open = 0;  // gateways it comes through; attempts out
-  int asks = 0, calling = 0;   // requests that no call has carried yet; calls on their way
-  double rate = 0;  // of the quota: units, or attempt-seconds under an open cap, a second
+  int gateway_subset_size = 1, open = 0;  // gateways it comes through; attempts out
+  int asks = 0, calling = 0;  // requests that no call has carried yet; calls on their way
+  double rate = 0;            // of the quota: units, or attempt-seconds under an open cap, a second
   Micros last_use = 0, called_at = 0;
   Micros at = 0,
          ceiling_at = 0;  // up to when demand has faded and the store, or our part, has filled
@@ -74,22 +74,25 @@
   double seen = 0, added = 0;       // its total when last read; what our own calls have added since
   std::vector<std::string> waiting;  // requests that wait for the first total
   double ceiling = 0;                // units left of our even part of the ceiling
-  Drawn of_ceiling, of_quota;
+  PoolReservation of_ceiling, of_quota;
   double pass = 1,
          turn = 0;  // of its requests, those that may draw on the quota; and what adds up to one
 };
 
-class QuotaSlices {
+class QuotaAllocator {
  public:
-  QuotaSlices(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
+  QuotaAllocator(const Settings& settings, std::uint64_t seed)
+      : settings_(settings), random_(seed) {}
 
-  Customer& find(Micros now, const RequestArrived& r, const PlanSettings& plan) {
-    Customer& c = customers_[r.customer];
+  CustomerState& find(Micros now, const RequestArrived& r, const PlanSettings& plan) {
+    CustomerState& c = customers_[r.customer];
     if (born_ == 0) {
-      born_ = now - settings_.tick;
+      born_ = now - settings_.clock_tick;
     }
-    c.set_size = processes_ *
-                 (r.set_size > 0 ? std::min(r.set_size, settings_.gateways) : settings_.gateways);
+    c.gateway_subset_size =
+        processes_ * (r.gateway_subset_size > 0
+                          ? std::min(r.gateway_subset_size, settings_.gateway_count)
+                          : settings_.gateway_count);
     if (c.plan != &plan) {
       c.plan = &plan;
       c.key = hash_text(r.customer);
@@ -100,7 +103,7 @@
       c.ceiling = 0;
       c.ceiling_at = born_;
       c.store = c.part = depth(c);
-      c.others = c.rate * (1 - 1.0 / c.set_size);
+      c.others = c.rate * (1 - 1.0 / c.gateway_subset_size);
     }
     c.last_use = now;
     return c;
@@ -109,27 +112,27 @@
   // Of a quota. An open cap, as attempt-seconds a second: so many out that chance seldom passes the
   // cap.
   static double rate(const PlanSettings& plan) {
-    const double open = plan.max_open;
-    return plan.rate > 0 ? plan.rate
-                         : std::max(kOpenLeast * open, open - kOpenSpread * std::sqrt(open));
+    const double open = plan.max_concurrent_attempts;
+    return plan.quota_rate > 0 ? plan.quota_rate
+                               : std::max(kOpenLeast * open, open - kOpenSpread * std::sqrt(open));
   }
-  double burst(const Customer& c) const {
-    return c.plan->rate > 0 ? c.plan->burst : c.rate * kOpenBurst;
+  double burst(const CustomerState& c) const {
+    return c.plan->quota_rate > 0 ? c.plan->quota_burst : c.rate * kOpenBurst;
   }
   // Danger: each gateway would let all in of a customer that no total has told of. It has an even
   // part first.
-  double depth(const Customer& c) const {
-    return burst(c) * (c.read_at > 0 ? 1 : std::min(1.0, 2.0 / c.set_size));
+  double depth(const CustomerState& c) const {
+    return burst(c) * (c.read_at > 0 ? 1 : std::min(1.0, 2.0 / c.gateway_subset_size));
   }
   // Danger: a small quota sees nought or a whole burst in one second; so it is smoothed over the
   // burst.
-  double memory(const Customer& c) const {
+  double memory(const CustomerState& c) const {
     return std::clamp(burst(c) / std::max(c.rate, 1e-9), 1.0, kMaxHorizon);
   }
 
   // Fills the store by what others leave. Danger: a hundredth of one holds less than a request; all
   // see it whole.
-  void advance(Micros now, Customer& c) {
+  void advance(Micros now, CustomerState& c) {
     const double dt = double(now - c.at) / kSecond;
     if (dt <= 0) {
       return;
@@ -148,7 +151,7 @@
   // room has not filled in comes with the demand itself, also for one request an hour. Danger:
   // demand grows with each request; paid by what it was before, large ones got a tenth more than
   // the slice: hence the logarithms.
-  void count(Micros now, Customer& c, double units) {
+  void count(Micros now, CustomerState& c, double units) {
     advance(now, c);
     const double quota = c.rate;
     const double room = std::max(0.0, quota - c.others);
@@ -168,12 +171,13 @@
   // Danger: through hundreds of gateways each meets a customer once in 10 s or more, and a slice by
   // a total as old as that says nothing of this moment. So few units to an even part are drawn, one
   // request at a time.
-  bool thin(const Customer& c) const {
-    return settings_.has_counter && c.plan->rate > 0 &&
-           c.plan->rate * double(kPeriod) / kSecond < kThin * settings_.largest_units * c.set_size;
+  bool thin(const CustomerState& c) const {
+    return settings_.has_counter && c.plan->quota_rate > 0 &&
+           c.plan->quota_rate * double(kPeriod) / kSecond <
+               kThin * settings_.max_request_units * c.gateway_subset_size;
   }
   // Past the quota only so many draw that their draws add up to a little more than it.
-  bool may_draw(Customer& c) {
+  bool may_draw(CustomerState& c) {
     if (c.of_quota.window == 0) {
       c.turn = uniform(random_);
     }
@@ -181,7 +185,7 @@
     return c.turn >= 1 && (c.turn -= 1, true);
   }
   // What all drew in a window up to now tells how much is asked.
-  void drew(Micros now, Customer& c, double total, double seconds) {
+  void drew(Micros now, CustomerState& c, double total, double seconds) {
     advance(now, c);
     const double asked = total / seconds;
     c.others = std::max(0.0, asked / c.pass - c.own);
@@ -192,11 +196,11 @@
   }
 
   // Is this request within the slice? One larger than the whole store passes when that is full.
-  bool covers(const Customer& c, double units) const {
+  bool covers(const CustomerState& c, double units) const {
     return c.rate <= 0 || std::max(in_store(c), c.credit) >= std::min(units, depth(c)) - 1e-9;
   }
   // What it is taken from, to be given back there.
-  double* take(Customer& c, double units, double* from = nullptr) const {
+  double* take(CustomerState& c, double units, double* from = nullptr) const {
     const bool stored = in_store(c) >= std::min(units, depth(c)) - 1e-9;
     if (!from) {
       from = stored ? &c.store : &c.credit;
@@ -204,7 +208,7 @@
     give_back(c, from, -units);
     return from;
   }
-  void give_back(Customer& c, double* to, double units) const {
+  void give_back(CustomerState& c, double* to, double units) const {
     if (c.rate <= 0) {
       return;
     }
@@ -216,31 +220,33 @@
 
   // Our fraction of the whole: own demand and an even part of the room; past the quota our share of
   // demand.
-  double fraction(const Customer& c) const {
+  double fraction(const CustomerState& c) const {
     const double all = c.own + c.others;
     if (all >= c.rate) {
       return c.own / std::max(all, 1e-9);
     }
-    return (c.own + (c.rate - all) / c.set_size) / c.rate;
+    return (c.own + (c.rate - all) / c.gateway_subset_size) / c.rate;
   }
   // What is left in the store. Danger: between two totals a spike would go through as often as
   // there are gateways. Each spends its fraction; one request may go past it, or a small fraction
   // held none.
-  double in_store(const Customer& c) const { return c.part > 0 ? c.store : std::min(c.store, 0.0); }
+  double in_store(const CustomerState& c) const {
+    return c.part > 0 ? c.store : std::min(c.store, 0.0);
+  }
 
   // When the slice will have filled enough. Danger: a client that returns after the aim earns
   // nothing.
-  Micros retry_after(const Customer& c, double units, Micros aim, Micros least) {
+  Micros retry_after(const CustomerState& c, double units, Micros aim, Micros least) {
     const double fill =
         std::max({c.rate - c.others, c.rate * c.own / (c.own + c.others + 1e-9), 1e-6});
     const double lacking = std::max(0.0, units - std::max(c.store, c.credit)) / fill * kSecond;
     const double most = std::min(double(settings_.max_retry_after), kAdviseShare * double(aim));
-    return std::max(settings_.tick, Micros(std::min(most, std::max(lacking, double(least)))));
+    return std::max(settings_.clock_tick, Micros(std::min(most, std::max(lacking, double(least)))));
   }
 
   // Hands own demand to the counter if a call is due, and tells whether a first total is on its
   // way.
-  bool call(Micros now, const std::string& who, Customer& c, std::vector<Action>& out) {
+  bool call(Micros now, const std::string& who, CustomerState& c, std::vector<Action>& out) {
     const bool known = c.read_at > 0;
     if (!settings_.has_counter || c.rate <= 0 || c.uncounted <= 0 || thin(c)) {
       return false;
@@ -312,7 +318,7 @@
   void split(Micros now, int processes) {
     born_ = now;
     for (auto& [name, c] : customers_) {
-      c.set_size = c.set_size / processes_ * processes;
+      c.gateway_subset_size = c.gateway_subset_size / processes_ * processes;
     }
     processes_ = processes;
   }
@@ -328,7 +334,7 @@
       advance(now, c);
       c.rate = rate(*c.plan);
       if (c.read_at <= 0) {
-        c.others = c.rate * (1 - 1.0 / c.set_size);
+        c.others = c.rate * (1 - 1.0 / c.gateway_subset_size);
       }
       c.store = std::min(c.store, depth(c));
     }
@@ -351,12 +357,12 @@
 
   // With no call to spare. Danger: with what others draw, slices past the quota came to twice as
   // much.
-  bool passes_undrawn(const Customer& c, double units) const {
+  bool passes_undrawn(const CustomerState& c, double units) const {
     return covers(c, units) && (silent() || c.read_at <= 0 || c.own + c.others <= c.rate);
   }
 
   // The counter answered or failed to. Returns the customer it was about.
-  Customer* answered(Micros now, const CounterAnswered& a) {
+  CustomerState* answered(Micros now, const CounterReply& a) {
     const auto call = pending_.extract(a.name);
     if (call.empty()) {
       return nullptr;
@@ -366,12 +372,12 @@
     if (it == customers_.end()) {
       return nullptr;
     }
-    Customer& c = it->second;
+    CustomerState& c = it->second;
     --c.calling;
-    if (a.outcome == CountOutcome::kNotAdded) {
+    if (a.outcome == CounterOutcome::kNotAdded) {
       c.uncounted += amount;
     }
-    if (a.outcome != CountOutcome::kOk) {
+    if (a.outcome != CounterOutcome::kOk) {
       return &c;
     }
     c.added += amount;
@@ -428,10 +434,10 @@
   // alike and slows down alike. A call that is lost at once, under a reset or a reply without a
   // number, tells of its connection and not of the line at the counter: the pace stays, until
   // kDownAfter are lost in a row.
-  void pace(Micros now, const CounterAnswered& a) {
+  void pace(Micros now, const CounterReply& a) {
     crowd_ *= fade(now - std::exchange(crowd_at_, now), kCrowdMemory);
-    const bool ok = a.outcome == CountOutcome::kOk;
-    const bool unknown = a.outcome == CountOutcome::kUnknown;
+    const bool ok = a.outcome == CounterOutcome::kOk;
+    const bool unknown = a.outcome == CounterOutcome::kUnknown;
     const bool back = ok && silent();
     const bool slow = 2 * a.duration > settings_.counter_timeout;
     told_.add(a.outcome, slow);
@@ -466,7 +472,7 @@
 
  private:
   double first_calls() const {
-    return std::max(kCallsFirstLeast, kCallsFirst / std::max(1, settings_.gateways));
+    return std::max(kCallsFirstLeast, kCallsFirst / std::max(1, settings_.gateway_count));
   }
   double refill(Micros now) {
     const double most = std::max(first_calls(), call_rate_);
@@ -483,7 +489,7 @@
   double could_ = 0,
          had_ = 0;  // units: what whole quotas would have come to, and what first totals were
   int processes_ = 1, in_a_row_ = 0;  // of this gateway; calls that failed last
-  std::map<std::string, Customer> customers_;
+  std::map<std::string, CustomerState> customers_;
   std::unordered_map<std::int64_t, std::pair<std::string, double>>
       pending_;  // by name, never walked
 };
--- a/src/policy/quota/rate_ceiling.hpp
+++ b/src/policy/quota/rate_ceiling.hpp
@@ -18,20 +18,20 @@
 
 // A span of t touches t / length + 2 windows; with half the burst over the rate as a window, it
 // holds as much.
-inline Pool<Customer> ceiling_pool(const PlanSettings& p) {
-  return {&Customer::of_ceiling, kCeilingNames, (1 - kEvenCeiling) * p.ceiling_burst / 2,
+inline SharedPool<CustomerState> ceiling_pool(const PlanSettings& p) {
+  return {&CustomerState::of_ceiling, kCeilingNames, (1 - kEvenCeiling) * p.ceiling_burst / 2,
           std::max<Micros>(1, Micros(p.ceiling_burst / 2 / p.ceiling_rate * kSecond))};
 }
-inline Pool<Customer> quota_pool(const PlanSettings& p) {
-  return {&Customer::of_quota, kQuotaNames, kQuotaPool * p.burst,
-          std::max<Micros>(1, Micros(kQuotaPool * p.burst / p.rate * kSecond))};
+inline SharedPool<CustomerState> quota_pool(const PlanSettings& p) {
+  return {&CustomerState::of_quota, kQuotaNames, kQuotaPool * p.quota_burst,
+          std::max<Micros>(1, Micros(kQuotaPool * p.quota_burst / p.quota_rate * kSecond))};
 }
 
-class Ceilings {
+class RateCeiling {
  public:
-  explicit Ceilings(const Settings& settings) : settings_(settings) {}
+  explicit RateCeiling(const Settings& settings) : settings_(settings) {}
 
-  bool covers(Micros now, Customer& c, double units) const {
+  bool covers(Micros now, CustomerState& c, double units) const {
     const PlanSettings& p = *c.plan;
     if (p.ceiling_rate <= 0) {
       return true;
@@ -43,7 +43,7 @@
   }
 
   // How long until our part will have filled enough, or a new window has a pool to draw from.
-  Micros room_in(Micros now, const Customer& c, double units) const {
+  Micros room_in(Micros now, const CustomerState& c, double units) const {
     const double fill = part(c) * c.plan->ceiling_rate;
     const auto filled = Micros(std::max(0.0, units - c.ceiling) / fill * kSecond);
     if (!settings_.has_counter || !c.of_ceiling.drained) {
@@ -53,7 +53,7 @@
     return std::min(filled, pool.length - pool.since(now, c));
   }
 
-  void take(Micros now, Customer& c, double units) const {
+  void take(Micros now, CustomerState& c, double units) const {
     if (c.plan->ceiling_rate <= 0) {
       return;
     }
@@ -63,8 +63,8 @@
   }
 
  private:
-  double part(const Customer& c) const {
-    return (settings_.has_counter ? kEvenCeiling : 1) / c.set_size;
+  double part(const CustomerState& c) const {
+    return (settings_.has_counter ? kEvenCeiling : 1) / c.gateway_subset_size;
   }
   const Settings& settings_;
 };
--- a/src/policy/quota/shared_pool.hpp
+++ b/src/policy/quota/shared_pool.hpp
@@ -16,7 +16,7 @@
 namespace quota_gateway {
 
 // Units drawn, good in `window` alone.
-struct Drawn {
+struct PoolReservation {
   double reserved = 0;
   std::int64_t window = 0;
   bool drained = false;              // nothing is left there in `window`
@@ -26,8 +26,8 @@
 
 // An owner has a `key` that is the same at all gateways.
 template <typename Owner>
-struct Pool {
-  Drawn Owner::*drawn = nullptr;
+struct SharedPool {
+  PoolReservation Owner::*drawn = nullptr;
   std::uint64_t names = 0;  // sets its names apart from others
   double size = 0;          // units a window
   Micros length = 1;        // of a window; us
@@ -52,16 +52,16 @@
  public:
   struct Answer {
     Owner* owner = nullptr;  // null: the call was none of ours
-    Pool<Owner> pool;
+    SharedPool<Owner> pool;
     double amount = 0;
     bool counts = false;  // Danger: what may or may not have been added is not used
   };
 
   // Whether there is an answer to wait for.
   template <typename MayCall>
-  bool draw(Micros now, Owner& o, const Pool<Owner>& pool, double amount, MayCall may_call,
+  bool draw(Micros now, Owner& o, const SharedPool<Owner>& pool, double amount, MayCall may_call,
             std::vector<Action>& out) {
-    Drawn& d = o.*pool.drawn;
+    PoolReservation& d = o.*pool.drawn;
     if (d.drawing) {
       return true;
     }
@@ -79,15 +79,15 @@
     return true;
   }
 
-  Answer answered(Micros now, const CounterAnswered& a) {
+  Answer answered(Micros now, const CounterReply& a) {
     const auto call = pending_.extract(a.name);
     if (call.empty()) {
       return {};
     }
     Answer r = call.mapped();
-    Drawn& d = r.owner->*r.pool.drawn;
+    PoolReservation& d = r.owner->*r.pool.drawn;
     d.drawing = false;
-    r.counts = a.outcome == CountOutcome::kOk && d.window == r.pool.window(now, *r.owner);
+    r.counts = a.outcome == CounterOutcome::kOk && d.window == r.pool.window(now, *r.owner);
     if (!r.counts) {
       return r;
     }
--- a/src/policy/rejection_stats.hpp
+++ b/src/policy/rejection_stats.hpp
@@ -10,7 +10,7 @@
 namespace quota_gateway {
 
 // Requests that were refused, by reason.
-struct Refusals {
+struct RejectionCounts {
   int asked = 0, slice = 0, blind = 0, within = 0, ceiling = 0, sliced = 0, servers = 0;
 
   bool any() const { return slice + ceiling + servers > 0; }
@@ -25,11 +25,11 @@
 struct CounterCalls {
   int ok = 0, not_added = 0, late = 0, lost = 0;
 
-  void add(CountOutcome outcome, bool slow) {
-    ++(outcome == CountOutcome::kOk        ? ok
-       : outcome != CountOutcome::kUnknown ? not_added
-       : slow                              ? late
-                                           : lost);
+  void add(CounterOutcome outcome, bool slow) {
+    ++(outcome == CounterOutcome::kOk        ? ok
+       : outcome != CounterOutcome::kUnknown ? not_added
+       : slow                                ? late
+                                             : lost);
   }
   std::string text() const {
     return join("calls ok ", ok, " not added ", not_added, " late ", late, " lost ", lost);
--- a/src/simulator/wire_codec.cpp
+++ b/src/simulator/wire_codec.cpp
@@ -43,7 +43,7 @@
 
 Outcome parse_outcome(const std::string& text) {
   static const std::map<std::string, Outcome> words = {
-      {"GOOD", Outcome::kOk},      {"BAD", Outcome::kError},    {"FULL", Outcome::kFull},
+      {"GOOD", Outcome::kOk},      {"BAD", Outcome::kError},    {"FULL", Outcome::kOverloaded},
       {"LATE", Outcome::kTimeout}, {"RST", Outcome::kReset},    {"NOCONN", Outcome::kConnectFailed},
       {"NOP", Outcome::kNotSent},  {"CXL", Outcome::kCancelled}};
   auto it = words.find(text);
@@ -71,12 +71,14 @@
 ClassSettings parse_class(const Json& c) {
   ClassSettings out;
   out.name = get<std::string>(c, "Name", "");
-  out.aim = get<Micros>(c, "ObjectiveUs", out.aim);
+  out.latency_objective = get<Micros>(c, "ObjectiveUs", out.latency_objective);
   out.deadline = get<Micros>(c, "GiveUpUs", out.deadline);
-  out.worth = get(c, "Importance", out.worth);
-  out.late_worth = get(c, "LateValue", out.late_worth);
-  out.repeat = word<Repeat>(get<std::string>(c, "Repeat", ""),
-                            {{"safe", Repeat::kSafe}, {"keyed", Repeat::kKeyed}}, Repeat::kUnsafe);
+  out.priority_weight = get(c, "Importance", out.priority_weight);
+  out.late_value_fraction = get(c, "LateValue", out.late_value_fraction);
+  out.idempotency = word<Idempotency>(
+      get<std::string>(c, "Repeat", ""),
+      {{"safe", Idempotency::kIdempotent}, {"keyed", Idempotency::kIdempotencyKey}},
+      Idempotency::kNonIdempotent);
   out.dedup_scope =
       word<DedupScope>(get<std::string>(c, "DedupScope", ""),
                        {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}}, DedupScope::kCell);
@@ -88,15 +90,15 @@
 PlanSettings parse_plan(const Json& p) {
   PlanSettings out;
   out.name = get<std::string>(p, "Name", "");
-  out.rate = get(p, "QuotaRate", 0.0);
-  out.burst = get(p, "Depth", 0.0);
-  out.max_open = get(p, "MaxOut", 0);
+  out.quota_rate = get(p, "QuotaRate", 0.0);
+  out.quota_burst = get(p, "Depth", 0.0);
+  out.max_concurrent_attempts = get(p, "MaxOut", 0);
   out.ceiling_rate = get(p, "NeverOverRate", 0.0);
   out.ceiling_burst = get(p, "HardBurst", 0.0);
   out.ceiling_slack = get(p, "CapSlack", 0.0);
-  out.price = get(p, "ValueFactor", 1.0);
-  out.over_worth = get(p, "ExcessWorth", 0.0);
-  out.over_cost = get(p, "OverrunCost", 0.0);
+  out.value_factor = get(p, "ValueFactor", 1.0);
+  out.over_quota_value = get(p, "ExcessWorth", 0.0);
+  out.over_quota_cost = get(p, "OverrunCost", 0.0);
   return out;
 }
 
@@ -107,7 +109,7 @@
   Json operator()(const CancelAttempt& a) const {
     return {{"what", "Withdraw"}, {"Id", a.id}, {"Go", a.attempt}};
   }
-  Json operator()(const Refuse& a) const {
+  Json operator()(const Reject& a) const {
     Json out = {{"what", "Reject"}, {"Id", a.id}};
     if (a.retry_after > 0) {
       out["StayAwayUs"] = a.retry_after;
@@ -118,7 +120,9 @@
   Json operator()(const SetTimer& a) const {
     return {{"what", "Arm"}, {"AtUs", a.at}, {"Label", a.token}};
   }
-  Json operator()(const SendProbe& a) const { return {{"what", "Inspect"}, {"Server", a.server}}; }
+  Json operator()(const SendHealthCheck& a) const {
+    return {{"what", "Inspect"}, {"Server", a.server}};
+  }
   Json operator()(const AddToCounter& a) const {
     return {{"what", "Tally"},
             {"Cname", a.name},
@@ -142,46 +146,46 @@
   for (const Json& p : section(info, "TiersOfService")) {
     s.plans.push_back(parse_plan(p));
   }
-  s.gateways = get(info, "ReplicasOfMe", 1);
-  s.position = get(info, "Position", 0);
-  s.tick = get<Micros>(info, "TickUs", s.tick);
+  s.gateway_count = get(info, "ReplicasOfMe", 1);
+  s.gateway_index = get(info, "Position", 0);
+  s.clock_tick = get<Micros>(info, "TickUs", s.clock_tick);
   const Json& extra = section(info, "Extra");
   s.has_counter = get(extra, "SharedCounter", false);
   s.counter_timeout = get<Micros>(extra, "CounterTimeoutUs", s.counter_timeout);
   s.meter_period = get<Micros>(extra, "MeteringUs", 0);
-  s.largest_units = get(extra, "Largest", 1.0);
-  s.settles_later = get(extra, "CostAfter", false);
+  s.max_request_units = get(extra, "Largest", 1.0);
+  s.units_settled_later = get(extra, "CostAfter", false);
   const Json& limits = section(info, "Limits");
   s.max_attempts = get(limits, "MaxAttempts", 1);
-  s.may_probe = get(limits, "Probes", false);
-  s.may_cancel = get(limits, "MayCancel", false);
-  s.may_advise = get(limits, "RetryAfter", false);
+  s.health_checks_allowed = get(limits, "Probes", false);
+  s.cancellation_allowed = get(limits, "MayCancel", false);
+  s.retry_after_allowed = get(limits, "RetryAfter", false);
   s.max_retry_after = get<Micros>(limits, "MaxRetryAfterUs", 0);
   const Json& rules = section(info, "Obligations");
-  s.answer_grace = get<Micros>(rules, "GraceToAnswerUs", 0);
+  s.response_grace = get<Micros>(rules, "GraceToAnswerUs", 0);
   s.drain_grace = get<Micros>(rules, "StopSendingWithinUs", 0);
-  s.cold_share = get(rules, "ColdShare", 1.0);
-  s.cold_time = get<Micros>(rules, "ColdUs", 0);
-  s.cold_multiple = get(rules, "TipMultiple", 1.0);
-  s.cold_window = get<Micros>(rules, "TipAfterUs", 0);
+  s.slow_start_min_fraction = get(rules, "ColdShare", 1.0);
+  s.slow_start_duration = get<Micros>(rules, "ColdUs", 0);
+  s.slow_start_overload_factor = get(rules, "TipMultiple", 1.0);
+  s.slow_start_overload_window = get<Micros>(rules, "TipAfterUs", 0);
   return s;
 }
 
-std::vector<ServerEntry> parse_entries(const Json& entries) {
+std::vector<EndpointEntry> parse_entries(const Json& entries) {
   if (!entries.is_array()) {
     throw WireError("Entries is no list");
   }
-  std::vector<ServerEntry> out;
+  std::vector<EndpointEntry> out;
   for (const Json& e : entries) {
-    ServerEntry entry;
+    EndpointEntry entry;
     entry.server = need<std::string>(e, "Server");
     entry.zone = get<std::string>(e, "RackZone", "");
     entry.kind = get<std::string>(e, "GenerationHw", "");
     entry.cell = get<std::int64_t>(e, "Cohort", 0);
-    entry.state = word<ServerState>(
+    entry.state = word<EndpointState>(
         get<std::string>(e, "Mode", "up"),
-        {{"draining", ServerState::kDraining}, {"removed", ServerState::kRemoved}},
-        ServerState::kUp);
+        {{"draining", EndpointState::kDraining}, {"removed", EndpointState::kRemoved}},
+        EndpointState::kUp);
     entry.weight = get(e, "Heft", 1.0);
     entry.started_at = get<Micros>(e, "ReadyAtUs", 0);
     out.push_back(std::move(entry));
@@ -199,21 +203,21 @@
     e.request_class = get<std::string>(m, "Service", "");
     e.units = get(m, "CostUnits", 1.0);
     e.deadline = need<Micros>(m, "GiveUpAtUs");
-    e.set_size = get(m, "SetSize", 0);
-    e.first_gateway = get(m, "FromNo", 0);
-    e.client_retry = get(m, "AgainByClient", false);
+    e.gateway_subset_size = get(m, "SetSize", 0);
+    e.gateway_subset_start = get(m, "FromNo", 0);
+    e.is_client_retry = get(m, "AgainByClient", false);
     return e;
   }
   if (what == "Response") {
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = need<std::string>(m, "Id");
     e.attempt = need<int>(m, "Go");
     e.server = get<std::string>(m, "Server", "");
     e.outcome = parse_outcome(need<std::string>(m, "Disposition"));
     e.duration = get<Micros>(m, "DurationUs", 0);
-    e.finished = get(m, "Over", false);
-    e.meter = get(m, "Usage", 0);
-    e.billed = get(m, "Billed", 0.0);
+    e.request_answered = get(m, "Over", false);
+    e.quota_usage = get(m, "Usage", 0);
+    e.billed_units = get(m, "Billed", 0.0);
     e.load = parse_load(m);
     return e;
   }
@@ -221,23 +225,23 @@
     return TimerFired{need<std::int64_t>(m, "Label")};
   }
   if (what == "TimedOutClient") {
-    return ClientGone{need<std::string>(m, "Id")};
+    return ClientDisconnected{need<std::string>(m, "Id")};
   }
   if (what == "CounterReply") {
-    CounterAnswered e;
+    CounterReply e;
     e.name = need<std::int64_t>(m, "Cname");
     e.total = get(m, "Total", 0.0);
     e.duration = get<Micros>(m, "DurationUs", 0);
-    e.outcome = word<CountOutcome>(need<std::string>(m, "Disposition"),
-                                   {{"GOOD", CountOutcome::kOk},
-                                    {"FULL", CountOutcome::kNotAdded},
-                                    {"NOCONN", CountOutcome::kNotAdded}},
-                                   CountOutcome::kUnknown);
+    e.outcome = word<CounterOutcome>(need<std::string>(m, "Disposition"),
+                                     {{"GOOD", CounterOutcome::kOk},
+                                      {"FULL", CounterOutcome::kNotAdded},
+                                      {"NOCONN", CounterOutcome::kNotAdded}},
+                                     CounterOutcome::kUnknown);
     return e;
   }
   if (what == "DirectoryUpdate") {
-    using Kind = ServerListUpdate::Kind;
-    ServerListUpdate e;
+    using Kind = EndpointListUpdate::Kind;
+    EndpointListUpdate e;
     e.kind = word<Kind>(need<std::string>(m, "Kind"),
                         {{"Partial", Kind::kPartial},
                          {"Complete", Kind::kComplete},
@@ -254,7 +258,7 @@
     return e;
   }
   if (what == "Checked") {
-    ProbeEnded e;
+    HealthCheckCompleted e;
     e.server = need<std::string>(m, "Server");
     e.outcome = parse_outcome(need<std::string>(m, "Disposition"));
     e.duration = get<Micros>(m, "DurationUs", 0);
--- a/src/simulator/wire_codec.hpp
+++ b/src/simulator/wire_codec.hpp
@@ -20,10 +20,10 @@
   using std::runtime_error::runtime_error;
 };
 
-using Pools = std::map<std::int64_t, std::vector<ServerEntry>>;
+using Pools = std::map<std::int64_t, std::vector<EndpointEntry>>;
 
 Settings parse_settings(const Json& info);
-std::vector<ServerEntry> parse_entries(const Json& entries);
+std::vector<EndpointEntry> parse_entries(const Json& entries);
 // No value: an event that means nothing to the module.
 std::optional<Event> parse_event(const Json& message, const Pools& pools);
 Json write_action(const Action& action);
--- a/src/util/numbers.hpp
+++ b/src/util/numbers.hpp
@@ -36,7 +36,7 @@
 }
 
 // A mean whose evidence fades.
-class FadingMean {
+class DecayingMean {
  public:
   void add(Micros now, Micros memory, double value) {
     const double keep = fade(now - at_, memory);
@@ -59,7 +59,7 @@
 };
 
 // Amounts and when they were spent.
-class Spent {
+class SlidingWindowSum {
  public:
   void add(Micros now, double amount) { spent_.emplace_back(now, amount); }
   bool empty() const { return spent_.empty(); }
--- a/src/util/order_statistic_ring.hpp
+++ b/src/util/order_statistic_ring.hpp
@@ -17,7 +17,7 @@
 // whatever the size. Danger: items move in memory at each insertion and erasure; only a Position
 // from after the last of them is good.
 template <typename T>
-class CountedRing {
+class OrderStatisticRing {
  public:
   struct Position {
     std::size_t block = 0, index = 0;
@@ -223,7 +223,7 @@
 };
 
 // A place on a ring that is kept while items come and go, and how many counted ones lie before it.
-class RankMark {
+class RankCursor {
  public:
   std::uint64_t place() const { return place_; }
   double rank() const { return double(rank_); }
--- a/src/util/string_interner.hpp
+++ b/src/util/string_interner.hpp
@@ -13,9 +13,9 @@
 namespace quota_gateway {
 
 // A text of any bytes that never changes, in one pointer and as many bytes as it needs.
-class CompactText {
+class CompactString {
  public:
-  explicit CompactText(std::string_view text)
+  explicit CompactString(std::string_view text)
       : bytes_(new char[sizeof(std::uint32_t) + text.size()]) {
     const auto size = std::uint32_t(text.size());
     std::memcpy(bytes_.get(), &size, sizeof size);
@@ -34,7 +34,7 @@
 };
 
 // Texts that many share, each kept once and known by a number, while any holds it.
-class Interned {
+class StringInterner {
  public:
   std::uint32_t take(const std::string& text) {
     const auto [at, fresh] = numbers_.try_emplace(text, std::uint32_t(texts_.size()));
--- a/src/util/weighted_sample.hpp
+++ b/src/util/weighted_sample.hpp
@@ -8,7 +8,7 @@
 namespace quota_gateway {
 
 template <typename T>
-class Draws {
+class WeightedSample {
  public:
   void clear() { draws_.clear(); }
   bool empty() const { return draws_.empty(); }
--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -125,9 +125,9 @@
 }
 
 TEST_F(OperatorsTest, EachRequestEndsInOneFigure) {
-  rig.config.settings.plans[0].rate = 2;
-  rig.config.settings.plans[0].burst = 3;
-  rig.config.settings.gateways = 3;
+  rig.config.settings.plans[0].quota_rate = 2;
+  rig.config.settings.plans[0].quota_burst = 3;
+  rig.config.settings.gateway_count = 3;
   rig.know(member("s1", s1));
   rig.start();
   int served = 0;
@@ -168,7 +168,7 @@
 
 TEST_F(OperatorsTest, AServerThatFailsInARowIsAvoidedAndItsRequestsAreErrors) {
   s1.on_request = [](Peer& p, const Request_&) { p.write(reply("500 Oops")); };
-  rig.config.settings.classes[0].repeat = Repeat::kUnsafe;
+  rig.config.settings.classes[0].idempotency = Idempotency::kNonIdempotent;
   rig.know(member("s1", s1));
   rig.start();
   for (int i = 0; i < 3; ++i) {
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -9,11 +9,11 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-using Known = ConfigReader::Known;
+using Known = ConfigLoader::Known;
 
 ConfigFile read(const std::string& text, Known known = Known::kKept) {
   std::istringstream file(text);
-  ConfigReader reader(file, known);
+  ConfigLoader reader(file, known);
   while (reader.step()) {
   }
   return reader.finish();
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -17,9 +17,9 @@
   Clock clock;
   Timers timers{io, clock};
   FakeDiscovery fake{io};
-  std::vector<MemberList> told;
-  Discovery discovery{
-      io, timers, clock, fake.address(), 41, [this](const MemberList& l) { told.push_back(l); }};
+  std::vector<EndpointList> told;
+  DiscoveryClient discovery{
+      io, timers, clock, fake.address(), 41, [this](const EndpointList& l) { told.push_back(l); }};
 };
 
 TEST_F(DiscoveryTest, WatchesFromWhatIsKnownAndTellsChanges) {
@@ -29,7 +29,7 @@
   EXPECT_EQ(told[0].revision, 43);
   EXPECT_FALSE(told[0].complete);
   const auto& m = told[0].members.at(0);
-  EXPECT_EQ(m.entry.state, ServerState::kDraining);
+  EXPECT_EQ(m.entry.state, EndpointState::kDraining);
   EXPECT_EQ(m.entry.started_at, 1'500'000);
   EXPECT_EQ(m.entry.cell, 1);
   EXPECT_EQ(m.address.port(), 9);
@@ -145,9 +145,9 @@
   Clock clock;
   Timers timers{io, clock};
   FakeDiscovery fake{io};
-  std::vector<MemberList> told;
-  Discovery discovery{
-      io, timers,    clock, fake.address(), 41, [&](const MemberList& l) { told.push_back(l); },
+  std::vector<EndpointList> told;
+  DiscoveryClient discovery{
+      io, timers,    clock, fake.address(), 41, [&](const EndpointList& l) { told.push_back(l); },
       0,  16'000'000};
   fake.refuse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
   discovery.start();
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -9,8 +9,8 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-MemberList read(const std::vector<std::string_view>& pieces, ReadLimits limits = {}) {
-  MemberReader reader({"members"}, limits);
+EndpointList read(const std::vector<std::string_view>& pieces, ReadLimits limits = {}) {
+  EndpointListParser reader({"members"}, limits);
   for (const auto piece : pieces) {
     if (reader.take(piece) != piece.size()) {
       throw std::runtime_error("ended early");
@@ -22,7 +22,7 @@
   return reader.list(reader.rest());
 }
 
-std::string text_of(const MemberList& list) {
+std::string text_of(const EndpointList& list) {
   std::string out = std::to_string(list.revision) + (list.complete ? " whole" : "");
   for (const Member& m : list.members) {
     out += '\n' + m.entry.server + ' ' + m.entry.zone + ' ' + std::to_string(m.entry.cell) + ' ' +
@@ -41,7 +41,7 @@
     R"({"phase":"draining","phase":"removed","id":"first","id":"second","cell":-4} , )"
     R"({"id":"v6","host_port":"::1:9","phase":"up"}],"revision":43,"complete":true})";
 
-TEST(MemberReader, TakesAListInAnyTwoPiecesAndByteByByte) {
+TEST(EndpointListParser, TakesAListInAnyTwoPiecesAndByteByByte) {
   // Guards against a cut in the middle of a member, of a text, of an escape or of a key; `revision`
   // and `complete` come last, and members of another object are none of the list.
   const std::string expected =
@@ -59,14 +59,14 @@
   EXPECT_EQ(text_of(read(bytes)), expected);
 }
 
-TEST(MemberReader, AKeyMayBeWrittenWithEscapes) {
+TEST(EndpointListParser, AKeyMayBeWrittenWithEscapes) {
   const auto list = read(
       {R"({"revision":1,"\u006dembers":[{"\u0069d":"s","phase":"up","host_port":"10.0.0.1:8"}]})"});
   ASSERT_EQ(list.members.size(), 1U);
   EXPECT_EQ(list.members[0].entry.server, "s");
 }
 
-TEST(MemberReader, WhatIsMalformedThrowsWhereverItIs) {
+TEST(EndpointListParser, WhatIsMalformedThrowsWhereverItIs) {
   const std::string good = R"({"id":"s","phase":"up","host_port":"10.0.0.1:8"})";
   const auto with = [](const std::string& members) {
     return R"({"revision":1,"members":[)" + members + "]}";
@@ -112,7 +112,7 @@
   }
 }
 
-TEST(MemberReader, WhatHasNoEndIsLeftWhicheverPartOfItGoesOn) {
+TEST(EndpointListParser, WhatHasNoEndIsLeftWhicheverPartOfItGoesOn) {
   ReadLimits limits;
   limits.memory = 100'000;
   limits.bytes = 200'000;
@@ -129,7 +129,7 @@
       {"{", "                "},
   };
   for (const auto& [first, then] : endless) {
-    MemberReader reader({"members"}, limits);
+    EndpointListParser reader({"members"}, limits);
     reader.take(first);
     bool left = false;
     for (std::size_t i = 0; i < 300'000 && !left; ++i) {
@@ -144,8 +144,8 @@
   }
 }
 
-TEST(MemberReader, KeepsAMemberOfEachShapeForWhoComparesThem) {
-  MemberReader reader({"known", "members"}, {}, MemberReader::Keep::kSamples);
+TEST(EndpointListParser, KeepsAMemberOfEachShapeForWhoComparesThem) {
+  EndpointListParser reader({"known", "members"}, {}, EndpointListParser::Keep::kSamples);
   std::string text = R"({"members":[1],"known":{"revision":3,"members":[)";
   for (int i = 0; i < 1000; ++i) {
     text += std::string(i ? "," : "") + R"({"id":"s)" + std::to_string(i) +
@@ -161,7 +161,7 @@
 }
 
 // One line a run, for those who look.
-TEST(MemberReader, CostsGoWithTheMembers) {
+TEST(EndpointListParser, CostsGoWithTheMembers) {
   // Guards against work on a list that grows with its square, and against a second copy of it.
   const auto cost = [](int members) {
     std::string text = list(1, true, fleet(members));
@@ -169,11 +169,11 @@
     const std::size_t bytes = text.size();
     const std::size_t before = resident();
     const auto start = processor_time();
-    MemberReader reader({"members"});
+    EndpointListParser reader({"members"});
     for (std::size_t at = 0; at < bytes; at += 16384) {
       reader.take(std::string_view(text).substr(at, 16384));
     }
-    const MemberList list = reader.list(reader.rest());
+    const EndpointList list = reader.list(reader.rest());
     const auto spent = processor_time() - start;
     EXPECT_EQ(list.members.size(), std::size_t(members));
     const std::size_t grown = resident() - std::min(before, resident());
--- a/tests/net/discovery/endpoint_lists_test.cpp
+++ b/tests/net/discovery/endpoint_lists_test.cpp
@@ -126,7 +126,7 @@
   void start(ListLimits limits = {}) {
     discovery.emplace(
         io, timers, clock, agent.address(), 41,
-        [this](MemberList l) { told.push_back(std::move(l)); }, 0, 0, [] {}, limits);
+        [this](EndpointList l) { told.push_back(std::move(l)); }, 0, 0, [] {}, limits);
     discovery->start();
   }
   void run(Micros time) {
@@ -138,8 +138,8 @@
   Clock clock;
   Timers timers{io, clock};
   ListAgent agent{io, timers, clock};
-  std::vector<MemberList> told;
-  std::optional<Discovery> discovery;
+  std::vector<EndpointList> told;
+  std::optional<DiscoveryClient> discovery;
 };
 
 TEST_F(ListsTest, AListOf170000IsTakenAtTheFirstCall) {
@@ -292,7 +292,7 @@
     rig.config.memory_mb = memory_mb;
     rig.discovery.first = list(42, true, fleet(2'000));
     ::testing::internal::CaptureStderr();
-    Driver& driver = rig.start();
+    GatewayServer& driver = rig.start();
     const auto taken = [&] {
       return driver.figures().find("app.targets=2000\n") != std::string::npos;
     };
