--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -25,7 +25,7 @@
 constexpr int kWorld = 170'000;  // servers, of which 24,000 are a zone
 
 Member at(const std::string& id, int place, Micros started_at = 0,
-          ServerState state = ServerState::kUp) {
+          EndpointState state = EndpointState::kUp) {
   Member m;
   m.entry.server = id;
   m.entry.zone = "a";
@@ -37,13 +37,13 @@
 Member gone(const std::string& id) {
   Member m;
   m.entry.server = id;
-  m.entry.state = ServerState::kRemoved;
+  m.entry.state = EndpointState::kRemoved;
   return m;
 }
-MemberList changes(Members members) {
+EndpointList changes(Members members) {
   return {0, false, std::move(members)};
 }
-MemberList whole(Members members) {
+EndpointList whole(Members members) {
   return {0, true, std::move(members)};
 }
 Members many(int count) {
@@ -55,14 +55,14 @@
 }
 
 // "+id" for what runs, "~id" for what drains and "-id" for what is gone.
-std::string brief(const ServerEntry& e) {
+std::string brief(const EndpointEntry& e) {
   static constexpr const char* kSigns[] = {"+", "~", "-"};
   return std::string(kSigns[int(e.state)]).append(e.server);
 }
 using Briefs = std::vector<std::string>;
 
 // Applies all that was taken.
-Difference all_of(Catalog& catalog) {
+Difference all_of(EndpointTable& catalog) {
   Difference all;
   while (!catalog.settled()) {
     Difference d = catalog.apply();
@@ -72,11 +72,11 @@
   }
   return all;
 }
-Difference take(Catalog& catalog, MemberList list) {
+Difference take(EndpointTable& catalog, EndpointList list) {
   catalog.take(std::move(list));
   return all_of(catalog);
 }
-Briefs told(Catalog& catalog, MemberList list) {
+Briefs told(EndpointTable& catalog, EndpointList list) {
   Briefs out;
   for (const auto& e : take(catalog, std::move(list)).entries) {
     out.push_back(brief(e));
@@ -101,18 +101,18 @@
 }
 
 TEST(CatalogTest, AWholeListTellsWhatIsNewChangedAndGoneAndNothingElse) {
-  Catalog c;
+  EndpointTable c;
   EXPECT_EQ(told(c, whole({at("a", 1), at("b", 2), at("c", 3), at("d", 4)})),
             (Briefs{"+a", "+b", "+c", "+d"}));
   Member heavier = at("b", 2);
   heavier.entry.weight = 2;
   EXPECT_EQ(
-      told(c, whole({at("a", 1), heavier, at("e", 5), at("d", 4, 0, ServerState::kDraining)})),
+      told(c, whole({at("a", 1), heavier, at("e", 5), at("d", 4, 0, EndpointState::kDraining)})),
       (Briefs{"~d", "-c", "+b", "+e"}));
   EXPECT_EQ(c.size(), 4U);
   EXPECT_EQ(c.up(), 3U);
   EXPECT_EQ(
-      told(c, whole({at("d", 4, 0, ServerState::kDraining), at("e", 5), heavier, at("a", 1)})),
+      told(c, whole({at("d", 4, 0, EndpointState::kDraining), at("e", 5), heavier, at("a", 1)})),
       Briefs{});
   EXPECT_FALSE(c.find("c"));
   EXPECT_TRUE(c.find("a")->up);
@@ -120,7 +120,7 @@
 }
 
 TEST(CatalogTest, EveryFieldThatChangesIsTold) {
-  Catalog c;
+  EndpointTable c;
   take(c, whole({at("a", 1)}));
   std::vector<Member> changed(5, at("a", 1));
   changed[0].entry.zone = "b";
@@ -136,10 +136,10 @@
 }
 
 TEST(CatalogTest, ConnectionsToWhatMovedRestartedOrWentMeanNothingAnyMore) {
-  Catalog c;
+  EndpointTable c;
   take(c, whole({at("a", 1), at("b", 2), at("c", 3), at("d", 4), at("e", 5)}));
   const auto d = take(
-      c, changes({at("a", 11), at("b", 2, 5), gone("c"), at("d", 4, 0, ServerState::kDraining)}));
+      c, changes({at("a", 11), at("b", 2, 5), gone("c"), at("d", 4, 0, EndpointState::kDraining)}));
   EXPECT_EQ(std::set<std::string>(d.closed.begin(), d.closed.end()),
             (std::set<std::string>{"a", "b", "c"}));
   EXPECT_TRUE(d.replaced.empty());
@@ -149,7 +149,7 @@
 
 TEST(CatalogTest, WhatWasAtAnAddressIsGoneOnceAnotherOneHasIt) {
   // Guards against sending what is meant for the old process to the new one, which may be cold.
-  Catalog c;
+  EndpointTable c;
   take(c, whole({at("old", 1, 5), at("moves", 2, 9)}));
   auto d = take(c, changes({at("new", 1, 6)}));
   EXPECT_EQ(d.replaced, Briefs{"old"});
@@ -168,7 +168,7 @@
 
 TEST(CatalogTest, ServersThatSwapTheirAddressesBothStay) {
   for (const bool complete : {false, true}) {
-    Catalog c;
+    EndpointTable c;
     take(c, whole({at("a", 1), at("b", 2), at("c", 3)}));
     const auto d = take(c, {0, complete, {at("a", 2), at("b", 3), at("c", 1)}});
     EXPECT_TRUE(d.replaced.empty());
@@ -180,7 +180,7 @@
 }
 
 TEST(CatalogTest, AddressesOfTheOtherKindAreServersToo) {
-  Catalog c;
+  EndpointTable c;
   Member six = at("six", 1);
   Member also = six;
   six.address.address(asio::ip::make_address("fd00::1"));
@@ -194,10 +194,10 @@
 }
 
 TEST(CatalogTest, AnIdThatAListNamesTwiceIsAsNamedLast) {
-  Catalog c;
+  EndpointTable c;
   take(c, changes({at("a", 1), gone("a")}));
   EXPECT_FALSE(c.find("a"));
-  take(c, changes({at("a", 1), at("a", 1, 0, ServerState::kDraining), gone("a"), at("a", 2)}));
+  take(c, changes({at("a", 1), at("a", 1, 0, EndpointState::kDraining), gone("a"), at("a", 2)}));
   ASSERT_TRUE(c.find("a"));
   EXPECT_EQ(c.find("a")->address, at("", 2).address);
   EXPECT_TRUE(c.find("a")->up);
@@ -208,14 +208,14 @@
 TEST(CatalogTest, AListIsTakenInSlicesAndWhatMustNotWaitGoesFirst) {
   // Guards against a first byte to who drains or is gone while thousands of others are still added.
   const int n = 5'000;
-  Catalog c;
+  EndpointTable c;
   take(c, whole(many(n)));
   auto next = many(2 * n);  // half of them are new, and come first
   std::reverse(next.begin(), next.end());
   std::set<std::string> urgent;
   for (int i = 0; i < 100; ++i) {
     Member& drains = next[std::size_t(2 * n - 1 - i)];
-    drains.entry.state = ServerState::kDraining;
+    drains.entry.state = EndpointState::kDraining;
     urgent.insert("~" + drains.entry.server);
     Member& restarted = next[std::size_t(2 * n - 1'000 - i)];
     restarted.entry.started_at += 100'000'000;
@@ -230,13 +230,13 @@
   std::size_t slices = 0;
   for (; !c.settled(); ++slices) {
     const auto d = c.apply();
-    EXPECT_LE(d.entries.size(), Catalog::kSlice + 1);
+    EXPECT_LE(d.entries.size(), EndpointTable::kSlice + 1);
     for (const auto& e : d.entries) {
       EXPECT_TRUE(++seen > urgent.size() || urgent.count(brief(e)) == 1) << brief(e);
     }
   }
   EXPECT_EQ(seen, urgent.size() + std::size_t(n) + 100);
-  EXPECT_GE(slices, std::size_t(n) / Catalog::kSlice);
+  EXPECT_GE(slices, std::size_t(n) / EndpointTable::kSlice);
   EXPECT_EQ(c.size(), std::size_t(2 * n));
 }
 
@@ -244,7 +244,7 @@
   // Guards against a stale entry: an addition that still waits must not bring back who drains or is
   // gone by now.
   const int n = 5'000;
-  Catalog c;
+  EndpointTable c;
   take(c, whole({at("there", -1)}));
   auto first = many(n);
   first.push_back(at("there", -1));
@@ -256,7 +256,7 @@
   const std::string removed = label("s-", n - 2);
   const std::string moved = label("s-", n - 3);
   const std::string replaced = label("s-", n - 4);
-  Member drained = at(drains, n - 1, n, ServerState::kDraining);
+  Member drained = at(drains, n - 1, n, EndpointState::kDraining);
   c.take(changes(
       {drained, gone(removed), at(moved, 2 * n, n), at("new", n - 4, 2 * n), gone("there")}));
   Briefs next;
@@ -279,7 +279,7 @@
 }
 
 TEST(CatalogTest, AWholeListTakesThePlaceOfThoseThatWait) {
-  Catalog c;
+  EndpointTable c;
   c.take(whole(many(5'000)));
   c.apply();
   c.take(changes({at("between", -1)}));
@@ -294,11 +294,11 @@
   // they should not, over many changes of slots.
   std::mt19937 random(5);
   const auto pick = [&](int n) { return int(random() % unsigned(n)); };
-  Catalog c;
+  EndpointTable c;
   std::map<std::string, Member> plain;
-  std::map<std::string, ServerEntry> module;  // as the differences tell it
+  std::map<std::string, EndpointEntry> module;  // as the differences tell it
   for (int round = 0; round < 300; ++round) {
-    MemberList list;
+    EndpointList list;
     list.complete = pick(10) == 0;
     const int size = pick(list.complete ? 6'000 : 1'500);
     std::set<int> ids;
@@ -311,7 +311,7 @@
       m.entry.zone = label("z", pick(5));
       const int state = pick(10);
       if (state == 0) {
-        m.entry.state = ServerState::kDraining;
+        m.entry.state = EndpointState::kDraining;
       }
       if (state == 1 && !list.complete) {
         m = gone(m.entry.server);
@@ -322,7 +322,7 @@
       plain.clear();
     }
     for (const Member& m : list.members) {
-      if (m.entry.state == ServerState::kRemoved) {
+      if (m.entry.state == EndpointState::kRemoved) {
         plain.erase(m.entry.server);
       } else {
         plain[m.entry.server] = m;
@@ -332,7 +332,7 @@
     const bool rest = round % 7 == 0;  // else some slices wait when the next list comes
     for (int slices = pick(4); (rest || slices-- > 0) && !c.settled();) {
       for (const auto& e : c.apply().entries) {
-        if (e.state == ServerState::kRemoved) {
+        if (e.state == EndpointState::kRemoved) {
           module.erase(e.server);
         } else {
           module[e.server] = e;
@@ -349,7 +349,7 @@
       ASSERT_TRUE(found) << id;
       EXPECT_EQ(found->address, m.address);
       EXPECT_EQ(found->started_at, m.entry.started_at);
-      EXPECT_EQ(found->up, m.entry.state == ServerState::kUp);
+      EXPECT_EQ(found->up, m.entry.state == EndpointState::kUp);
       EXPECT_EQ(module[id].state, m.entry.state);
       EXPECT_EQ(module[id].zone, m.entry.zone);
     }
@@ -363,7 +363,7 @@
   // difference.
   std::map<int, double> us;
   for (const int n : {200, kWorld}) {
-    Catalog c;
+    EndpointTable c;
     take(c, whole(many(n)));
     int i = 0;
     us[n] = least_cpu_us(5,
@@ -386,8 +386,8 @@
   // again, and a zone of 24,000 that restarts. Each has the least of three runs, slice by slice.
   std::map<std::string, std::vector<double>> least;
   for (int run = 0; run < 3; ++run) {
-    Catalog c;
-    const auto slices = [&](const char* what, MemberList list) {
+    EndpointTable c;
+    const auto slices = [&](const char* what, EndpointList list) {
       c.take(std::move(list));
       std::vector<double>& of = least[what];
       for (std::size_t i = 0; !c.settled(); ++i) {
@@ -419,7 +419,7 @@
 TEST(CatalogCost, AServerTakesNoMoreMemoryThanItMust) {
   const auto bytes = [] { return double(::mallinfo2().uordblks + ::mallinfo2().hblkhd); };
   const double before = bytes();
-  Catalog c;
+  EndpointTable c;
   take(c, whole(many(kWorld)));
   const double each = (bytes() - before) / kWorld;
   std::cerr << each << " bytes a server\n";
--- a/tests/net/server/gateway_server_test.cpp
+++ b/tests/net/server/gateway_server_test.cpp
@@ -348,9 +348,9 @@
 TEST_F(DriverTest, BeyondTheQuotaIsRefusedAtOnceWithAdvice) {
   // Guards against refusals that do not say when to come back, also where the site's own clients do
   // not ask.
-  rig.config.settings.may_advise = false;
-  rig.config.settings.plans[0].rate = 1;
-  rig.config.settings.plans[0].burst = 3;
+  rig.config.settings.retry_after_allowed = false;
+  rig.config.settings.plans[0].quota_rate = 1;
+  rig.config.settings.plans[0].quota_burst = 3;
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -370,10 +370,10 @@
 }
 
 TEST_F(DriverTest, WhatWasBilledIsTakenFromTheQuota) {
-  rig.config.settings.settles_later = true;
-  rig.config.settings.largest_units = 4;
-  rig.config.settings.plans[0].rate = 0.001;
-  rig.config.settings.plans[0].burst = 6;  // two thirds of it, while no total is known
+  rig.config.settings.units_settled_later = true;
+  rig.config.settings.max_request_units = 4;
+  rig.config.settings.plans[0].quota_rate = 0.001;
+  rig.config.settings.plans[0].quota_burst = 6;  // two thirds of it, while no total is known
   s1.on_request = [](Peer& p, const Request_&) {
     p.write(reply("200 OK", "Billed-Units: 4\r\n", "ok"));
   };
@@ -431,8 +431,8 @@
   // Guards against a store that is spent here again although another gateway has just spent it.
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
-  rig.config.settings.plans[0].rate = 1e5;
-  rig.config.settings.plans[0].burst = 5e5;
+  rig.config.settings.plans[0].quota_rate = 1e5;
+  rig.config.settings.plans[0].quota_burst = 5e5;
   rig.config.counter = counter.address();
   rig.know(member("s1", s1));
   rig.start();
@@ -495,7 +495,7 @@
   s2.on_request = s1.on_request;
   rig.know(member("s1", s1));
   rig.know(member("s2", s2));
-  Driver& driver = rig.start();
+  GatewayServer& driver = rig.start();
   Client idle = rig.client();
   Client busy = rig.client();
   idle.send("GET /profile-read/nobody HTTP/1.1\r\n\r\n");
@@ -519,7 +519,7 @@
 
 TEST_F(DriverTest, DrainClosesConnectionsBetweenRequests) {
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  GatewayServer& driver = rig.start();
   Client c = rig.client();
   c.send(get("a"));
   ASSERT_EQ(status(c), 200);
@@ -612,7 +612,7 @@
     }
     return ready;
   }));
-  EXPECT_GE(turns, std::size_t(n) / Catalog::kSlice);  // the loop ran between slices
+  EXPECT_GE(turns, std::size_t(n) / EndpointTable::kSlice);  // the loop ran between slices
   EXPECT_EQ(status(c), 200);
   EXPECT_EQ(servers.requests.size(), 1U);  // nothing for who has left
 }
@@ -637,7 +637,7 @@
     EXPECT_TRUE(servers.requests.empty());
     return false;
   }));
-  EXPECT_GE(turns, std::size_t(n) / Catalog::kSlice - 1);
+  EXPECT_GE(turns, std::size_t(n) / EndpointTable::kSlice - 1);
   ASSERT_TRUE(c);
   EXPECT_EQ(status(*c), 200);
 }
@@ -695,7 +695,7 @@
   for (int i = 0; i < n; ++i) {
     rig.know(servers.member(label("n", i), i));
   }
-  rig.config.settings.gateways = 7'400;
+  rig.config.settings.gateway_count = 7'400;
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.driver->ready() && rig.discovery.asked.size() == 1; }));
   std::string entries;
--- a/tests/net/server/moments_test.cpp
+++ b/tests/net/server/moments_test.cpp
@@ -16,7 +16,7 @@
  protected:
   MomentsTest() {
     for (ClassSettings& c : rig.config.settings.classes) {
-      c.aim = 3'000'000;  // room to wait for a server
+      c.latency_objective = 3'000'000;  // room to wait for a server
     }
   }
   int status(Client& c) {
@@ -80,7 +80,7 @@
   for (int i = 0; i < 6; ++i) {
     rig.know(member(label("s", i), servers.emplace_back(rig.io)));
   }
-  Driver& driver = rig.start();
+  GatewayServer& driver = rig.start();
   bool done = false;
   Client early = rig.client();  // connected before, and silent so far
   const Micros asked = Clock().now();
@@ -109,7 +109,7 @@
   std::shared_ptr<Peer> held;
   s1.on_request = [&](Peer& p, const Request_&) { held = p.shared_from_this(); };
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  GatewayServer& driver = rig.start();
   Client c = rig.client();
   c.send(get("a"));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
@@ -132,7 +132,7 @@
   // came before.
   s1.on_request = [](Peer&, const Request_&) {};
   rig.know(member("s1", s1));
-  Driver& driver = rig.start();
+  GatewayServer& driver = rig.start();
   Client before = rig.client();
   Client open = rig.client();
   before.send(post("a"));
@@ -184,7 +184,7 @@
       FakeServer server(held.io);
       held.know(member("s1", server));
       for (ClassSettings& c : held.config.settings.classes) {
-        c.aim = 3'000'000;
+        c.latency_objective = 3'000'000;
       }
       held.discovery.mute = true;
       held.start();
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -11,7 +11,7 @@
 
 class UpstreamTest : public ::testing::Test {
  protected:
-  void make(UpstreamLimits limits = {}, Micros settle = 0) {
+  void make(ConnectionPoolLimits limits = {}, Micros settle = 0) {
     limits.settle = settle;
     AttemptEvents events;
     events.ended = [this](AttemptKey key, AttemptResult result) {
@@ -42,13 +42,13 @@
     make();
     return result(1).outcome;
   }
-  MemberList list;
+  EndpointList list;
   asio::io_context io;
   Clock clock;
   Timers timers{io, clock};
   FakeServer server{io};
   std::vector<std::pair<AttemptKey, AttemptResult>> results;
-  std::optional<Upstream> upstream;
+  std::optional<ConnectionPool> upstream;
   Outgoing outgoing{"POST", "/intro-request/1?q", "origin.svc", "t1", "k1", "hello", true, {}};
 };
 
@@ -79,17 +79,17 @@
   make();
   headers = "Billed-Units: 3\r\nUsage-Percent: 86\r\n";
   auto r = result(1);
-  EXPECT_DOUBLE_EQ(r.billed, 3);
-  EXPECT_EQ(r.meter, 87);
+  EXPECT_DOUBLE_EQ(r.billed_units, 3);
+  EXPECT_EQ(r.quota_usage, 87);
   headers = "Billed-Units: -3\r\nUsage-Percent: 1e99\r\n";  // no honest figures
   r = result(2);
   EXPECT_EQ(r.outcome, Outcome::kOk);
-  EXPECT_DOUBLE_EQ(r.billed, 0);
-  EXPECT_EQ(r.meter, 0);
+  EXPECT_DOUBLE_EQ(r.billed_units, 0);
+  EXPECT_EQ(r.quota_usage, 0);
   headers = "";
   r = result(3);
-  EXPECT_DOUBLE_EQ(r.billed, 0);
-  EXPECT_EQ(r.meter, 0);
+  EXPECT_DOUBLE_EQ(r.billed_units, 0);
+  EXPECT_EQ(r.quota_usage, 0);
 }
 
 TEST_F(UpstreamTest, AnErrorMayHaveRun) {
@@ -98,8 +98,8 @@
 
 TEST_F(UpstreamTest, TurnedAwayOnlyWithTheProof) {
   // Guards against taking a proxy's or a busy server's own 503 for proof that nothing ran.
-  EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 1\r\n")), Outcome::kFull);
-  EXPECT_EQ(outcome_of(reply("504 No", "X-Never-Ran: 1\r\n")), Outcome::kFull);
+  EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
+  EXPECT_EQ(outcome_of(reply("504 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
   EXPECT_EQ(outcome_of(reply("503 No")), Outcome::kError);
   EXPECT_EQ(outcome_of(reply("504 No")), Outcome::kError);
   EXPECT_EQ(outcome_of(reply("503 No", "X-Never-Ran: 0\r\n")), Outcome::kError);
@@ -338,7 +338,7 @@
   make();
   send(1);
   list.complete = false;
-  list.members[0].entry.state = ServerState::kDraining;
+  list.members[0].entry.state = EndpointState::kDraining;
   upstream->update(list);
   ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
@@ -371,7 +371,7 @@
 
 TEST_F(UpstreamTest, AServerThatDrainsOrIsUnknownIsSentNothing) {
   make();
-  list.members[0].entry.state = ServerState::kRemoved;
+  list.members[0].entry.state = EndpointState::kRemoved;
   upstream->update(list);
   EXPECT_EQ(result(1).outcome, Outcome::kNotSent);
   upstream->send({2, 0}, "nobody", outgoing, clock.now() + 1'000'000);
@@ -420,7 +420,7 @@
     upstream->update(list);
     EXPECT_EQ(upstream->listed(), std::size_t(servers));
     EXPECT_EQ(result(std::uint64_t(servers)).outcome, Outcome::kOk);
-    MemberList one{0, false, {list.members.back()}};
+    EndpointList one{0, false, {list.members.back()}};
     double least = 1e9;
     for (int run = 0; run < 20; ++run) {
       one.members[0].entry.started_at = 1 + run;
@@ -453,20 +453,20 @@
 TEST_F(UpstreamTest, AListOfManyIsPutInForceSliceBySlice) {
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
-  MemberList many;
+  EndpointList many;
   for (int i = 0; i < 3'000; ++i) {
     many.members.push_back(member(label("n", i), server));
     many.members.back().address.address(asio::ip::address_v4(std::uint32_t(0x0a000000 + i)));
   }
   many.members.push_back(list.members[0]);
-  many.members.back().entry.state = ServerState::kDraining;
+  many.members.back().entry.state = EndpointState::kDraining;
   upstream->take(std::move(many));
   Difference first;
   while (first.entries.empty() && !upstream->settled()) {
     first = upstream->apply();
   }
   EXPECT_EQ(first.entries.at(0).server, "s");
-  EXPECT_LE(first.entries.size(), Catalog::kSlice);
+  EXPECT_LE(first.entries.size(), EndpointTable::kSlice);
   EXPECT_FALSE(upstream->settled());
   EXPECT_EQ(result(2).outcome, Outcome::kNotSent);
   while (!upstream->settled()) {
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -26,7 +26,7 @@
   std::string name;
   bool counted = false;
 };
-using Ring = CountedRing<Item>;
+using Ring = OrderStatisticRing<Item>;
 using Model = std::map<std::pair<std::uint64_t, std::string>, bool>;  // counted, by place and name
 
 std::vector<std::string> counted_from(const Model& model, std::uint64_t from) {
@@ -50,7 +50,7 @@
   return out;
 }
 
-TEST(CountedRing, IsTheSameAsASortedMapThroughAnyChanges) {
+TEST(OrderStatisticRing, IsTheSameAsASortedMapThroughAnyChanges) {
   // Guards against items lost where blocks split and merge, and where places are shared by several
   // names.
   std::uint64_t random = 5;
@@ -102,8 +102,8 @@
   EXPECT_TRUE(walked_from(ring, 0).empty());
 }
 
-TEST(Interned, KeepsEachTextOnceAndOnlyWhileItIsHeld) {
-  Interned zones;
+TEST(StringInterner, KeepsEachTextOnceAndOnlyWhileItIsHeld) {
+  StringInterner zones;
   const auto a = zones.take("a");
   const auto b = zones.take("b");
   EXPECT_EQ(zones.take("a"), a);
@@ -118,9 +118,9 @@
   EXPECT_EQ(zones.take("c"), b);  // numbers are used again
 }
 
-TEST(CompactText, HoldsAnyBytes) {
+TEST(CompactString, HoldsAnyBytes) {
   for (const std::string& text : {std::string(), std::string("a\0b", 3), std::string(300, 'x')}) {
-    EXPECT_EQ(std::string_view(CompactText(text)), text);
+    EXPECT_EQ(std::string_view(CompactString(text)), text);
   }
 }
 
@@ -131,29 +131,29 @@
   Settings s;
   ClassSettings read;
   read.name = "read";
-  read.aim = 500 * kMs;
+  read.latency_objective = 500 * kMs;
   read.deadline = 2 * kS;
-  read.repeat = Repeat::kSafe;
+  read.idempotency = Idempotency::kIdempotent;
   s.classes.push_back(read);
   ClassSettings once = read;
   once.name = "once";
-  once.repeat = Repeat::kUnsafe;
+  once.idempotency = Idempotency::kNonIdempotent;
   once.streamed = true;
   s.classes.push_back(once);
   s.plans.push_back({});
   s.plans[0].name = "plan";
-  s.gateways = gateways;
-  s.position = position;
+  s.gateway_count = gateways;
+  s.gateway_index = position;
   s.max_attempts = 3;
-  s.cold_share = 0.2;
-  s.cold_time = 60 * kS;
-  s.cold_multiple = 2;
-  s.cold_window = kS;
+  s.slow_start_min_fraction = 0.2;
+  s.slow_start_duration = 60 * kS;
+  s.slow_start_overload_factor = 2;
+  s.slow_start_overload_window = kS;
   return s;
 }
 
-ServerEntry entry(int i, ServerState state = ServerState::kUp) {
-  ServerEntry e;
+EndpointEntry entry(int i, EndpointState state = EndpointState::kUp) {
+  EndpointEntry e;
   e.server = "server-" + std::to_string(i) + ".site:8080";
   e.zone = "zone-" + std::to_string(i % 7);
   e.kind = "standard";
@@ -162,12 +162,12 @@
   return e;
 }
 
-ServerListUpdate changes(std::vector<ServerEntry> entries) {
-  return {ServerListUpdate::Kind::kPartial, std::move(entries)};
+EndpointListUpdate changes(std::vector<EndpointEntry> entries) {
+  return {EndpointListUpdate::Kind::kPartial, std::move(entries)};
 }
 
-std::vector<ServerEntry> entries(int from, int to, ServerState state = ServerState::kUp) {
-  std::vector<ServerEntry> out;
+std::vector<EndpointEntry> entries(int from, int to, EndpointState state = EndpointState::kUp) {
+  std::vector<EndpointEntry> out;
   for (int i = from; i < to; ++i) {
     out.push_back(entry(i, state));
   }
@@ -189,7 +189,7 @@
 class Site {
  public:
   Site(int gateways, int servers) : gateway_(settings_of(gateways), 7) {
-    step({ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, servers)}});
+    step({EndpointListUpdate{EndpointListUpdate::Kind::kComplete, entries(0, servers)}});
     for (int i = 0; i < 300; ++i) {
       request();
     }
@@ -199,11 +199,11 @@
     gateway_.handle(now_, events, actions_);
     for (const Action& a : actions_) {
       if (const auto* sent = std::get_if<SendAttempt>(&a)) {
-        AttemptEnded end;
+        AttemptCompleted end;
         end.id = sent->id;
         end.server = sent->server;
         end.duration = 20 * kMs;
-        end.finished = true;
+        end.request_answered = true;
         ends_.emplace_back(now_ + end.duration, end);
         ++sent_;
       }
@@ -216,7 +216,7 @@
   }
   void request() {
     for (now_ += 4 * kMs; !ends_.empty() && ends_.front().first <= now_; ends_.pop_front()) {
-      step({Event{AttemptEnded{ends_.front().second}}});
+      step({Event{AttemptCompleted{ends_.front().second}}});
     }
     if (look_at_ <= now_) {
       step({TimerFired{0}});
@@ -240,7 +240,7 @@
     }
     return (cpu_us() - before) / n;
   }
-  double change(const std::vector<ServerEntry>& entries) {
+  double change(const std::vector<EndpointEntry>& entries) {
     const std::vector<Event> events{changes(entries)};
     const double before = cpu_us();
     step(events);
@@ -254,7 +254,7 @@
  private:
   Gateway gateway_;
   std::vector<Action> actions_;
-  std::deque<std::pair<Micros, AttemptEnded>> ends_;
+  std::deque<std::pair<Micros, AttemptCompleted>> ends_;
   Micros now_ = 0, look_at_ = 0;
   int sent_ = 0, asked_ = 0;
 };
@@ -310,12 +310,12 @@
       compare({200, 20'000, 170'000}, 7'400, "change", [](Site& site, int size, int round) {
         double sum = 0;
         for (int i = 0; i < 50; ++i) {
-          ServerEntry e = entry(int(mix(std::uint64_t(round * 50 + i)) % std::uint64_t(size)));
+          EndpointEntry e = entry(int(mix(std::uint64_t(round * 50 + i)) % std::uint64_t(size)));
           if (i % 5 == 0) {
-            e.state = ServerState::kDraining;
+            e.state = EndpointState::kDraining;
           }
           if (i % 5 == 1) {
-            e.state = ServerState::kRemoved;
+            e.state = EndpointState::kRemoved;
           }
           if (i % 5 == 2) {
             e.started_at = site.now();
@@ -343,7 +343,7 @@
     double most = 0;
     double sum_of_requests = 0;
     for (int from = 0; from < 24'000; from += 300) {
-      const auto slice = entries(from, from + 300, ServerState::kRemoved);
+      const auto slice = entries(from, from + 300, EndpointState::kRemoved);
       const double cost = large.change(slice);
       sum[0] += cost;
       most = std::max(most, cost);
@@ -365,8 +365,8 @@
   GTEST_SKIP() << "the sanitizer's allocator tells nothing";
 #endif
   const double before = heap_bytes();
-  const auto list = std::make_unique<ServerListUpdate>(
-      ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, 170'000)});
+  const auto list = std::make_unique<EndpointListUpdate>(
+      EndpointListUpdate{EndpointListUpdate::Kind::kComplete, entries(0, 170'000)});
   const double listed = heap_bytes();
   Gateway gateway(settings_of(7'400), 7);
   std::vector<Action> actions;
@@ -378,12 +378,12 @@
               taking / 1e3, (listed - before) / 1e6);
   EXPECT_LE(bytes, 40e6);
   const double counting = cpu_us();
-  int avoided = 0;
+  int unavailable_endpoints = 0;
   for (int i = 1; i <= 500; ++i) {
-    avoided += gateway.avoided();
+    unavailable_endpoints += gateway.unavailable_endpoints();
     gateway.handle(i * kS, {TimerFired{0}}, actions);
   }
-  EXPECT_EQ(avoided, 0);
+  EXPECT_EQ(unavailable_endpoints, 0);
   EXPECT_LE(cpu_us() - counting, taking);  // one walk for each would be some hundred times that
 }
 
@@ -427,14 +427,14 @@
 class Parts {
  public:
   Parts(int gateways, int servers) {
-    change({ServerListUpdate::Kind::kComplete, entries(0, servers)});
+    change({EndpointListUpdate::Kind::kComplete, entries(0, servers)});
     starts_.resize(std::size_t(gateways));
     settle();
   }
-  void change(const ServerListUpdate& update) {
+  void change(const EndpointListUpdate& update) {
     std::vector<std::uint64_t> came;
     list_.update(update, [&](const policy::List::Change& c) {
-      for (RankMark& start : starts_) {
+      for (RankCursor& start : starts_) {
         start.moved(c.place, c.came);
       }
       if (c.came > 0) {
@@ -457,7 +457,7 @@
   Stretches stretches() const {
     Stretches out{
         places_, {}, std::min(places_.size(), std::size_t(policy::part_size(list_, settings_)))};
-    for (const RankMark& start : starts_) {
+    for (const RankCursor& start : starts_) {
       const auto at = std::lower_bound(places_.begin(), places_.end(), start.place());
       out.firsts.push_back(std::size_t(at - places_.begin()) % places_.size());
     }
@@ -466,14 +466,14 @@
 
  private:
   void settle() {
-    settings_.gateways = std::max(1, int(starts_.size()));
+    settings_.gateway_count = std::max(1, int(starts_.size()));
     for (std::size_t i = 0; i < starts_.size(); ++i) {
-      settings_.position = int(i);
+      settings_.gateway_index = int(i);
       policy::place_part(starts_[i], list_, settings_);
     }
   }
   policy::List list_;
-  std::vector<RankMark> starts_;
+  std::vector<RankCursor> starts_;
   std::vector<std::uint64_t> places_;
   Settings settings_;
 };
@@ -512,18 +512,18 @@
     const double mean = told("at first");
     // A tenth, or 600, are replaced, one by one: starts then lie anywhere within their slack.
     for (int i = 0; i < std::min(shape.servers / 10, 600); ++i) {
-      parts.change(changes({entry(i + 1'000'000), entry(i * 9 + 1, ServerState::kRemoved)}));
+      parts.change(changes({entry(i + 1'000'000), entry(i * 9 + 1, EndpointState::kRemoved)}));
     }
     told("after a tenth, or 600, were replaced");
     double by_server = 0;
-    const auto change = [&](const ServerEntry& e) {
+    const auto change = [&](const EndpointEntry& e) {
       const Stretches before = parts.stretches();
       parts.change(changes({e}));
       by_server += double(moved(before, parts.stretches())) / 20;
     };
     for (int i = 0; i < 10; ++i) {
       change(entry(shape.servers + i));
-      change(entry(i * (shape.servers / 11), ServerState::kRemoved));
+      change(entry(i * (shape.servers / 11), EndpointState::kRemoved));
     }
     const Stretches before = parts.stretches();
     parts.add_gateway();
@@ -545,18 +545,18 @@
     for (int position = 0; position < gateways; position += 1 + gateways / 6) {
       settings.push_back(settings_of(gateways, position));
     }
-    std::vector<std::unique_ptr<policy::Servers>> modules;
+    std::vector<std::unique_ptr<policy::LoadBalancer>> modules;
     for (const Settings& s : settings) {
-      modules.push_back(std::make_unique<policy::Servers>(s, 1));
+      modules.push_back(std::make_unique<policy::LoadBalancer>(s, 1));
     }
-    const ServerListUpdate whole{ServerListUpdate::Kind::kComplete, entries(0, servers)};
+    const EndpointListUpdate whole{EndpointListUpdate::Kind::kComplete, entries(0, servers)};
     for (auto& m : modules) {
       m->update(0, whole);
     }
     for (int i = 0; i < 400; ++i) {
-      ServerEntry e = entry(int(mix(std::uint64_t(i)) % std::uint64_t(servers)));
+      EndpointEntry e = entry(int(mix(std::uint64_t(i)) % std::uint64_t(servers)));
       if (i % 3 == 0) {
-        e.state = i % 2 == 0 ? ServerState::kDraining : ServerState::kRemoved;
+        e.state = i % 2 == 0 ? EndpointState::kDraining : EndpointState::kRemoved;
       }
       if (i % 7 == 0) {
         e = entry(servers + i);
@@ -567,11 +567,11 @@
       for (std::size_t k = 0; k < modules.size(); ++k) {
         modules[k]->update(i * kMs, update);
         std::vector<std::uint64_t> used;
-        for (const policy::Server* s : modules[k]->part(i * kMs)) {
+        for (const policy::EndpointHealth* s : modules[k]->part(i * kMs)) {
           used.push_back(s->place);
         }
         std::sort(used.begin(), used.end());
-        ASSERT_EQ(used, now.part(std::size_t(settings[k].position))) << i;
+        ASSERT_EQ(used, now.part(std::size_t(settings[k].gateway_index))) << i;
       }
     }
   }
@@ -583,43 +583,43 @@
     constexpr int kServers = 600;
     Settings settings = settings_of(gateways);
     Gateway gateway(settings, 3);
-    std::map<std::string, ServerState> state;
+    std::map<std::string, EndpointState> state;
     std::vector<Action> actions;
     std::uint64_t random = 11;
-    const auto known = [&](std::vector<ServerEntry> list) {
-      for (const ServerEntry& e : list) {
+    const auto known = [&](std::vector<EndpointEntry> list) {
+      for (const EndpointEntry& e : list) {
         state[e.server] = e.state;
       }
       return list;
     };
     gateway.handle(
-        0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, known(entries(0, kServers))}},
+        0, {EndpointListUpdate{EndpointListUpdate::Kind::kComplete, known(entries(0, kServers))}},
         actions);
     int sent = 0;
     for (int i = 1; i <= 3'000; ++i) {
       const Micros now = i * 20 * kMs;
       std::vector<Event> events;
-      std::vector<ServerEntry> list;
+      std::vector<EndpointEntry> list;
       for (int k = 0; k < 4; ++k) {
         const double kind = uniform(random);
-        list.push_back(entry(int(uniform(random) * kServers), kind < 0.1   ? ServerState::kDraining
-                                                              : kind < 0.2 ? ServerState::kRemoved
-                                                                           : ServerState::kUp));
+        list.push_back(entry(int(uniform(random) * kServers), kind < 0.1 ? EndpointState::kDraining
+                                                              : kind < 0.2 ? EndpointState::kRemoved
+                                                                           : EndpointState::kUp));
         if (kind > 0.8) {
           list.back().started_at = now;
         }
       }
       if (i % 500 == 0) {
         for (auto& [name, s] : state) {
-          s = ServerState::kRemoved;
+          s = EndpointState::kRemoved;
         }
         events.emplace_back(
-            ServerListUpdate{ServerListUpdate::Kind::kComplete, known(entries(i / 50, 550))});
+            EndpointListUpdate{EndpointListUpdate::Kind::kComplete, known(entries(i / 50, 550))});
       } else {
         events.emplace_back(changes(known(list)));
       }
       if (i % 700 == 0) {
-        settings.position += 5;
+        settings.gateway_index += 5;
         events.emplace_back(SettingsChanged{settings});
       }
       RequestArrived r;
@@ -636,15 +636,15 @@
         gateway.handle(now, std::exchange(events, {}), actions);
         for (const Action& a : actions) {
           if (const auto* to = std::get_if<SendAttempt>(&a)) {
-            ASSERT_EQ(state[to->server], ServerState::kUp) << to->server;
+            ASSERT_EQ(state[to->server], EndpointState::kUp) << to->server;
             ++sent;
-            AttemptEnded end;
+            AttemptCompleted end;
             end.id = to->id;
             end.server = to->server;
             end.attempt = attempt;
             end.outcome = uniform(random) < 0.3 ? Outcome::kConnectFailed : Outcome::kOk;
             end.duration = 5 * kMs;
-            end.finished = end.outcome == Outcome::kOk;
+            end.request_answered = end.outcome == Outcome::kOk;
             if (end.id == r.id) {
               events.emplace_back(end);
             }
@@ -653,33 +653,33 @@
       }
     }
     EXPECT_GE(sent, 3'000);
-    int avoided = 0;
+    int unavailable_endpoints = 0;
     for (const auto& [name, s] : state) {
-      avoided += s == ServerState::kDraining;
+      unavailable_endpoints += s == EndpointState::kDraining;
     }
-    EXPECT_GE(gateway.avoided(), avoided);
+    EXPECT_GE(gateway.unavailable_endpoints(), unavailable_endpoints);
     for (auto& [name, s] : state) {
-      s = ServerState::kRemoved;
+      s = EndpointState::kRemoved;
     }
-    gateway.handle(3'100 * 20 * kMs, {ServerListUpdate{}}, actions);
-    EXPECT_EQ(gateway.avoided(), 0);
+    gateway.handle(3'100 * 20 * kMs, {EndpointListUpdate{}}, actions);
+    EXPECT_EQ(gateway.unavailable_endpoints(), 0);
   }
 }
 
 TEST(ServersRules, APartThatIsLostIsReplacedInTheSameBatch) {
   for (const int servers : {200, 20'000}) {
     Settings settings = settings_of(7'400);
-    policy::Servers module(settings, 1);
-    const ServerListUpdate whole{ServerListUpdate::Kind::kComplete, entries(0, servers)};
+    policy::LoadBalancer module(settings, 1);
+    const EndpointListUpdate whole{EndpointListUpdate::Kind::kComplete, entries(0, servers)};
     module.update(0, whole);
     Gateway gateway(settings, 1);
     std::vector<Action> actions;
     gateway.handle(0, {whole}, actions);
-    std::vector<ServerEntry> gone;
+    std::vector<EndpointEntry> gone;
     std::set<std::string> names;
-    for (const policy::Server* s : module.part(0)) {
+    for (const policy::EndpointHealth* s : module.part(0)) {
       gone.push_back(s->entry);
-      gone.back().state = ServerState::kDraining;
+      gone.back().state = EndpointState::kDraining;
       names.insert(s->entry.server);
     }
     RequestArrived r;
@@ -708,27 +708,28 @@
 
 TEST(ServersRules, WhatAColdServerWasSentIsNotForgottenWhileItIsOutsideThePart) {
   Settings settings = settings_of(1'000);
-  settings.cold_time = 400 * kS;
-  settings.cold_window = 10 * kS;  // and sixty gateways share one: one request in 600 s
-  policy::Servers module(settings, 1);
-  module.update(0, {ServerListUpdate::Kind::kComplete, entries(0, 100)});
-  ServerEntry cold = module.part(0).front()->entry;
+  settings.slow_start_duration = 400 * kS;
+  settings.slow_start_overload_window =
+      10 * kS;  // and sixty gateways share one: one request in 600 s
+  policy::LoadBalancer module(settings, 1);
+  module.update(0, {EndpointListUpdate::Kind::kComplete, entries(0, 100)});
+  EndpointEntry cold = module.part(0).front()->entry;
   cold.started_at = kS;
   module.update(kS, changes({cold}));
-  policy::Server* s = module.part(kS).front();
+  policy::EndpointHealth* s = module.part(kS).front();
   ASSERT_EQ(s->entry.server, cold.server);
   ASSERT_TRUE(module.cold_covers(kS, *s, 0.02));
   module.sent(kS, *s, 0.02);
   --s->named;
-  settings.position += 300;
+  settings.gateway_index += 300;
   module.settings_changed();
   for (int second = 2; second < 200; ++second) {
     module.look(second * kS);
-    for (const policy::Server* other : module.part(second * kS)) {
+    for (const policy::EndpointHealth* other : module.part(second * kS)) {
       ASSERT_NE(other->entry.server, cold.server);
     }
   }
-  settings.position -= 300;
+  settings.gateway_index -= 300;
   module.settings_changed();
   s = module.part(200 * kS).front();
   ASSERT_EQ(s->entry.server, cold.server);
@@ -737,10 +738,10 @@
 
 TEST(ServersRules, NoMoreIsKeptThanThePartsOfTheLastMinute) {
   Settings settings = settings_of(1'000);
-  policy::Servers module(settings, 1);
-  module.update(0, {ServerListUpdate::Kind::kComplete, entries(0, 10'000)});
+  policy::LoadBalancer module(settings, 1);
+  module.update(0, {EndpointListUpdate::Kind::kComplete, entries(0, 10'000)});
   for (int second = 1; second < 600; ++second) {
-    ++settings.position;
+    ++settings.gateway_index;
     module.settings_changed();
     module.look(second * kS);
     EXPECT_LE(module.used(), 70U * 100);
@@ -753,7 +754,8 @@
   // gone.
   Gateway gateway(settings_of(1), 1);
   std::vector<Action> actions;
-  gateway.handle(0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, 3)}}, actions);
+  gateway.handle(0, {EndpointListUpdate{EndpointListUpdate::Kind::kComplete, entries(0, 3)}},
+                 actions);
   RequestArrived r;
   r.id = "r";
   r.plan = "plan";
@@ -768,19 +770,19 @@
   }
   ASSERT_FALSE(server.empty());
   gateway.handle(2 * kMs, {StreamStarted{"r", 0, server}}, actions);
-  ServerEntry gone;
+  EndpointEntry gone;
   gone.server = server;
-  gone.state = ServerState::kRemoved;
+  gone.state = EndpointState::kRemoved;
   gateway.handle(3 * kMs, {changes({gone})}, actions);
   for (int second = 1; second < 300; ++second) {
     gateway.handle(second * kS, {TimerFired{0}}, actions);
   }
-  AttemptEnded end;
+  AttemptCompleted end;
   end.id = "r";
   end.server = server;
   end.outcome = Outcome::kReset;
   end.duration = 300 * kS;
-  end.finished = true;
+  end.request_answered = true;
   actions.clear();
   gateway.handle(300 * kS, {end}, actions);
   for (const Action& a : actions) {
@@ -793,18 +795,20 @@
   // kept of its server is gone; the sanitized build sees it.
   Gateway gateway(settings_of(1), 1);
   std::vector<Action> actions;
-  gateway.handle(0, {ServerListUpdate{ServerListUpdate::Kind::kComplete, entries(0, 3)}}, actions);
+  gateway.handle(0, {EndpointListUpdate{EndpointListUpdate::Kind::kComplete, entries(0, 3)}},
+                 actions);
   const std::string server = entries(0, 1)[0].server;
-  ServerEntry gone;
+  EndpointEntry gone;
   gone.server = server;
-  gone.state = ServerState::kRemoved;
+  gone.state = EndpointState::kRemoved;
   gateway.handle(2 * kMs, {TimerFired{0}}, actions);  // a look, so that all three are used
   gateway.handle(3 * kMs, {changes({gone})}, actions);
   for (int second = 1; second < 64; ++second) {
     gateway.handle(second * kS, {TimerFired{0}}, actions);
   }
   actions.clear();
-  gateway.handle(63 * kS + 500 * kMs, {AnswerCut{server}, AnswerCut{server}, AnswerCut{server}},
+  gateway.handle(63 * kS + 500 * kMs,
+                 {ResponseAborted{server}, ResponseAborted{server}, ResponseAborted{server}},
                  actions);
   const auto told = [&](const Action& a) {
     const auto* line = std::get_if<LogLine>(&a);
@@ -814,7 +818,7 @@
   for (int second = 64; second < 70; ++second) {
     gateway.handle(second * kS, {TimerFired{0}}, actions);
   }
-  EXPECT_EQ(gateway.avoided(), 0);
+  EXPECT_EQ(gateway.unavailable_endpoints(), 0);
 }
 
 }  // namespace
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -24,19 +24,19 @@
   Settings s;
   ClassSettings read;
   read.name = "read";
-  read.aim = 500 * kMs;
+  read.latency_objective = 500 * kMs;
   read.deadline = 2 * kS;
-  read.repeat = Repeat::kSafe;
+  read.idempotency = Idempotency::kIdempotent;
   s.classes.push_back(read);
   PlanSettings plan;
   plan.name = "plan";
-  plan.rate = 10;
-  plan.burst = 20;
+  plan.quota_rate = 10;
+  plan.quota_burst = 20;
   s.plans.push_back(plan);
-  s.gateways = 2;
+  s.gateway_count = 2;
   s.max_attempts = 3;
-  s.may_cancel = true;
-  s.may_advise = true;
+  s.cancellation_allowed = true;
+  s.retry_after_allowed = true;
   s.max_retry_after = kS;
   return s;
 }
@@ -59,19 +59,20 @@
 }
 
 // Drives one gateway, and keeps its timers.
-class Driver {
+class GatewayHarness {
  public:
-  explicit Driver(Settings s = basic_settings(),
-                  std::vector<ServerEntry> servers = up({"a", "b", "c"}), std::uint64_t seed = 7)
+  explicit GatewayHarness(Settings s = basic_settings(),
+                          std::vector<EndpointEntry> servers = up({"a", "b", "c"}),
+                          std::uint64_t seed = 7)
       : gateway_(std::move(s), seed) {
-    ServerListUpdate list;
+    EndpointListUpdate list;
     list.entries = std::move(servers);
     step(0, {list});
   }
-  static std::vector<ServerEntry> up(std::vector<std::string> names) {
-    std::vector<ServerEntry> out;
+  static std::vector<EndpointEntry> up(std::vector<std::string> names) {
+    std::vector<EndpointEntry> out;
     for (auto& n : names) {
-      ServerEntry e;
+      EndpointEntry e;
       e.server = n;
       out.push_back(e);
     }
@@ -102,13 +103,13 @@
   }
   std::vector<Action> end(Micros now, const SendAttempt& a, Outcome o, int attempt = 0,
                           Micros took = kMs) {
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = a.id;
     e.server = a.server;
     e.attempt = attempt;
     e.outcome = o;
     e.duration = took;
-    e.finished = o == Outcome::kOk;
+    e.request_answered = o == Outcome::kOk;
     return step(now, {e});
   }
   static RequestArrived request(const std::string& id, Micros now, double units = 1) {
@@ -119,7 +120,7 @@
     r.request_class = "read";
     r.units = units;
     r.deadline = now + 2 * kS;
-    r.set_size = 2;
+    r.gateway_subset_size = 2;
     return r;
   }
   // Sends and serves requests at one instant; how many were let in.
@@ -142,9 +143,9 @@
   std::vector<Action> log_;
 };
 
-TEST(QuotaSlices, BeyondTheSliceIsRefusedEarlyWithAShortRetryAfter) {
+TEST(QuotaAllocator, BeyondTheSliceIsRefusedEarlyWithAShortRetryAfter) {
   // Burst 20 over two gateways, nothing known: the even part and one more.
-  Driver d;
+  GatewayHarness d;
   int sent = 0;
   int refused = 0;
   for (int i = 0; i < 25; ++i) {
@@ -153,7 +154,7 @@
       ++sent;
       d.end(kMs, a, Outcome::kOk);
     }
-    for (const Refuse& r : all<Refuse>(out)) {
+    for (const Reject& r : all<Reject>(out)) {
       ++refused;
       EXPECT_GT(r.retry_after, 0);
       EXPECT_LE(r.retry_after, 165 * kMs);  // a third of the aim
@@ -163,14 +164,14 @@
   EXPECT_EQ(refused, 5);
 }
 
-TEST(QuotaSlices, NoNewUseNoCalls) {
-  Driver d(counted_settings());
+TEST(QuotaAllocator, NoNewUseNoCalls) {
+  GatewayHarness d(counted_settings());
   d.run(5 * kS);
   EXPECT_TRUE(all<AddToCounter>(d.log()).empty());
 }
 
-TEST(QuotaSlices, TheFirstRequestOfACustomerWaitsForItsTotalAndNoLongerThanATimeOut) {
-  Driver d(counted_settings());
+TEST(QuotaAllocator, TheFirstRequestOfACustomerWaitsForItsTotalAndNoLongerThanATimeOut) {
+  GatewayHarness d(counted_settings());
   auto out = d.arrive(100 * kMs, "r");
   auto calls = all<AddToCounter>(out);
   ASSERT_EQ(calls.size(), 1U);
@@ -180,18 +181,18 @@
   EXPECT_EQ(all<SendAttempt>(d.run(160 * kMs)).size(), 1U);  // nobody answered
 }
 
-TEST(QuotaSlices, ARequestMetAfterAStallNearItsDeadlineIsAnsweredAtOnce) {
-  Driver d(counted_settings());
-  RequestArrived r = Driver::request("r", kS);
+TEST(QuotaAllocator, ARequestMetAfterAStallNearItsDeadlineIsAnsweredAtOnce) {
+  GatewayHarness d(counted_settings());
+  RequestArrived r = GatewayHarness::request("r", kS);
   r.deadline = kS;  // its gateway stood still meanwhile
   auto out = d.step(kS, {r});
-  EXPECT_EQ(all<Refuse>(out).size(), 1U);
+  EXPECT_EQ(all<Reject>(out).size(), 1U);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
 }
 
-TEST(QuotaSlices, GatewaysAgreeOnTheNames) {
-  Driver one(counted_settings(), Driver::up({"a"}), 1);
-  Driver two(counted_settings(), Driver::up({"a"}), 2);
+TEST(QuotaAllocator, GatewaysAgreeOnTheNames) {
+  GatewayHarness one(counted_settings(), GatewayHarness::up({"a"}), 1);
+  GatewayHarness two(counted_settings(), GatewayHarness::up({"a"}), 2);
   auto a = all<AddToCounter>(one.arrive(kS, "r"));
   auto b = all<AddToCounter>(two.arrive(1050 * kMs, "r"));
   ASSERT_EQ(a.size(), 1U);
@@ -206,11 +207,11 @@
   double share = 0;
   std::size_t calls = 0;
 };
-Played play(double others, int gateways = 2, CountOutcome fail = CountOutcome::kOk, int from = 0,
-            bool forget = false, double own = 12) {
+Played play(double others, int gateways = 2, CounterOutcome fail = CounterOutcome::kOk,
+            int from = 0, bool forget = false, double own = 12) {
   Settings s = counted_settings();
-  s.gateways = gateways;
-  Driver d(s);
+  s.gateway_count = gateways;
+  GatewayHarness d(s);
   std::map<std::int64_t, double> totals;
   std::map<std::int64_t, Micros> begun;
   std::size_t calls = 0;
@@ -219,8 +220,8 @@
   const int steps = int(20 * own);
   for (int i = 0; i < steps; ++i) {
     const Micros now = 1000 * kS + Micros(double(i) / own * double(kS));
-    RequestArrived r = Driver::request(label("p", i), now);
-    r.set_size = gateways;
+    RequestArrived r = GatewayHarness::request(label("p", i), now);
+    r.gateway_subset_size = gateways;
     auto out = d.step(now, {r});
     auto late = d.run(now + 1);
     out.insert(out.end(), late.begin(), late.end());
@@ -230,11 +231,11 @@
         begun.try_emplace(call->name, now - (begun.empty() ? 0 : kS));
         double& own_total = totals[call->name];
         own_total += call->amount;
-        CounterAnswered a;
+        CounterReply a;
         a.name = call->name;
         a.duration = kMs;
-        const bool failing = now >= (1000 + from) * kS && fail != CountOutcome::kOk;
-        a.outcome = failing ? fail : CountOutcome::kOk;
+        const bool failing = now >= (1000 + from) * kS && fail != CounterOutcome::kOk;
+        a.outcome = failing ? fail : CounterOutcome::kOk;
         a.total = own_total + others * double(now - begun[call->name]) / double(kS);
         if (forget && i > steps / 2) {
           a.total = 0.5 * call->amount;
@@ -256,49 +257,49 @@
   return {double(sent) / asked, calls};
 }
 
-TEST(QuotaSlices, ProportionalOnceTheTotalReachesTheQuota) {
+TEST(QuotaAllocator, ProportionalOnceTheTotalReachesTheQuota) {
   EXPECT_NEAR(play(36).share, 10.0 / 48, 0.06);  // a quarter of ten a second, of twelve asked
   EXPECT_NEAR(play(0).share, 10.0 / 12, 0.06);
 }
 
-TEST(QuotaSlices, ASliceOfAHundredthPassesItsPartAndNotNothing) {
+TEST(QuotaAllocator, ASliceOfAHundredthPassesItsPartAndNotNothing) {
   // One request in five seconds, of a customer that asks four times its quota through a hundred
   // gateways.
-  EXPECT_NEAR(play(40, 100, CountOutcome::kOk, 0, false, 5).share, 10.0 / 45, 0.08);
-  EXPECT_GT(play(2, 100, CountOutcome::kOk, 0, false, 2).share,
+  EXPECT_NEAR(play(40, 100, CounterOutcome::kOk, 0, false, 5).share, 10.0 / 45, 0.08);
+  EXPECT_GT(play(2, 100, CounterOutcome::kOk, 0, false, 2).share,
             0.95);  // and all of it while there is room
 }
 
-TEST(QuotaSlices, ASilentOrRefusingCounterLeavesTheLastTotals) {
-  for (CountOutcome o : {CountOutcome::kUnknown, CountOutcome::kNotAdded}) {
+TEST(QuotaAllocator, ASilentOrRefusingCounterLeavesTheLastTotals) {
+  for (CounterOutcome o : {CounterOutcome::kUnknown, CounterOutcome::kNotAdded}) {
     EXPECT_NEAR(play(36, 2, o, 8).share, 10.0 / 48, 0.08);
   }
 }
 
-TEST(QuotaSlices, WithNoTotalEverAnEvenPart) {
-  EXPECT_NEAR(play(36, 2, CountOutcome::kNotAdded).share, 5.0 / 12, 0.1);
-  EXPECT_LT(play(36, 100, CountOutcome::kNotAdded).share, 0.05);
+TEST(QuotaAllocator, WithNoTotalEverAnEvenPart) {
+  EXPECT_NEAR(play(36, 2, CounterOutcome::kNotAdded).share, 5.0 / 12, 0.1);
+  EXPECT_LT(play(36, 100, CounterOutcome::kNotAdded).share, 0.05);
 }
 
-TEST(QuotaSlices, ACounterThatForgotIsNotBelieved) {
+TEST(QuotaAllocator, ACounterThatForgotIsNotBelieved) {
   // A total of less than was added here proves loss; believed, it would give everything to us.
-  EXPECT_NEAR(play(36, 2, CountOutcome::kOk, 0, true).share, 10.0 / 48, 0.08);
+  EXPECT_NEAR(play(36, 2, CounterOutcome::kOk, 0, true).share, 10.0 / 48, 0.08);
 }
 
-TEST(QuotaSlices, ACounterThatServesNobodyIsAskedLess) {
-  EXPECT_LT(play(36, 2, CountOutcome::kUnknown).calls, play(36).calls * 2);
+TEST(QuotaAllocator, ACounterThatServesNobodyIsAskedLess) {
+  EXPECT_LT(play(36, 2, CounterOutcome::kUnknown).calls, play(36).calls * 2);
   Settings s = counted_settings();
-  Driver d(s);
+  GatewayHarness d(s);
   std::size_t early = 0;
   std::size_t late = 0;
   for (int i = 0; i < 4000; ++i) {
-    RequestArrived r = Driver::request(label("x", i), i * 5 * kMs);
+    RequestArrived r = GatewayHarness::request(label("x", i), i * 5 * kMs);
     r.customer = label("c", i);
     for (const AddToCounter& c : all<AddToCounter>(d.step(i * 5 * kMs, {r}))) {
       ++(i < 2000 ? early : late);
-      CounterAnswered a;
+      CounterReply a;
       a.name = c.name;
-      a.outcome = CountOutcome::kUnknown;
+      a.outcome = CounterOutcome::kUnknown;
       d.step(i * 5 * kMs, {a});
     }
   }
@@ -307,19 +308,19 @@
   EXPECT_GT(early, late);
 }
 
-TEST(QuotaSlices, CallsLostWithTheirConnectionDoNotSlowTheOthers) {
+TEST(QuotaAllocator, CallsLostWithTheirConnectionDoNotSlowTheOthers) {
   // A reset under one call in five says nothing of the line at the counter; a fifth unanswered
   // would.
   const auto calls = [](Micros lost_after) {
-    Driver d(counted_settings());
+    GatewayHarness d(counted_settings());
     std::size_t made = 0;
     for (int i = 0; i < 4000; ++i) {
-      RequestArrived r = Driver::request(label("x", i), i * 5 * kMs);
+      RequestArrived r = GatewayHarness::request(label("x", i), i * 5 * kMs);
       r.customer = label("c", i);
       for (const AddToCounter& c : all<AddToCounter>(d.step(i * 5 * kMs, {r}))) {
-        CounterAnswered a{c.name, c.amount, CountOutcome::kOk, kMs};
+        CounterReply a{c.name, c.amount, CounterOutcome::kOk, kMs};
         if (++made % 5 == 0) {
-          a = {c.name, 0, CountOutcome::kUnknown, lost_after};
+          a = {c.name, 0, CounterOutcome::kUnknown, lost_after};
         }
         d.step(i * 5 * kMs + kMs, {a});
       }
@@ -330,13 +331,13 @@
   EXPECT_LT(calls(counted_settings().counter_timeout), 400U);
 }
 
-TEST(QuotaSlices, AtAStartTheFirstCustomersAllGetATotal) {
+TEST(QuotaAllocator, AtAStartTheFirstCustomersAllGetATotal) {
   const auto asked_first = [](int gateways) {
     Settings s = counted_settings();
-    s.gateways = gateways;
-    Driver d(s);
+    s.gateway_count = gateways;
+    GatewayHarness d(s);
     for (int i = 0; i < 20; ++i) {
-      RequestArrived r = Driver::request(label("x", i), (i + 1) * kMs);
+      RequestArrived r = GatewayHarness::request(label("x", i), (i + 1) * kMs);
       r.customer = label("c", i);
       d.step((i + 1) * kMs, {r});
     }
@@ -346,17 +347,17 @@
   EXPECT_LE(asked_first(100), 4U);  // a hundred gateways would crowd it
 }
 
-TEST(QuotaSlices, CallsLateAtAStartDoNotHoldThePaceForLong) {
+TEST(QuotaAllocator, CallsLateAtAStartDoNotHoldThePaceForLong) {
   // Guards against a herd that crowds the counter in its first second, and asks once a second ever
   // after.
   Settings s = counted_settings();
-  s.gateways = 100;
-  Driver d(s);
+  s.gateway_count = 100;
+  GatewayHarness d(s);
   std::size_t calls = 0;
   for (int i = 0; i < 80; ++i) {
     const Micros now = (i + 1) * 100 * kMs;
     const bool crowded = now < kS;
-    RequestArrived r = Driver::request(label("x", i), now);
+    RequestArrived r = GatewayHarness::request(label("x", i), now);
     r.customer = label("c", i);
     for (const AddToCounter& c : all<AddToCounter>(d.step(now, {r}))) {
       if (now > 3 * kS) {
@@ -364,26 +365,26 @@
       }
       const Micros took = crowded ? s.counter_timeout : kMs;
       d.step(now + took,
-             {CounterAnswered{c.name, crowded ? 0 : c.amount,
-                              crowded ? CountOutcome::kUnknown : CountOutcome::kOk, took}});
+             {CounterReply{c.name, crowded ? 0 : c.amount,
+                           crowded ? CounterOutcome::kUnknown : CounterOutcome::kOk, took}});
     }
   }
   EXPECT_GE(calls, 15U);  // in 5 s
 }
 
-TEST(QuotaSlices, TheCallsOfAllGatewaysStayWithinWhatTheCounterTakes) {
+TEST(QuotaAllocator, TheCallsOfAllGatewaysStayWithinWhatTheCounterTakes) {
   // A counter that serves 400 calls a second in turn, and gateways that meet 2,000 customers a
   // second.
   const Micros serves = 2'500;
   for (const int gateways : {4, 20, 100}) {
     Settings s = counted_settings();
-    s.gateways = gateways;
+    s.gateway_count = gateways;
     s.counter_timeout = 30 * kMs;
-    std::vector<Driver> fleet;
+    std::vector<GatewayHarness> fleet;
     for (int i = 0; i < gateways; ++i) {
-      fleet.emplace_back(s, Driver::up({"a", "b", "c"}), std::uint64_t(i + 1));
+      fleet.emplace_back(s, GatewayHarness::up({"a", "b", "c"}), std::uint64_t(i + 1));
     }
-    std::multimap<Micros, std::pair<int, CounterAnswered>> answers;
+    std::multimap<Micros, std::pair<int, CounterReply>> answers;
     Micros free = 0;
     int calls = 0;
     int late = 0;
@@ -394,7 +395,7 @@
                                                                {answers.begin()->second.second});
       }
       const int at = int((std::uint64_t(i) * 7919) % std::uint64_t(gateways));
-      RequestArrived r = Driver::request(label("x", i), now);
+      RequestArrived r = GatewayHarness::request(label("x", i), now);
       r.customer = label("c", i);
       for (const AddToCounter& c : all<AddToCounter>(fleet[std::size_t(at)].step(now, {r}))) {
         free = std::max(free, now) + serves;
@@ -402,8 +403,8 @@
         const bool ok = took < s.counter_timeout;
         answers.emplace(
             now + took,
-            std::pair{at, CounterAnswered{c.name, ok ? c.amount : 0,
-                                          ok ? CountOutcome::kOk : CountOutcome::kUnknown, took}});
+            std::pair{at, CounterReply{c.name, ok ? c.amount : 0,
+                                       ok ? CounterOutcome::kOk : CounterOutcome::kUnknown, took}});
         if (now > 6 * kS) {
           ++calls, late += !ok;
         }
@@ -415,17 +416,16 @@
   }
 }
 
-TEST(QuotaSlices, APaceThatIsNotUsedDoesNotGrow) {
-  Driver d(counted_settings());
+TEST(QuotaAllocator, APaceThatIsNotUsedDoesNotGrow) {
+  GatewayHarness d(counted_settings());
   const auto ask = [&](Micros now, const std::string& customer) {
-    RequestArrived r = Driver::request("r" + customer, now);
+    RequestArrived r = GatewayHarness::request("r" + customer, now);
     r.customer = customer;
     return all<AddToCounter>(d.step(now, {r}));
   };
   for (int i = 0; i < 600; ++i) {
     for (const AddToCounter& c : ask((i + 1) * 100 * kMs, label("quiet", i))) {
-      d.step((i + 1) * 100 * kMs + kMs,
-             {CounterAnswered{c.name, c.amount, CountOutcome::kOk, kMs}});
+      d.step((i + 1) * 100 * kMs + kMs, {CounterReply{c.name, c.amount, CounterOutcome::kOk, kMs}});
     }
   }
   std::size_t calls = 0;
@@ -436,21 +436,21 @@
   EXPECT_GE(calls, 20U);
 }
 
-TEST(QuotaSlices, AfterASilenceCallsDoNotBeginAnew) {
+TEST(QuotaAllocator, AfterASilenceCallsDoNotBeginAnew) {
   // A connection that went silent under calls in their dozens; then the counter answers as before.
-  Driver d(counted_settings());
+  GatewayHarness d(counted_settings());
   std::size_t made[3] = {};
   for (int i = 0; i < 2400; ++i) {
     const Micros now = i * 5 * kMs;
     const int phase = i < 1200 ? 0 : i < 1800 ? 1 : 2;
-    RequestArrived r = Driver::request(label("x", i), now);
+    RequestArrived r = GatewayHarness::request(label("x", i), now);
     r.customer = label("c", i);
     for (const AddToCounter& c : all<AddToCounter>(d.step(now, {r}))) {
       ++made[phase];
       const Micros took = phase == 1 ? counted_settings().counter_timeout : kMs;
       d.step(now + took,
-             {CounterAnswered{c.name, phase == 1 ? 0 : c.amount,
-                              phase == 1 ? CountOutcome::kUnknown : CountOutcome::kOk, took}});
+             {CounterReply{c.name, phase == 1 ? 0 : c.amount,
+                           phase == 1 ? CounterOutcome::kUnknown : CounterOutcome::kOk, took}});
     }
   }
   EXPECT_GT(made[0], 200U);
@@ -458,14 +458,14 @@
   EXPECT_GT(made[2], 100U);  // in the last 3 s
 }
 
-TEST(QuotaSlices, ASpikeElsewhereLeavesTheStoreWithTheTotalThatTellsOfIt) {
+TEST(QuotaAllocator, ASpikeElsewhereLeavesTheStoreWithTheTotalThatTellsOfIt) {
   // A fading mean of it would let the whole store be spent a second time here.
-  Driver d(counted_settings());
+  GatewayHarness d(counted_settings());
   const auto total = [&](Micros now, const std::vector<Action>& actions, double others) {
     const auto calls = all<AddToCounter>(actions);
     if (!calls.empty()) {
       d.step(now,
-             {CounterAnswered{calls[0].name, calls[0].amount + others, CountOutcome::kOk, kMs}});
+             {CounterReply{calls[0].name, calls[0].amount + others, CounterOutcome::kOk, kMs}});
     }
     return !calls.empty();
   };
@@ -481,22 +481,22 @@
   EXPECT_LE(sent, 5);  // our slice of what is asked now
 }
 
-TEST(QuotaSlices, WhoSpendsFastIsToldOfSooner) {
-  Driver d(counted_settings());
+TEST(QuotaAllocator, WhoSpendsFastIsToldOfSooner) {
+  GatewayHarness d(counted_settings());
   std::vector<Micros> calls;
   for (Micros now = 1000 * kS; now < 1001 * kS; now += 50 * kMs) {
     for (const AddToCounter& c : all<AddToCounter>(d.arrive(now, label("r", now)))) {
       calls.push_back(now - 1000 * kS);
-      d.step(now + kMs, {CounterAnswered{c.name, double(calls.size()), CountOutcome::kOk, kMs}});
+      d.step(now + kMs, {CounterReply{c.name, double(calls.size()), CounterOutcome::kOk, kMs}});
     }
   }
   EXPECT_GE(calls.size(), 4U);
 }
 
-TEST(QuotaSlices, LargeRequestsArePaidNoMoreThanTheSlice) {
+TEST(QuotaAllocator, LargeRequestsArePaidNoMoreThanTheSlice) {
   // Eight units every two seconds, 12 a second elsewhere: the slice is a quarter of the quota, 5 of
   // each 8.
-  Driver d(counted_settings());
+  GatewayHarness d(counted_settings());
   std::map<std::int64_t, std::pair<Micros, double>> names;  // begun, our own total
   int sent = 0;
   for (int i = 0; i < 400; ++i) {
@@ -511,35 +511,35 @@
     for (const AddToCounter& c : all<AddToCounter>(out)) {
       auto& [begun, own] = names.try_emplace(c.name, now - kS, 0).first->second;
       const double total = (own += c.amount) + 12.0 * double(now - begun) / double(kS);
-      d.step(now, {CounterAnswered{c.name, total, CountOutcome::kOk, kMs}});
+      d.step(now, {CounterReply{c.name, total, CounterOutcome::kOk, kMs}});
     }
   }
   EXPECT_NEAR(sent, 300 * 5 / 8, 10);
 }
 
-TEST(QuotaSlices, ARequestLargerThanTheLocalStoreIsNotShutOutForEver) {
+TEST(QuotaAllocator, ARequestLargerThanTheLocalStoreIsNotShutOutForEver) {
   Settings s = basic_settings();
-  s.plans[0].burst = 10;
-  s.gateways = 10;
-  Driver d2(s);
-  RequestArrived r = Driver::request("r", kMs, 9);
-  r.set_size = 10;
+  s.plans[0].quota_burst = 10;
+  s.gateway_count = 10;
+  GatewayHarness d2(s);
+  RequestArrived r = GatewayHarness::request("r", kMs, 9);
+  r.gateway_subset_size = 10;
   EXPECT_EQ(all<SendAttempt>(d2.step(kMs, {r})).size(), 1U);  // an even part and one more hold two
   r.id = "s";
   r.units = 1;
   EXPECT_EQ(all<SendAttempt>(d2.step(2 * kMs, {r})).size(), 0U);  // and are in debt
 }
 
-TEST(QuotaSlices, UnitsSettledLaterAreTakenFromTheStore) {
+TEST(QuotaAllocator, UnitsSettledLaterAreTakenFromTheStore) {
   Settings s = basic_settings();
-  s.settles_later = true;
-  Driver d(s);
+  s.units_settled_later = true;
+  GatewayHarness d(s);
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
-  AttemptEnded e;
+  AttemptCompleted e;
   e.id = "r";
   e.server = sent.at(0).server;
-  e.finished = true;
-  e.billed = 11;  // guessed as one
+  e.request_answered = true;
+  e.billed_units = 11;  // guessed as one
   d.step(2 * kMs, {e});
   EXPECT_EQ(d.burst(3 * kMs, 12), 9);  // of the twenty
 }
@@ -548,7 +548,7 @@
   Settings s = basic_settings();
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver d(s);
+  GatewayHarness d(s);
   EXPECT_EQ(d.burst(kMs, 3), 0);
   EXPECT_EQ(d.burst(101 * kMs, 3), 1);  // ten units a second is our part
 }
@@ -557,19 +557,19 @@
   // Guards against a total that uses up the last call: the request is within its slice, has no part
   // of the ceiling, and is refused. Calls are scarce where many gateways share the counter.
   Settings s = counted_settings();
-  s.gateways = 100;
+  s.gateway_count = 100;
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver d(s);
+  GatewayHarness d(s);
   int sent = 0;
   for (int i = 0; i < 3; ++i) {
-    RequestArrived r = Driver::request(label("r", i), (i + 1) * kMs);
+    RequestArrived r = GatewayHarness::request(label("r", i), (i + 1) * kMs);
     r.customer = label("c", i);
     auto out = d.step((i + 1) * kMs, {r});
     for (int calls = 0; calls < 3 && !all<AddToCounter>(out).empty(); ++calls) {
       const AddToCounter c = all<AddToCounter>(out)[0];
       out = d.step((i + 1) * kMs + 100 * (calls + 1),
-                   {CounterAnswered{c.name, c.amount, CountOutcome::kOk, 100}});
+                   {CounterReply{c.name, c.amount, CounterOutcome::kOk, 100}});
     }
     for (const SendAttempt& a : all<SendAttempt>(out)) {
       ++sent, d.end((i + 1) * kMs + 500, a, Outcome::kOk);
@@ -582,12 +582,12 @@
   Settings s = basic_settings();
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver d(s);
-  RequestArrived other = Driver::request("other", kS);
+  GatewayHarness d(s);
+  RequestArrived other = GatewayHarness::request("other", kS);
   other.customer = "c2";
   d.step(kS, {other});
   EXPECT_EQ(d.burst(1500 * kMs, 10), 5);  // ten units a second since the start is our part
-  RequestArrived third = Driver::request("third", 10 * kS);
+  RequestArrived third = GatewayHarness::request("third", 10 * kS);
   third.customer = "c3";
   EXPECT_EQ(all<SendAttempt>(d.step(10 * kS, {third})).size(), 1U);
 }
@@ -596,8 +596,8 @@
   Settings s = basic_settings();
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver d(s);
-  const auto refused = all<Refuse>(d.arrive(kMs, "r"));
+  GatewayHarness d(s);
+  const auto refused = all<Reject>(d.arrive(kMs, "r"));
   ASSERT_EQ(refused.size(),
             1U);  // our part, ten units a second, is empty at a start; the slice is full
   EXPECT_NEAR(double(refused[0].retry_after), 100 * kMs, 2 * kMs);
@@ -606,11 +606,11 @@
 
 TEST(Ceiling, HoldsWithADeadCounter) {
   Settings s = basic_settings();
-  s.plans[0].rate = 1000;
-  s.plans[0].burst = 1000;
+  s.plans[0].quota_rate = 1000;
+  s.plans[0].quota_burst = 1000;
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver d(s);
+  GatewayHarness d(s);
   int sent = 0;
   for (int i = 0; i < 100; ++i) {
     sent += d.burst(i * 50 * kMs, 4);
@@ -624,22 +624,22 @@
 class Fleet {
  public:
   Fleet(Settings s, int n) {
-    s.gateways = n;
+    s.gateway_count = n;
     for (int i = 0; i < n; ++i) {
-      gateways_.emplace_back(s, Driver::up({"a", "b", "c"}), std::uint64_t(i + 1));
+      gateways_.emplace_back(s, GatewayHarness::up({"a", "b", "c"}), std::uint64_t(i + 1));
     }
   }
   // Asks so many units of gateway `i`, one by one.
   void ask(std::size_t i, Micros now, int n) {
     for (; n > 0; --n) {
-      RequestArrived r = Driver::request(label("r", ++asked), now);
-      r.set_size = int(gateways_.size());
+      RequestArrived r = GatewayHarness::request(label("r", ++asked), now);
+      r.gateway_subset_size = int(gateways_.size());
       act(i, now, gateways_[i].run(now));
       act(i, now, gateways_[i].step(now, {r}));
     }
   }
   std::function<void(Micros)> on_sent = [](Micros) {};
-  CountOutcome outcome = CountOutcome::kOk;
+  CounterOutcome outcome = CounterOutcome::kOk;
   bool answers = true;  // the counter does
   int asked = 0, sent = 0;
 
@@ -655,11 +655,11 @@
       if (!answers) {
         continue;
       }
-      const CounterAnswered answer{a.name, totals_[a.name], outcome, kMs};
+      const CounterReply answer{a.name, totals_[a.name], outcome, kMs};
       act(i, now + kMs, gateways_[i].step(now + kMs, {answer}));
     }
   }
-  std::vector<Driver> gateways_;
+  std::vector<GatewayHarness> gateways_;
   std::map<std::int64_t, double> totals_;
 };
 
@@ -678,13 +678,13 @@
   SpreadQuota(int gateways, double times, double calls_a_request)
       : times_(times), service_(calls_a_request) {
     Settings s = counted_settings();
-    s.plans[0].rate = kRate;
-    s.plans[0].burst = kBurst;
-    s.largest_units = 4;
-    s.gateways = gateways;
+    s.plans[0].quota_rate = kRate;
+    s.plans[0].quota_burst = kBurst;
+    s.max_request_units = 4;
+    s.gateway_count = gateways;
     s.counter_timeout = 30 * kMs;
     for (int i = 0; i < gateways; ++i) {
-      gateways_.emplace_back(s, Driver::up({"a", "b", "c", "d"}), std::uint64_t(i + 1));
+      gateways_.emplace_back(s, GatewayHarness::up({"a", "b", "c", "d"}), std::uint64_t(i + 1));
     }
     stores_.assign(kCustomers, {kBurst, kStart});
   }
@@ -697,9 +697,10 @@
       const Micros now = kStart + Micros(at * kS);
       answer_until(now);
       const int customer = int(chance() * kCustomers);
-      RequestArrived r = Driver::request(label("r", ++asked_), now, 1 + std::floor(chance() * 3));
+      RequestArrived r =
+          GatewayHarness::request(label("r", ++asked_), now, 1 + std::floor(chance() * 3));
       r.customer = label("c", customer);
-      r.set_size = int(gateways_.size());
+      r.gateway_subset_size = int(gateways_.size());
       open_[r.id] = {customer, r.units};
       units_ += r.units;
       // A skewed choice: some gateways see several times the mean.
@@ -733,7 +734,7 @@
     }
   }
   void act(std::size_t i, Micros now, const std::vector<Action>& actions) {
-    for (const Refuse& a : all<Refuse>(actions)) {
+    for (const Reject& a : all<Reject>(actions)) {
       judge(now, a.id, false);
     }
     for (const SendAttempt& a : all<SendAttempt>(actions)) {
@@ -745,9 +746,9 @@
       free_at_ = std::max(free_at_, double(now)) + service_ * kS;
       const Micros took = Micros(free_at_) - now + kMs / 2;
       const bool late = took > 30 * kMs;
-      CounterAnswered answer{a.name, totals_[a.name] += a.amount, CountOutcome::kOk, took};
+      CounterReply answer{a.name, totals_[a.name] += a.amount, CounterOutcome::kOk, took};
       if (late) {
-        answer = {a.name, 0, CountOutcome::kUnknown, 30 * kMs};
+        answer = {a.name, 0, CounterOutcome::kUnknown, 30 * kMs};
       }
       answers_.emplace(now + answer.duration, std::pair(i, answer));
     }
@@ -763,17 +764,17 @@
     (sent ? room ? inside_ : beyond_ : room ? with_room_ : nothing_) += units;
   }
   double times_, service_;
-  std::vector<Driver> gateways_;
+  std::vector<GatewayHarness> gateways_;
   std::vector<Store> stores_;
   std::map<std::string, std::pair<int, double>> open_;
   std::map<std::int64_t, double> totals_;
-  std::multimap<Micros, std::pair<std::size_t, CounterAnswered>> answers_;
+  std::multimap<Micros, std::pair<std::size_t, CounterReply>> answers_;
   std::uint64_t random_ = 1;
   double free_at_ = 0, units_ = 0, inside_ = 0, beyond_ = 0, with_room_ = 0, nothing_ = 0;
   int asked_ = 0, calls_ = 0;
 };
 
-TEST(QuotaSlices, HundredsOfGatewaysRaiseTheErrorOfAQuotaNoFurther) {
+TEST(QuotaAllocator, HundredsOfGatewaysRaiseTheErrorOfAQuotaNoFurther) {
   std::printf(
       "gateways  asked / quota  beyond / sent  refused with room / asked  inside / allowed  calls "
       "a "
@@ -805,10 +806,10 @@
   int sent = 0, asked = 0;
 };
 Ceiled play_ceiling(const std::vector<int>& asks, double rate,
-                    CountOutcome outcome = CountOutcome::kOk) {
+                    CounterOutcome outcome = CounterOutcome::kOk) {
   Settings s = counted_settings();
-  s.plans[0].rate = rate;
-  s.plans[0].burst = 2 * rate;
+  s.plans[0].quota_rate = rate;
+  s.plans[0].quota_burst = 2 * rate;
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
   Fleet fleet(s, int(asks.size()));
@@ -848,11 +849,11 @@
 
 TEST(LongBodies, OneThatStillComesTakesNoRoomAtItsServer) {
   Settings s = basic_settings();  // two gateways and one server: one attempt out each
-  s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s, Driver::up({"a"}));
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1000;
+  GatewayHarness d(s, GatewayHarness::up({"a"}));
   const auto sent = [&](Micros now, const std::string& id, bool follows) {
-    RequestArrived r = Driver::request(id, now);
-    r.body_follows = follows;
+    RequestArrived r = GatewayHarness::request(id, now);
+    r.body_pending = follows;
     return all<SendAttempt>(d.step(now, {r})).size();
   };
   std::size_t coming = 0;
@@ -861,11 +862,11 @@
   }
   EXPECT_EQ(coming, 5U);
   EXPECT_EQ(sent(2 * kMs, "short", false), 1U);
-  AttemptEnded e;
+  AttemptCompleted e;
   e.id = "short";
   e.server = "a";
   e.duration = kMs;
-  e.finished = true;
+  e.request_answered = true;
   d.step(3 * kMs, {e});
   // Once all of it has gone there it does.
   for (int i = 0; i < 5; ++i) {
@@ -874,11 +875,11 @@
   EXPECT_EQ(sent(5 * kMs, "next", false), 0U);
 }
 
-TEST(Servers, AnswersThatBreakOffInARowEject) {
-  Driver d(basic_settings(), Driver::up({"a", "b"}));
+TEST(LoadBalancer, AnswersThatBreakOffInARowEject) {
+  GatewayHarness d(basic_settings(), GatewayHarness::up({"a", "b"}));
   d.arrive(kMs, "r");
   for (int i = 0; i < 3; ++i) {
-    d.step(2 * kMs, {AnswerCut{"a"}});
+    d.step(2 * kMs, {ResponseAborted{"a"}});
   }
   for (int i = 0; i < 8; ++i) {
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(3 * kMs, label("s", i)))) {
@@ -889,16 +890,16 @@
 }
 
 // The settings with another effect of the class, and so many attempts.
-Settings changed(Repeat repeat, int attempts) {
+Settings changed(Idempotency repeat, int attempts) {
   Settings s = basic_settings();
-  s.classes[0].repeat = repeat;
+  s.classes[0].idempotency = repeat;
   s.max_attempts = attempts;
   return s;
 }
 // What follows when the first attempt of a request is reset, after the settings have changed from
 // `from` to `to`.
 std::vector<Action> reset_after_change(const Settings& from, const Settings& to) {
-  Driver d(from);
+  GatewayHarness d(from);
   const auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   EXPECT_EQ(sent.size(), 1U);
   d.step(2 * kMs, {SettingsChanged{to}});
@@ -906,8 +907,8 @@
 }
 
 TEST(SettingsChange, AnOpenRequestKeepsTheEffectItCameWith) {
-  const Settings safe = changed(Repeat::kSafe, 3);
-  const Settings unsafe = changed(Repeat::kUnsafe, 3);
+  const Settings safe = changed(Idempotency::kIdempotent, 3);
+  const Settings unsafe = changed(Idempotency::kNonIdempotent, 3);
   EXPECT_EQ(all<SendAttempt>(reset_after_change(safe, unsafe)).size(), 1U);
   const auto failed = reset_after_change(unsafe, safe);
   EXPECT_TRUE(all<SendAttempt>(failed).empty());
@@ -915,8 +916,8 @@
 }
 
 TEST(SettingsChange, RequestsThatComeLaterHaveTheNewEffect) {
-  Driver d(changed(Repeat::kSafe, 3));
-  d.step(kMs, {SettingsChanged{changed(Repeat::kUnsafe, 3)}});
+  GatewayHarness d(changed(Idempotency::kIdempotent, 3));
+  d.step(kMs, {SettingsChanged{changed(Idempotency::kNonIdempotent, 3)}});
   const auto sent = all<SendAttempt>(d.arrive(2 * kMs, "r"));
   ASSERT_EQ(sent.size(), 1U);
   EXPECT_EQ(all<Fail>(d.end(3 * kMs, sent[0], Outcome::kReset)).size(), 1U);
@@ -929,42 +930,42 @@
 }
 
 TEST(SettingsChange, FewerAttemptsBindAtOnceAndMoreOnlyNewRequests) {
-  const Settings one = changed(Repeat::kSafe, 1);
-  const Settings three = changed(Repeat::kSafe, 3);
+  const Settings one = changed(Idempotency::kIdempotent, 1);
+  const Settings three = changed(Idempotency::kIdempotent, 3);
   EXPECT_TRUE(all<SendAttempt>(reset_after_change(three, one)).empty());
   EXPECT_TRUE(all<SendAttempt>(reset_after_change(one, three)).empty());
 }
 
 TEST(SettingsChange, WhatACustomerHasSpentStaysSpent) {
-  Driver d;
+  GatewayHarness d;
   EXPECT_EQ(d.burst(kMs, 30), 20);
-  d.step(2 * kMs, {SettingsChanged{changed(Repeat::kSafe, 2)}});
+  d.step(2 * kMs, {SettingsChanged{changed(Idempotency::kIdempotent, 2)}});
   EXPECT_EQ(d.burst(3 * kMs, 5), 0);
   Settings tighter = basic_settings();
-  tighter.plans[0].rate = 2;
-  tighter.plans[0].burst = 4;
+  tighter.plans[0].quota_rate = 2;
+  tighter.plans[0].quota_burst = 4;
   d.step(10 * kS, {SettingsChanged{tighter}});
   EXPECT_EQ(d.burst(10 * kS + kMs, 10), 4);
 }
 
 TEST(Processes, OldAndNewTogetherKeepOnePartOfTheCeiling) {
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1000;
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1000;
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver old(s);
-  Driver young(s);
+  GatewayHarness old(s);
+  GatewayHarness young(s);
   old.arrive(kMs, "first");
   EXPECT_EQ(old.burst(10 * kS, 15), 15);  // our part holds twenty
-  old.step(10 * kS, {ProcessesChanged{1}});
-  young.step(10 * kS, {ProcessesChanged{1}});
+  old.step(10 * kS, {PeerProcessesChanged{1}});
+  young.step(10 * kS, {PeerProcessesChanged{1}});
   int sent = 0;
   for (Micros now = 10 * kS + kMs; now <= 14 * kS; now += 20 * kMs) {
     sent += old.burst(now, 3) + young.burst(now, 3);
   }
   EXPECT_GE(sent, 36);
   EXPECT_LE(sent, 5 + 40);  // what was left, and ten a second
-  young.step(14 * kS, {ProcessesChanged{0}});
+  young.step(14 * kS, {PeerProcessesChanged{0}});
   sent = 0;
   for (Micros now = 14 * kS + kMs; now <= 18 * kS; now += 20 * kMs) {
     sent += young.burst(now, 3);
@@ -977,28 +978,28 @@
   Settings s = basic_settings();
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 40;
-  Driver d(s);
-  RequestArrived other = Driver::request("other", kS);
+  GatewayHarness d(s);
+  RequestArrived other = GatewayHarness::request("other", kS);
   other.customer = "c2";
   d.step(kS, {other});
-  d.step(10 * kS, {ProcessesChanged{1}});
+  d.step(10 * kS, {PeerProcessesChanged{1}});
   EXPECT_EQ(d.burst(11 * kS, 20),
             5);  // half of ten a second; the old process may have spent the rest
 }
 
 TEST(Processes, EachSendsAColdServerItsOwnPart) {
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1000;
-  s.gateways = 1;
-  s.cold_share = 0.2;
-  s.cold_time = 100 * kS;
-  s.cold_multiple = 2;
-  s.cold_window = kS;
-  auto servers = Driver::up({"a"});
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1000;
+  s.gateway_count = 1;
+  s.slow_start_min_fraction = 0.2;
+  s.slow_start_duration = 100 * kS;
+  s.slow_start_overload_factor = 2;
+  s.slow_start_overload_window = kS;
+  auto servers = GatewayHarness::up({"a"});
   servers[0].started_at = 1;
   const auto sent = [&](int others) {
-    Driver d(s, servers);
-    d.step(kMs, {ProcessesChanged{others}});
+    GatewayHarness d(s, servers);
+    d.step(kMs, {PeerProcessesChanged{others}});
     int n = 0;
     for (Micros now = 2 * kMs; now < 8 * kS; now += 100 * kMs) {
       n += d.burst(now, 1);
@@ -1010,15 +1011,15 @@
 }
 
 TEST(Ceiling, ADrawThatMayNotHaveBeenAddedIsNotUsed) {
-  const Ceiled lost = play_ceiling({4, 4}, 1000, CountOutcome::kUnknown);
+  const Ceiled lost = play_ceiling({4, 4}, 1000, CounterOutcome::kUnknown);
   EXPECT_LE(lost.sent, 0.5 * 20 * 12);  // the even parts alone, which start empty
   EXPECT_GT(lost.sent, 0);
 }
 
-TEST(QuotaSlices, ASpikeThroughAllGatewaysDoesNotSpendTheStoreOnceEach) {
+TEST(QuotaAllocator, ASpikeThroughAllGatewaysDoesNotSpendTheStoreOnceEach) {
   Settings s = counted_settings();
-  s.plans[0].rate = 40;
-  s.plans[0].burst = 80;
+  s.plans[0].quota_rate = 40;
+  s.plans[0].quota_burst = 80;
   Fleet fleet(s, 4);
   for (Micros now = 100 * kMs; now < 3 * kS; now += 200 * kMs) {
     for (std::size_t i = 0; i < 4; ++i) {
@@ -1037,16 +1038,16 @@
 
 TEST(OpenCap, ElevenGatewaysDoNotEachTakeOnePlace) {
   Settings s = basic_settings();
-  s.gateways = 11;
-  s.plans[0].rate = s.plans[0].burst = 0;
-  s.plans[0].max_open = 2;
+  s.gateway_count = 11;
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 0;
+  s.plans[0].max_concurrent_attempts = 2;
   int out = 0;
   for (int g = 0; g < 11; ++g) {
-    s.position = g;
-    Driver d(s);
+    s.gateway_index = g;
+    GatewayHarness d(s);
     for (int i = 0; i < 400; ++i) {  // heavy demand everywhere
-      RequestArrived r = Driver::request(label("x", i), i * kMs);
-      r.set_size = 11;
+      RequestArrived r = GatewayHarness::request(label("x", i), i * kMs);
+      r.gateway_subset_size = 11;
       out += int(all<SendAttempt>(d.step(i * kMs, {r})).size());
     }
   }
@@ -1054,12 +1055,12 @@
 }
 
 TEST(Rules, NothingGoesToADrainingOrRemovedServer) {
-  Driver d;
-  ServerListUpdate u;
-  u.kind = ServerListUpdate::Kind::kPartial;
-  u.entries = Driver::up({"a", "b"});
-  u.entries[0].state = ServerState::kDraining;
-  u.entries[1].state = ServerState::kRemoved;
+  GatewayHarness d;
+  EndpointListUpdate u;
+  u.kind = EndpointListUpdate::Kind::kPartial;
+  u.entries = GatewayHarness::up({"a", "b"});
+  u.entries[0].state = EndpointState::kDraining;
+  u.entries[1].state = EndpointState::kRemoved;
   d.step(kMs, {u});
   for (int i = 0; i < 5; ++i) {
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(2 * kMs, label("r", i)))) {
@@ -1069,29 +1070,29 @@
 }
 
 TEST(Rules, AnEmptyServerListStillAnswersEveryRequestInTime) {
-  Driver d(basic_settings(), {});
+  GatewayHarness d(basic_settings(), {});
   auto out = d.arrive(kMs, "r");
   auto more = d.run(2 * kS);
   out.insert(out.end(), more.begin(), more.end());
-  EXPECT_EQ(all<Refuse>(out).size(), 1U);
+  EXPECT_EQ(all<Reject>(out).size(), 1U);
   EXPECT_TRUE(all<Fail>(out).empty());
 }
 
-Settings keyed_settings(Repeat repeat) {
+Settings keyed_settings(Idempotency repeat) {
   Settings s = basic_settings();
-  s.classes[0].repeat = repeat;
+  s.classes[0].idempotency = repeat;
   s.classes[0].dedup_scope = DedupScope::kCell;
   s.classes[0].dedup_window = 8 * kS;
-  s.classes[0].late_worth = 0.2;
+  s.classes[0].late_value_fraction = 0.2;
   return s;
 }
 
 TEST(Rules, AKeyedRequestThatMayHaveRunIsResentOnlyInItsCell) {
-  auto servers = Driver::up({"a", "b", "c", "d"});
+  auto servers = GatewayHarness::up({"a", "b", "c", "d"});
   for (int i = 0; i < 4; ++i) {
     servers[std::size_t(i)].cell = i / 2;
   }
-  Driver d(keyed_settings(Repeat::kKeyed), servers);
+  GatewayHarness d(keyed_settings(Idempotency::kIdempotencyKey), servers);
   auto first = all<SendAttempt>(d.arrive(kMs, "r"));
   ASSERT_EQ(first.size(), 1U);
   auto out = d.end(50 * kMs, first[0], Outcome::kReset);
@@ -1102,52 +1103,53 @@
 }
 
 TEST(Rules, AKeyedRequestThatMayHaveRunIsFailedNotRefused) {
-  Settings s = keyed_settings(Repeat::kKeyed);
+  Settings s = keyed_settings(Idempotency::kIdempotencyKey);
   s.max_attempts = 1;
-  Driver d(s);
+  GatewayHarness d(s);
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   auto out = d.end(50 * kMs, sent.at(0), Outcome::kReset);
   EXPECT_EQ(all<Fail>(out).size(), 1U);
-  EXPECT_TRUE(all<Refuse>(out).empty());
+  EXPECT_TRUE(all<Reject>(out).empty());
 }
 
 TEST(Rules, AnUnsafeRequestIsRetriedOnlyWhenItNeverRan) {
   for (Outcome o : {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
-    Driver d(keyed_settings(Repeat::kUnsafe));
+    GatewayHarness d(keyed_settings(Idempotency::kNonIdempotent));
     auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
     auto out = d.end(50 * kMs, sent.at(0), o);
     EXPECT_TRUE(all<SendAttempt>(out).empty());
     EXPECT_EQ(all<Fail>(out).size(), 1U);
   }
-  Driver d(keyed_settings(Repeat::kUnsafe));
+  GatewayHarness d(keyed_settings(Idempotency::kNonIdempotent));
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   EXPECT_EQ(all<SendAttempt>(d.end(50 * kMs, sent.at(0), Outcome::kConnectFailed)).size(), 1U);
 }
 
 TEST(Rules, AColdServerGetsNoMoreThanOneRequestAWindowBeforePeersAreObserved) {
   Settings s = basic_settings();
-  s.cold_share = 0.2;
-  s.cold_time = 15 * kS;
-  s.cold_multiple = 2;
-  s.cold_window = kS;
-  auto servers = Driver::up({"a"});
+  s.slow_start_min_fraction = 0.2;
+  s.slow_start_duration = 15 * kS;
+  s.slow_start_overload_factor = 2;
+  s.slow_start_overload_window = kS;
+  auto servers = GatewayHarness::up({"a"});
   servers[0].started_at = 1;
-  Driver d(s, servers);
+  GatewayHarness d(s, servers);
   d.burst(kMs, 5);
   EXPECT_EQ(all<SendAttempt>(d.log()).size(), 1U);
 }
 
 TEST(Rules, OutcomesTimersAndDeparturesOfEndedRequestsAreIgnored) {
-  Driver d;
+  GatewayHarness d;
   auto sent = all<SendAttempt>(d.arrive(kMs, "r"));
   d.end(2 * kMs, sent.at(0), Outcome::kOk);
   auto out = d.end(3 * kMs, sent[0], Outcome::kTimeout);
   EXPECT_TRUE(all<SendAttempt>(out).empty());
-  EXPECT_TRUE(
-      d.step(4 * kMs, {ClientGone{"r"}, ClientGone{"never seen"}, TimerFired{987654}}).empty());
+  EXPECT_TRUE(d.step(4 * kMs, {ClientDisconnected{"r"}, ClientDisconnected{"never seen"},
+                               TimerFired{987654}})
+                  .empty());
   auto late = d.run(2 * kS);
   EXPECT_TRUE(all<SendAttempt>(late).empty());
-  EXPECT_TRUE(all<Refuse>(late).empty());
+  EXPECT_TRUE(all<Reject>(late).empty());
 }
 
 // Gateways that each serve what comes to them; which servers each has sent to.
@@ -1156,11 +1158,11 @@
     for (int i = 0; i < servers; ++i) {
       names.push_back(label("s", i));
     }
-    settings.gateways = gateways;
-    settings.plans[0].rate = settings.plans[0].burst = 1e6;
+    settings.gateway_count = gateways;
+    settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1e6;
     for (int i = 0; i < gateways; ++i) {
-      settings.position = i;
-      all.emplace_back(settings, Driver::up(names), std::uint64_t(100 + i));
+      settings.gateway_index = i;
+      all.emplace_back(settings, GatewayHarness::up(names), std::uint64_t(100 + i));
     }
     met.resize(all.size());
   }
@@ -1178,7 +1180,7 @@
     }
   }
   std::vector<std::string> names;
-  std::vector<Driver> all;
+  std::vector<GatewayHarness> all;
   std::vector<std::set<std::string>> met;
   std::map<std::string, int> sent;
 };
@@ -1244,9 +1246,9 @@
   for (auto& met : fleet.met) {
     met.clear();
   }
-  ServerListUpdate one;
-  one.kind = ServerListUpdate::Kind::kPartial;
-  one.entries = Driver::up({"fresh"});
+  EndpointListUpdate one;
+  one.kind = EndpointListUpdate::Kind::kPartial;
+  one.entries = GatewayHarness::up({"fresh"});
   for (auto& gateway : fleet.all) {
     gateway.step(2'001 * kMs, {one});
   }
@@ -1293,10 +1295,10 @@
   // of each one's budget that is under one request and never used, and against all gateways that
   // use theirs at once.
   Settings s = basic_settings();
-  s.cold_share = 0.26;
-  s.cold_time = 17 * kS;
-  s.cold_multiple = 2.5;
-  s.cold_window = kS;
+  s.slow_start_min_fraction = 0.26;
+  s.slow_start_duration = 17 * kS;
+  s.slow_start_overload_factor = 2.5;
+  s.slow_start_overload_window = kS;
   Servants fleet(100, 60, s);
   const auto fine = [](const std::string&) { return Outcome::kOk; };
   int i = 1;
@@ -1304,9 +1306,9 @@
     fleet.round(i * 200 * kMs, fine);
   }
   const Micros started = i * 200 * kMs;
-  ServerListUpdate news;
-  news.kind = ServerListUpdate::Kind::kPartial;
-  news.entries = Driver::up({fleet.names.begin(), fleet.names.begin() + 36});
+  EndpointListUpdate news;
+  news.kind = EndpointListUpdate::Kind::kPartial;
+  news.entries = GatewayHarness::up({fleet.names.begin(), fleet.names.begin() + 36});
   for (auto& entry : news.entries) {
     entry.started_at = started;
   }
@@ -1348,7 +1350,7 @@
 }
 
 TEST(Attempts, AStalledServerIsLeftForAnotherBeforeTheAim) {
-  Driver d;
+  GatewayHarness d;
   for (int i = 0; i < 10; ++i) {
     auto usual = all<SendAttempt>(d.arrive(i * kS, label("usual", i)));
     d.end(i * kS, usual.at(0), Outcome::kOk, 0, 20 * kMs);
@@ -1363,7 +1365,7 @@
 
 TEST(Attempts, OneQuickAnswerIsNoMeasureOfTheOthers) {
   // Guards against a gateway that has met one light request, and takes back whatever takes longer.
-  Driver d;
+  GatewayHarness d;
   auto first = all<SendAttempt>(d.arrive(0, "first"));
   d.end(0, first.at(0), Outcome::kOk, 0, 2 * kMs);
   EXPECT_EQ(all<SendAttempt>(d.arrive(kMs, "r")).size(), 1U);
@@ -1372,7 +1374,7 @@
 
 // One request, and all its attempts one after the other, answered with what `how` says of their
 // servers.
-void serve(Driver& d, int i, const std::function<Outcome(const std::string&)>& how) {
+void serve(GatewayHarness& d, int i, const std::function<Outcome(const std::string&)>& how) {
   const Micros now = i * 20 * kMs;
   auto sends = all<SendAttempt>(d.arrive(now, label("r", i)));
   for (int attempt = 0; !sends.empty(); ++attempt) {
@@ -1383,14 +1385,14 @@
 
 Settings unbounded_settings() {
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1e6;
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1e6;
   return s;
 }
 
-TEST(Servers, OneThatFailsTwiceWhereFailuresAreRareIsLeftAlone) {
+TEST(LoadBalancer, OneThatFailsTwiceWhereFailuresAreRareIsLeftAlone) {
   // Guards against a bad server that each of a hundred gateways must find out by a third failure in
   // a row.
-  Driver d(unbounded_settings(), Driver::up({"a", "b", "c", "d", "e", "f"}));
+  GatewayHarness d(unbounded_settings(), GatewayHarness::up({"a", "b", "c", "d", "e", "f"}));
   int to_bad = 0;
   std::string sick;
   for (int i = 0; i < 240; ++i) {
@@ -1406,9 +1408,10 @@
   EXPECT_EQ(to_bad, 2);
 }
 
-TEST(Servers, ChanceFailuresAndAFaultOfAllEmptyNoList) {
+TEST(LoadBalancer, ChanceFailuresAndAFaultOfAllEmptyNoList) {
   // One attempt in twenty fails at any server, later all do at all of them.
-  Driver d(unbounded_settings(), Driver::up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
+  GatewayHarness d(unbounded_settings(),
+                   GatewayHarness::up({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
   std::set<std::string> met[2];
   int sent[2] = {};
   int n = 0;
@@ -1427,8 +1430,8 @@
   EXPECT_GE(sent[1], 100);
 }
 
-TEST(Servers, FailuresInARowEject) {
-  Driver d;
+TEST(LoadBalancer, FailuresInARowEject) {
+  GatewayHarness d;
   std::set<std::string> seen;
   for (int i = 0; i < 30; ++i) {
     auto out = d.arrive(i * 20 * kMs, label("r", i));
@@ -1447,11 +1450,11 @@
   EXPECT_FALSE(seen.count("a"));
 }
 
-TEST(Servers, ErrorsAnsweredAtOnceDrawNoCrowd) {
+TEST(LoadBalancer, ErrorsAnsweredAtOnceDrawNoCrowd) {
   // Guards against a sick server that looks like the fastest of all, though now and then it serves.
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1000;
+  GatewayHarness d(s);
   std::map<std::string, int> seen;
   for (int i = 0; i < 400; ++i) {
     const Micros now = i * 40 * kMs;
@@ -1473,8 +1476,8 @@
 
 TEST(Overload, ServersAreNotHandedMoreThanTheyCanHold) {
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1000;
+  GatewayHarness d(s);
   std::size_t sent = 0;
   for (int i = 0; i < 200; ++i) {
     sent += all<SendAttempt>(d.arrive(kMs, label("r", i))).size();
@@ -1482,17 +1485,17 @@
   EXPECT_LE(sent, 8U);  // five a server over two gateways
   // Those behind more than will go out in their time are told at once, the others after they
   // waited.
-  const std::size_t at_once = all<Refuse>(d.log()).size();
+  const std::size_t at_once = all<Reject>(d.log()).size();
   EXPECT_GE(at_once, 150U);
   EXPECT_LT(at_once + sent, 200U);
   d.run(2 * kS);
-  EXPECT_EQ(all<Refuse>(d.log()).size() + sent, 200U);
+  EXPECT_EQ(all<Reject>(d.log()).size() + sent, 200U);
 }
 
-TEST(Servers, AFullAnswerForOnePlanIsTriedElsewhereAndCutsNoLimit) {
+TEST(LoadBalancer, AFullAnswerForOnePlanIsTriedElsewhereAndCutsNoLimit) {
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1000;
-  Driver d(s);
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1000;
+  GatewayHarness d(s);
   int served = 0;
   for (int i = 0; i < 100; ++i) {
     auto out = d.arrive(i * 50 * kMs, label("r", i));
@@ -1503,30 +1506,30 @@
       }
       const bool full = sent[0].server != "c";  // a and b turn the plan away
       served += !full;
-      out = d.end(i * 50 * kMs + 1 + n, sent[0], full ? Outcome::kFull : Outcome::kOk, n);
+      out = d.end(i * 50 * kMs + 1 + n, sent[0], full ? Outcome::kOverloaded : Outcome::kOk, n);
     }
   }
   EXPECT_EQ(served, 100);
 }
 
-TEST(Servers, ManyGatewaysThatSawTheSameReportDoNotAllPickOneServer) {
+TEST(LoadBalancer, ManyGatewaysThatSawTheSameReportDoNotAllPickOneServer) {
   Settings s = basic_settings();
-  s.gateways = 300;
-  s.plans[0].rate = s.plans[0].burst = 1e6;
+  s.gateway_count = 300;
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1e6;
   std::map<std::string, int> picked;
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Driver d(s, Driver::up({"a", "b", "c", "d"}), seed);
+    GatewayHarness d(s, GatewayHarness::up({"a", "b", "c", "d"}), seed);
     std::set<std::string> told;
     for (int i = 0; i < 100 && told.size() < 4; ++i) {
       auto sent = all<SendAttempt>(d.arrive(kS + i * kMs, label("r", i)));
       if (sent.empty()) {
         continue;
       }
-      AttemptEnded e;
+      AttemptCompleted e;
       e.id = sent[0].id;
       e.server = sent[0].server;
       e.duration = kMs;
-      e.finished = true;
+      e.request_answered = true;
       e.load.in_flight = e.server == "a" ? 1 : 4;  // a looks idle to everybody
       told.insert(e.server);
       d.step(kS + i * kMs, {e});
@@ -1539,10 +1542,10 @@
   EXPECT_LT(picked["a"], 45);
 }
 
-TEST(Servers, OnesOwnPauseIsNotReadAsSlowServers) {
+TEST(LoadBalancer, OnesOwnPauseIsNotReadAsSlowServers) {
   Settings s = basic_settings();
-  s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver d(s);
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1e6;
+  GatewayHarness d(s);
   Micros now = kS;
   std::size_t sent = 0;
   for (int k = 0; k < 200; ++k, now += 20 * kMs) {
@@ -1560,7 +1563,7 @@
 }
 
 TEST(Overload, WhatWasNeverSentOnTakesNothingOfTheQuota) {
-  Driver d(basic_settings(), Driver::up({"a"}));
+  GatewayHarness d(basic_settings(), GatewayHarness::up({"a"}));
   std::vector<SendAttempt> sent;
   for (int i = 0; i < 12; ++i) {
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) {
@@ -1568,7 +1571,7 @@
     }
   }
   d.run(400 * kMs);
-  const std::size_t refused = all<Refuse>(d.log()).size();  // all of the server's room is taken
+  const std::size_t refused = all<Reject>(d.log()).size();  // all of the server's room is taken
   ASSERT_EQ(sent.size() + refused, 12U);
   ASSERT_GT(refused, 6U);
   for (const SendAttempt& a : sent) {
@@ -1581,8 +1584,8 @@
   Settings s = basic_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].name = "dear";
-  s.classes[1].worth = 10;
-  Driver d(s, Driver::up({"a"}));
+  s.classes[1].priority_weight = 10;
+  GatewayHarness d(s, GatewayHarness::up({"a"}));
   std::vector<SendAttempt> sent;
   for (int i = 0; i < 6; ++i) {
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) {
@@ -1590,26 +1593,26 @@
     }
   }
   ASSERT_LT(sent.size(), 6U);
-  RequestArrived dear = Driver::request("dear", 2 * kMs);
+  RequestArrived dear = GatewayHarness::request("dear", 2 * kMs);
   dear.request_class = "dear";
   ASSERT_TRUE(all<SendAttempt>(d.step(2 * kMs, {dear})).empty());
   std::vector<Event> events;
   for (const SendAttempt& a : sent) {
-    AttemptEnded e;
+    AttemptCompleted e;
     e.id = a.id;
     e.server = a.server;
     e.duration = 80 * kMs;
-    e.finished = true;
+    e.request_answered = true;
     events.emplace_back(e);
   }
-  events.emplace_back(Driver::request("cheap", 3 * kMs));
+  events.emplace_back(GatewayHarness::request("cheap", 3 * kMs));
   const auto next = all<SendAttempt>(d.step(3 * kMs, events));
   ASSERT_FALSE(next.empty());
   EXPECT_EQ(next[0].id, "dear");
 }
 
 TEST(Overload, AfterABurstAnEvenPartStillGoesOut) {
-  Driver d;
+  GatewayHarness d;
   std::vector<SendAttempt> sent;
   for (int i = 0; i < 8; ++i) {
     for (const SendAttempt& a : all<SendAttempt>(d.arrive(kMs, label("r", i)))) {
@@ -1625,22 +1628,22 @@
 
 TEST(Overload, AGatewayWithMoreGatewaysThanServersMaySendMoreThanOneAtATime) {
   Settings s = basic_settings();
-  s.gateways = 300;
-  s.plans[0].rate = s.plans[0].burst = 1e6;
-  Driver d(s);
+  s.gateway_count = 300;
+  s.plans[0].quota_rate = s.plans[0].quota_burst = 1e6;
+  GatewayHarness d(s);
   EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "one")).size(), 1U);
   EXPECT_EQ(all<SendAttempt>(d.arrive(kS, "two")).size(), 1U);
 }
 
 TEST(Module, BadInputNeitherCrashesNorLosesARequest) {
   Settings s = counted_settings();
-  s.gateways = 0;
-  Driver d(s);
+  s.gateway_count = 0;
+  GatewayHarness d(s);
   std::vector<Event> events;
   for (int i = 0; i < 1000; ++i) {
-    RequestArrived r = Driver::request(label("r", i), kS);
-    r.set_size = i % 3 ? 1000 : -5;
-    r.first_gateway = i % 2 ? -7 : 900;
+    RequestArrived r = GatewayHarness::request(label("r", i), kS);
+    r.gateway_subset_size = i % 3 ? 1000 : -5;
+    r.gateway_subset_start = i % 2 ? -7 : 900;
     r.units = i % 5 ? 1 : 0;
     r.customer = label("c", i % 50);
     events.emplace_back(r);
@@ -1648,19 +1651,19 @@
   auto out = d.step(kS, events);
   auto sent = all<SendAttempt>(out);
   ASSERT_FALSE(sent.empty());
-  AttemptEnded e;
+  AttemptCompleted e;
   e.id = sent[0].id;
   e.server = sent[0].server;
-  e.finished = true;
+  e.request_answered = true;
   e.duration = -5;
   e.load.in_flight = 1e30;
   e.load.queued = -3;
-  auto more = d.step(kS + kMs, {e, CounterAnswered{}, ProbeEnded{}, ServerListUpdate{}});
+  auto more = d.step(kS + kMs, {e, CounterReply{}, HealthCheckCompleted{}, EndpointListUpdate{}});
   out.insert(out.end(), more.begin(), more.end());
   auto rest = d.run(4 * kS);
   out.insert(out.end(), rest.begin(), rest.end());
   std::map<std::string, int> answers;
-  for (const Refuse& r : all<Refuse>(out)) {
+  for (const Reject& r : all<Reject>(out)) {
     ++answers[r.id];
   }
   for (const Fail& f : all<Fail>(out)) {
@@ -1679,16 +1682,16 @@
 }
 
 TEST(Module, UnknownPlanAndClassAreStillServed) {
-  Driver d;
-  RequestArrived r = Driver::request("x", 0);
+  GatewayHarness d;
+  RequestArrived r = GatewayHarness::request("x", 0);
   r.plan = "no such plan";
   r.request_class = "no such class";
-  r.set_size = 0;
+  r.gateway_subset_size = 0;
   EXPECT_EQ(all<SendAttempt>(d.step(0, {r})).size(), 1U);
 }
 
 TEST(Module, TheLogTellsWhyRequestsWereRefused) {
-  Driver d;
+  GatewayHarness d;
   d.burst(kMs, 25);  // five past the slice
   d.run(12 * kS);
   std::string told;
@@ -1704,7 +1707,7 @@
 
 TEST(Module, SameEventsSameActions) {
   auto play = [] {
-    Driver d;
+    GatewayHarness d;
     for (int i = 0; i < 50; ++i) {
       d.burst(i * 30 * kMs, 3);
     }
--- a/tests/scale/world_test.cpp
+++ b/tests/scale/world_test.cpp
@@ -57,9 +57,9 @@
     agent.emplace(io, options);
   }
   void watch(std::int64_t after) {
-    clients.push_back(
-        std::make_unique<net::Discovery>(io, timers, clock, agent->address(), after,
-                                         [this](const net::MemberList& l) { told.push_back(l); }));
+    clients.push_back(std::make_unique<net::DiscoveryClient>(
+        io, timers, clock, agent->address(), after,
+        [this](const net::EndpointList& l) { told.push_back(l); }));
     clients.back()->start();
   }
   bool comes(std::size_t lists) {
@@ -69,8 +69,8 @@
   net::Clock clock;
   net::Timers timers{io, clock};
   std::optional<DiscoveryAgent> agent;
-  std::vector<std::unique_ptr<net::Discovery>> clients;  // their handlers hold on to them
-  std::vector<net::MemberList> told;
+  std::vector<std::unique_ptr<net::DiscoveryClient>> clients;  // their handlers hold on to them
+  std::vector<net::EndpointList> told;
 };
 
 TEST_F(AgentTest, TellsTheWholeListWhereItKnowsNoDifferenceAndThenChanges) {
@@ -89,9 +89,9 @@
   ASSERT_TRUE(comes(3));
   EXPECT_FALSE(told[1].complete);
   EXPECT_EQ(told[1].revision, 42);
-  EXPECT_EQ(told[1].members.at(0).entry.state, ServerState::kDraining);
+  EXPECT_EQ(told[1].members.at(0).entry.state, EndpointState::kDraining);
   EXPECT_EQ(told[2].members.size(), 2U);
-  EXPECT_EQ(told[2].members[0].entry.state, ServerState::kRemoved);
+  EXPECT_EQ(told[2].members[0].entry.state, EndpointState::kRemoved);
   EXPECT_EQ(agent->counts().changes, 2U);
   EXPECT_EQ(agent->counts().lists, 1U);
 }
@@ -106,7 +106,7 @@
   EXPECT_FALSE(told[0].complete);
   EXPECT_EQ(told[0].revision, 43);
   ASSERT_EQ(told[0].members.size(), 2U);  // each server once, as it is now
-  EXPECT_EQ(told[0].members[0].entry.state, ServerState::kRemoved);
+  EXPECT_EQ(told[0].members[0].entry.state, EndpointState::kRemoved);
   agent->change(
       {changed(servers[5], Phase::kDraining)});  // a fourth entry: the oldest difference is lost
   ASSERT_TRUE(comes(2));
@@ -129,7 +129,7 @@
   EXPECT_EQ(told[0].revision, 41);
   EXPECT_TRUE(told[0].complete);
   EXPECT_EQ(told[1].revision, 42);
-  EXPECT_EQ(told[1].members.at(0).entry.state, ServerState::kDraining);
+  EXPECT_EQ(told[1].members.at(0).entry.state, EndpointState::kDraining);
 }
 
 TEST_F(AgentTest, SilentItSaysNothingAndThenWhatWasMissed) {
@@ -200,23 +200,23 @@
  protected:
   void make(CounterServer::Options options) {
     server.emplace(io, options);
-    client =
-        std::make_shared<net::Counter>(io, timers, clock, server->address(), 5'000'000, 250'000,
-                                       [this](CounterAnswered a) { answers.push_back(a); });
+    client = std::make_shared<net::CounterClient>(io, timers, clock, server->address(), 5'000'000,
+                                                  250'000,
+                                                  [this](CounterReply a) { answers.push_back(a); });
     client->start();
   }
-  CounterAnswered add(std::int64_t name, double amount, Micros life = 4'000'000) {
+  CounterReply add(std::int64_t name, double amount, Micros life = 4'000'000) {
     const auto want = answers.size() + 1;
     client->add({name, amount, life});
     EXPECT_TRUE(until(io, [&] { return answers.size() >= want; }));
-    return answers.empty() ? CounterAnswered{} : answers.back();
+    return answers.empty() ? CounterReply{} : answers.back();
   }
   asio::io_context io;
   net::Clock clock;
   net::Timers timers{io, clock};
   std::optional<CounterServer> server;
-  std::shared_ptr<net::Counter> client;
-  std::vector<CounterAnswered> answers;
+  std::shared_ptr<net::CounterClient> client;
+  std::vector<CounterReply> answers;
 };
 
 TEST_F(CounterServerTest, AddsByNameAndForgets) {
@@ -233,16 +233,16 @@
 
 TEST_F(CounterServerTest, TurnsAwayPastItsRateAndUntilItBegins) {
   make({.calls_per_s = 100, .line = 50'000, .begun = false});
-  EXPECT_EQ(add(1, 1).outcome, CountOutcome::kNotAdded);
+  EXPECT_EQ(add(1, 1).outcome, CounterOutcome::kNotAdded);
   server->begin();
-  EXPECT_EQ(add(1, 1).outcome, CountOutcome::kOk);
+  EXPECT_EQ(add(1, 1).outcome, CounterOutcome::kOk);
   answers.clear();
   for (int i = 0; i < 40; ++i) {
     client->add({1, 1, 4'000'000});
   }
   ASSERT_TRUE(until(io, [&] { return answers.size() == 40; }));
   const auto ok = std::count_if(answers.begin(), answers.end(),
-                                [](const auto& a) { return a.outcome == CountOutcome::kOk; });
+                                [](const auto& a) { return a.outcome == CounterOutcome::kOk; });
   EXPECT_GE(ok, 5);  // its line
   EXPECT_LT(ok, 40);
   EXPECT_EQ(server->counts().turned_away, 1U + 40U - std::uint64_t(ok));
--- a/tests/simulator/wire_codec_test.cpp
+++ b/tests/simulator/wire_codec_test.cpp
@@ -28,14 +28,14 @@
     "Limits":{"MaxAttempts":4,"MayCancel":true},"Extra":{"SharedCounter":true,"CounterTimeoutUs":80000},
     "Obligations":{"ColdShare":0.2,"TipMultiple":4.0,"TipAfterUs":3000000}})"));
   EXPECT_EQ(s.zone, "z");
-  EXPECT_EQ(s.gateways, 3);
-  EXPECT_EQ(s.classes.at(0).repeat, Repeat::kKeyed);
+  EXPECT_EQ(s.gateway_count, 3);
+  EXPECT_EQ(s.classes.at(0).idempotency, Idempotency::kIdempotencyKey);
   EXPECT_EQ(s.classes[0].dedup_scope, DedupScope::kZone);
   EXPECT_EQ(s.classes[0].dedup_window, 7);
-  EXPECT_DOUBLE_EQ(s.plans.at(0).rate, 4.2);
-  EXPECT_EQ(s.plans[0].max_open, 2);
-  EXPECT_TRUE(s.has_counter && s.may_cancel);
-  EXPECT_EQ(s.cold_window, 3000000);
+  EXPECT_DOUBLE_EQ(s.plans.at(0).quota_rate, 4.2);
+  EXPECT_EQ(s.plans[0].max_concurrent_attempts, 2);
+  EXPECT_TRUE(s.has_counter && s.cancellation_allowed);
+  EXPECT_EQ(s.slow_start_overload_window, 3000000);
 }
 
 TEST(Codec, EventsAreRead) {
@@ -44,10 +44,10 @@
           R"({"what":"Response","Id":"t/a","Billed":null,"DurationUs":18500,"Over":true,"Usage":86,
       "Server":"s","Go":1,"Disposition":"RST","Feedback":{"active":7,"cpu":0.62,"odd":1},"more":0})"),
       {});
-  const auto& a = std::get<AttemptEnded>(*e);
+  const auto& a = std::get<AttemptCompleted>(*e);
   EXPECT_EQ(a.attempt, 1);
   EXPECT_EQ(a.outcome, Outcome::kReset);
-  EXPECT_EQ(a.meter, 86);
+  EXPECT_EQ(a.quota_usage, 86);
   EXPECT_DOUBLE_EQ(a.load.in_flight, 7);
   EXPECT_LT(a.load.queued, 0);
   EXPECT_FALSE(
@@ -55,7 +55,7 @@
 }
 
 TEST(Codec, ActionsAreWritten) {
-  EXPECT_EQ(write_action(Refuse{"t/a", 0}), Json::parse(R"({"what":"Reject","Id":"t/a"})"));
+  EXPECT_EQ(write_action(Reject{"t/a", 0}), Json::parse(R"({"what":"Reject","Id":"t/a"})"));
   EXPECT_EQ(write_action(SendAttempt{"t/a", "s", 5}),
             Json::parse(R"({"what":"Send","Id":"t/a","Server":"s","TryForUs":5})"));
   EXPECT_EQ(write_action(AddToCounter{9, 4, 3}),
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -319,32 +319,32 @@
     config.seed = 7;
     Settings& s = config.settings;
     s.zone = "a";
-    s.gateways = 3;
+    s.gateway_count = 3;
     s.max_attempts = 4;
-    s.may_cancel = s.may_advise = true;
+    s.cancellation_allowed = s.retry_after_allowed = true;
     s.max_retry_after = 2'000'000;
     s.drain_grace = 500'000;
     ClassSettings read;
     ClassSettings intro;
     read.name = "profile-read";
-    read.repeat = Repeat::kSafe;
+    read.idempotency = Idempotency::kIdempotent;
     intro.name = "intro-request";
-    intro.repeat = Repeat::kKeyed;
-    intro.aim = 2'000'000;
-    intro.late_worth = 0.2;
+    intro.idempotency = Idempotency::kIdempotencyKey;
+    intro.latency_objective = 2'000'000;
+    intro.late_value_fraction = 0.2;
     intro.dedup_window = 8'000'000;
     s.classes = {read, intro};
     PlanSettings plan;
     plan.name = "plan-group";
-    plan.rate = 1000;
-    plan.burst = 1000;
+    plan.quota_rate = 1000;
+    plan.quota_burst = 1000;
     s.plans = {plan};
     config.known.complete = true;
     config.known.revision = 41;
   }
   void know(const Member& m) { config.known.members.push_back(m); }
   // Returns once the list that it knows is in force, unless its agent is mute.
-  Driver& start() {
+  GatewayServer& start() {
     driver.emplace(io, config);
     if (!config.known.members.empty() && !discovery.mute) {
       EXPECT_TRUE(
@@ -358,7 +358,7 @@
   asio::io_context io;
   FakeDiscovery discovery;
   Config config;
-  std::optional<Driver> driver;
+  std::optional<GatewayServer> driver;
 };
 
 }  // namespace quota_gateway::net::testing
