--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -6,7 +6,7 @@
 #include <tuple>
 #include <utility>
 
-#include "util/numbers.hpp"
+#include "util/hash.hpp"
 
 namespace quota_gateway::net {
 namespace {
--- a/src/policy/endpoints/endpoint_list.hpp
+++ b/src/policy/endpoints/endpoint_list.hpp
@@ -6,7 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "util/numbers.hpp"
+#include "quota_gateway/gateway.hpp"
+#include "util/hash.hpp"
 #include "util/order_statistic_ring.hpp"
 #include "util/string_interner.hpp"
 
--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -1,12 +1,18 @@
 // Which servers: our part of them, their health and warmth, and how much may be out.
 #pragma once
 
+#include <algorithm>
+#include <cmath>
 #include <deque>
 #include <limits>
 
 #include "policy/endpoints/endpoint_list.hpp"
 #include "policy/endpoints/outcome_counts.hpp"
-#include "policy/quota/quota_allocator.hpp"
+#include "policy/time_units.hpp"
+#include "util/decaying_mean.hpp"
+#include "util/random.hpp"
+#include "util/sliding_window_sum.hpp"
+#include "util/string_join.hpp"
 #include "util/weighted_sample.hpp"
 
 namespace quota_gateway::policy {
@@ -46,9 +52,10 @@
 constexpr double kEjectOdds = 4;           // log; two failures where they are rare
 constexpr double kMaxEjected =
     0.34;  // of the fleet; past that the fault is likely ours or everyone's
-constexpr double kLastResort = 1e6;      // cost of an ejected server, when too many are
-constexpr Micros kEjectFor = 3'000'000;  // us; then one request at a time until an answer
-constexpr double kColdSafety = 0.55;     // of our part of a cold server's budget
+constexpr double kLastResort = 1e6;          // cost of an ejected server, when too many are
+constexpr Micros kEjectFor = 3'000'000;      // us; then one request at a time until an answer
+constexpr Micros kUnusedFor = 64 * kPeriod;  // us; the least until an unused server is forgotten
+constexpr double kColdSafety = 0.55;         // of our part of a cold server's budget
 
 struct EndpointHealth {
   bool usable = false, ejected = false;
@@ -191,7 +198,7 @@
     const double budget = kColdSafety * settings_.slow_start_overload_factor * warm * peer_rate_ *
                           weight(s) * window / kSecond / processes_;
     const double span = window * std::clamp(work / std::max(budget, 1e-9), 1.0, sharers);
-    const double spent = s.cold_sends.within(now, span);
+    const double spent = s.cold_sends.sum_within(now, span);
     return s.cold_sends.empty() || spent + work <= budget;
   }
 
@@ -362,7 +369,8 @@
     if (!cold_covers(now, s, work)) {
       return;
     }
-    const double others = s.others > 0 ? s.others * fade(now - s.report_at, kReportMemory) : 0;
+    const double others =
+        s.others > 0 ? s.others * decay_factor(now - s.report_at, kReportMemory) : 0;
     // Danger: drawn by their warmth and compared by it too, cold servers lay idle beside full ones.
     double cost = (s.out + others + 1) / speed * root;
     if (s.elsewhere) {
@@ -448,7 +456,7 @@
   int answers_ = 0, out_ = 0, processes_ = 1;
   OutcomeCounts ends_;
   double room_ = 1;  // attempt-seconds
-  Micros room_at_ = 0, cut_at_ = 0, forget_after_ = kKnownFor;
+  Micros room_at_ = 0, cut_at_ = 0, forget_after_ = kUnusedFor;
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/endpoints/outcome_counts.hpp
+++ b/src/policy/endpoints/outcome_counts.hpp
@@ -3,7 +3,8 @@
 
 #include <array>
 
-#include "util/numbers.hpp"
+#include "quota_gateway/gateway.hpp"
+#include "util/string_join.hpp"
 
 namespace quota_gateway {
 
--- a/src/policy/quota/quota_allocator.hpp
+++ b/src/policy/quota/quota_allocator.hpp
@@ -12,12 +12,14 @@
 
 #include "policy/quota/shared_pool.hpp"
 #include "policy/rejection_stats.hpp"
-#include "util/numbers.hpp"
+#include "policy/time_units.hpp"
+#include "util/decaying_mean.hpp"
+#include "util/hash.hpp"
+#include "util/random.hpp"
+#include "util/string_join.hpp"
 
 namespace quota_gateway::policy {
 
-constexpr double kSecond = 1e6;        // microseconds
-constexpr Micros kPeriod = 1'000'000;  // us; the design's "about a second" between re-splits
 constexpr Micros kUrgentPeriod = kPeriod / 8;  // us; the least for a customer who spends fast
 constexpr double kUrgent = 0.1;    // of the burst, asked here since the last call, is fast
 constexpr double kMaxHorizon = 5;  // s; longest smoothing of others' demand, even for a deep burst
@@ -435,7 +437,7 @@
   // number, tells of its connection and not of the line at the counter: the pace stays, until
   // kDownAfter are lost in a row.
   void pace(Micros now, const CounterReply& a) {
-    crowd_ *= fade(now - std::exchange(crowd_at_, now), kCrowdMemory);
+    crowd_ *= decay_factor(now - std::exchange(crowd_at_, now), kCrowdMemory);
     const bool ok = a.outcome == CounterOutcome::kOk;
     const bool unknown = a.outcome == CounterOutcome::kUnknown;
     const bool back = ok && silent();
--- a/src/policy/quota/shared_pool.hpp
+++ b/src/policy/quota/shared_pool.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "quota_gateway/gateway.hpp"
-#include "util/numbers.hpp"
+#include "util/hash.hpp"
 
 namespace quota_gateway {
 
--- a/src/policy/rejection_stats.hpp
+++ b/src/policy/rejection_stats.hpp
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "quota_gateway/gateway.hpp"
-#include "util/numbers.hpp"
+#include "util/string_join.hpp"
 
 namespace quota_gateway {
 
--- /dev/null
+++ b/src/util/decaying_mean.cpp
@@ -0,0 +1,26 @@
+#include "util/decaying_mean.hpp"
+
+#include <cmath>
+
+namespace quota_gateway {
+
+double decay_factor(Micros age, Micros time_constant) {
+  return std::exp(-static_cast<double>(age) / static_cast<double>(time_constant));
+}
+
+void DecayingMean::add(Micros now, Micros time_constant, double sample) {
+  const double kept = decay_factor(now - updated_at_, time_constant);
+  weighted_sum_ = weighted_sum_ * kept + sample;
+  weight_ = weight_ * kept + 1;
+  updated_at_ = now;
+}
+
+double DecayingMean::mean(Micros now, Micros time_constant, double prior_samples) const {
+  if (weight_ <= 0) {
+    return 1;
+  }
+  const double kept = decay_factor(now - updated_at_, time_constant);
+  return (weighted_sum_ * kept + prior_samples) / (weight_ * kept + prior_samples);
+}
+
+}  // namespace quota_gateway
--- a/src/util/string_interner.hpp
+++ b/src/util/string_interner.hpp
@@ -5,6 +5,7 @@
 #include <cstring>
 #include <deque>
 #include <memory>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <unordered_map>
@@ -50,6 +51,11 @@
     ++texts_[at->second].held;
     return at->second;
   }
+  // The number of a text that is held.
+  std::optional<std::uint32_t> find(const std::string& text) const {
+    const auto found = numbers_.find(text);
+    return found != numbers_.end() ? std::optional(found->second) : std::nullopt;
+  }
   void drop(std::uint32_t number) {
     if (--texts_[number].held > 0) {
       return;
--- /dev/null
+++ b/src/util/string_join.hpp
@@ -0,0 +1,16 @@
+// Text of values one after another, as a log line needs it.
+#pragma once
+
+#include <sstream>
+#include <string>
+
+namespace quota_gateway {
+
+// Each part as operator<< writes it, with nothing between.
+std::string join(const auto&... parts) {
+  std::ostringstream text;
+  (text << ... << parts);
+  return text.str();
+}
+
+}  // namespace quota_gateway
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -15,8 +15,9 @@
 #include <vector>
 
 #include "quota_gateway/gateway.hpp"
-#include "util/numbers.hpp"
+#include "util/hash.hpp"
 #include "util/order_statistic_ring.hpp"
+#include "util/random.hpp"
 #include "util/string_interner.hpp"
 
 namespace quota_gateway {
