--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -57,16 +57,16 @@
 constexpr Micros kUnusedFor = 64 * kPeriod;  // us; the least until an unused server is forgotten
 constexpr double kColdSafety = 0.55;         // of our part of a cold server's budget
 
-struct EndpointHealth {
+struct Endpoint {
   bool usable = false, ejected = false;
   bool on_trial = false;                              // ejected and not yet answered since
   bool counts_ejected = false, counts_trial = false;  // in the list's sums
   bool elsewhere = false;                             // in another zone
   int out = 0;                                        // our attempts there
-  int named = 0;                                      // attempts of open requests that point here
-  Micros owing_since = 0;  // an answer: when we last had one, or sent with nothing out
-  DecayingMean ratio;      // answers' times over their class's mean
-  double others = 0;       // attempts of other gateways there, as last reported
+  int open_references = 0;                            // attempts of open requests that point here
+  Micros last_progress_at = 0;  // an answer: when we last had one, or sent with nothing out
+  DecayingMean ratio;           // answers' times over their class's mean
+  double others = 0;            // attempts of other gateways there, as last reported
   Micros report_at = 0;
   double odds = 0;  // log; that it is bad, over what one would think of any
   Micros ejected_until = 0;
@@ -76,7 +76,7 @@
   std::uint64_t place = 0;      // in the order that all gateways see
   EndpointEntry entry;
 };
-using List = ServerList<EndpointHealth>;
+using List = ServerList<Endpoint>;
 
 // Fit servers that a part has.
 inline double part_size(const List& list, const Settings& settings) {
@@ -99,6 +99,21 @@
   return true;
 }
 
+// What a caller expects of an attempt.
+struct AttemptEstimate {
+  double work = 0;                // s of an endpoint's time
+  double mean_response_time = 0;  // us, of its class
+};
+
+// How an attempt ended.
+struct AttemptResult {
+  Outcome outcome = Outcome::kOk;
+  bool cancelled_as_stalled = false;  // by this gateway, since its endpoint made no progress
+  double relative_duration = 0;       // over what was expected of it
+  double objective_fraction = 0;      // its duration over the latency objective, scaled to its size
+  double mean_response_time = 0;      // us, of its class
+};
+
 class LoadBalancer {
  public:
   LoadBalancer(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {
@@ -112,7 +127,7 @@
     stale_ = true;
   }
 
-  void update(Micros now, const EndpointListUpdate& update) {
+  void update_endpoints(Micros now, const EndpointListUpdate& update) {
     list_.update(update, [&](const List::Change& c) {
       start_.moved(c.place, c.came);
       if (c.place - start_.place() <= part_end_ - start_.place()) {
@@ -138,9 +153,9 @@
   // hundred gateways would shake hands with every server, and meet it too seldom to learn that it
   // is sick. The stretches begin at even distances, neighbours' far apart, and go on until enough
   // of theirs is fit.
-  const std::vector<EndpointHealth*>& part(Micros now) {
+  const std::vector<Endpoint*>& subset(Micros now) {
     for (; !ejections_.empty() && ejections_.front().first <= now; ejections_.pop_front()) {
-      if (EndpointHealth& s = *ejections_.front().second;
+      if (Endpoint& s = *ejections_.front().second;
           s.ejected_until <= now && std::exchange(s.ejected, false)) {
         recount(s);
       }
@@ -154,11 +169,11 @@
     weights_ = 0;
     double fit = 0;
     bool cold = false;
-    list_.use(start_.place(), [&](EndpointHealth& s) {
+    list_.use(start_.place(), [&](Endpoint& s) {
       part_.push_back(&s);
       s.used_at = now;
       s.elsewhere = s.entry.zone != settings_.zone;
-      const double warm = warmth(now, s);
+      const double warm = warmup_fraction(now, s);
       cold = cold || warm < 1;
       if (!s.ejected) {
         weights_ += weight(s) * warm;
@@ -174,7 +189,7 @@
   }
 
   // The least share of its full capacity that the server can have by now.
-  double warmth(Micros now, const EndpointHealth& s) const {
+  double warmup_fraction(Micros now, const Endpoint& s) const {
     if (s.entry.started_at <= 0 || settings_.slow_start_duration <= 0) {
       return 1;
     }
@@ -186,8 +201,8 @@
 
   // Danger: a cold server sent too much falls over for good. We stay within our own part of what it
   // can bear, taking what we send a warm peer for our part of a warm server's load.
-  bool cold_covers(Micros now, EndpointHealth& s, double work) {
-    const double warm = warmth(now, s);
+  bool slow_start_admits(Micros now, Endpoint& s, double work) {
+    const double warm = warmup_fraction(now, s);
     if (warm >= 1) {
       return true;
     }
@@ -202,21 +217,23 @@
     return s.cold_sends.empty() || spent + work <= budget;
   }
 
-  double weight(const EndpointHealth& s) const { return s.entry.weight > 0 ? s.entry.weight : 1; }
+  double weight(const Endpoint& s) const { return s.entry.weight > 0 ? s.entry.weight : 1; }
 
   // How slow a server is against its peers, by its answers and by what it still owes.
-  double slowness(Micros now, const EndpointHealth& s, double mean) const {
+  double slowness(Micros now, const Endpoint& s, double mean) const {
     const double r = s.ratio.mean(now, kLatencyMemory, kPriorSamples);
     if (s.out == 0 || mean <= 0) {
       return r;
     }
-    return std::max(r, double(now - s.owing_since) / (kAgeDoubt * mean));
+    return std::max(r, double(now - s.last_progress_at) / (kAgeDoubt * mean));
   }
 
   // The server where an attempt should end soonest, or none with room; `mean` is an answer's time.
   template <typename Filter>
-  EndpointHealth* choose(Micros now, double work, double mean, Filter allowed) {
-    part(now);
+  Endpoint* pick(Micros now, const AttemptEstimate& attempt, Filter allowed) {
+    const double work = attempt.work;
+    const double mean = attempt.mean_response_time;
+    subset(now);
     if (!has_room(now)) {
       return nullptr;
     }
@@ -224,53 +241,59 @@
     // the slower ones lie idle. A few are drawn by speed, the fewer the less of the load is our
     // own; the best of those.
     draws_.clear();
-    const double most = kUneven * even() / weights_;  // attempts out at one server, by its speed
+    const double most =
+        kUneven * in_flight_limit() / weights_;  // attempts out at one server, by its speed
     const std::size_t n = part_.size();
     const std::size_t from = n > kWindow ? std::size_t(uniform(random_) * double(n)) : 0;
     for (std::size_t i = 0; i < n && (i < kWindow || draws_.empty()); ++i) {
-      if (EndpointHealth& s = *part_[from + i < n ? from + i : from + i - n]; allowed(s)) {
+      if (Endpoint& s = *part_[from + i < n ? from + i : from + i - n]; allowed(s)) {
         draw(now, s, work, mean, most);
       }
     }
     return draws_.best_of(std::size_t(kDraws + listed() / settings_.gateway_count));
   }
 
-  void split(int processes) { processes_ = processes; }
+  void set_process_count(int processes) { processes_ = processes; }
 
   int unavailable_endpoints() const { return list_.draining() + on_trial_; }
-  std::size_t used() const { return list_.used(); }
+  std::size_t tracked_endpoints() const { return list_.used(); }
 
   // May any that we use be sent to, now or when it has room?
   template <typename Filter>
-  bool any(Micros now, Filter allowed) {
-    const std::vector<EndpointHealth*>& ours = part(now);
+  bool any_available(Micros now, Filter allowed) {
+    const std::vector<Endpoint*>& ours = subset(now);
     return std::any_of(ours.begin(), ours.end(),
-                       [&](const EndpointHealth* s) { return !s->ejected && allowed(*s); });
+                       [&](const Endpoint* s) { return !s->ejected && allowed(*s); });
   }
 
-  void sent(Micros now, EndpointHealth& s, double work) {
+  void on_attempt_sent(Micros now, Endpoint& s, double work) {
     s.used_at = now;
-    ++s.named;
+    ++s.open_references;
     s.carried += work;
-    if (warmth(now, s) < 1) {
+    if (warmup_fraction(now, s) < 1) {
       s.cold_sends.add(now, work);
     }
   }
 
   // So many attempts more are with a server, from the last byte of their requests to their end.
-  void occupy(Micros now, EndpointHealth& s, int attempts) {
+  void add_in_flight(Micros now, Endpoint& s, int attempts) {
     settle(now);
     s.out += attempts;
     out_ += attempts;
     if (s.out == attempts) {
-      s.owing_since = now;
+      s.last_progress_at = now;
     }
   }
 
   // `ratio`: its time over its class's mean. Danger: a sick server that answers errors at once
   // looks fast.
-  bool ended(Micros now, EndpointHealth& s, Outcome o, double ratio, double over_aim, double mean,
-             bool blame, const LoadReport& load) {
+  bool on_attempt_complete(Micros now, Endpoint& s, const AttemptResult& result,
+                           const LoadReport& load) {
+    const Outcome o = result.outcome;
+    const bool blame = result.cancelled_as_stalled;
+    const double ratio = result.relative_duration;
+    const double over_aim = result.objective_fraction;
+    const double mean = result.mean_response_time;
     const bool answered = o == Outcome::kOk || o == Outcome::kError;
     const bool timed = o == Outcome::kOk || o == Outcome::kTimeout || blame;
     const bool failed = blame || (o != Outcome::kOk && o != Outcome::kOverloaded &&
@@ -283,7 +306,7 @@
       s.report_at = now;
     }
     if (answered) {
-      s.owing_since = now;
+      s.last_progress_at = now;
     }
     if (o == Outcome::kOk) {
       failing_ -= kFailingGain * failing_;
@@ -296,19 +319,19 @@
     ends_.add(o, blame);
     return failed && fails(now, s);
   }
-  bool cut(Micros now, const std::string& server) {
-    EndpointHealth* s = list_.find(server);
+  bool on_response_aborted(Micros now, const std::string& server) {
+    Endpoint* s = list_.find(server);
     return s && fails(now, *s);
   }
 
   // Once a period: what a warm peer of weight one was sent a second. Danger: open requests may name
   // old ones, and a cold one that comes back into our part has borne what it was sent.
-  void look(Micros now) {
+  void on_period(Micros now) {
     double work = 0;
     double weights = 0;
-    for (EndpointHealth* s : part(now)) {
+    for (Endpoint* s : subset(now)) {
       s->used_at = now;
-      if (warmth(now, *s) < 1 || s->ejected) {
+      if (warmup_fraction(now, *s) < 1 || s->ejected) {
         continue;
       }
       work += s->carried;
@@ -317,28 +340,29 @@
     if (weights > 0) {
       peer_rate_ += 0.3 * (work / weights / (kPeriod / kSecond) - peer_rate_);
     }
-    list_.forget_if([&](EndpointHealth& s) {
+    list_.forget_if([&](Endpoint& s) {
       s.carried = 0;
-      return s.named == 0 && now - s.used_at > forget_after_ &&
-             (s.cold_sends.empty() || warmth(now, s) >= 1);
+      return s.open_references == 0 && now - s.used_at > forget_after_ &&
+             (s.cold_sends.empty() || warmup_fraction(now, s) >= 1);
     });
   }
 
   // For the log: attempts out and allowed, answer times now and when idle over their aims, and
   // ends.
-  std::string state(Micros now) {
-    part(now);
-    return join("out ", out_, " of ", even(), ", answers ", norm_, " idle ", base_, ", ejected ",
-                ejected_, " of ", list_.size(), ", ", std::exchange(ends_, {}).text());
+  std::string describe_state(Micros now) {
+    subset(now);
+    return join("out ", out_, " of ", in_flight_limit(), ", answers ", norm_, " idle ", base_,
+                ", ejected ", ejected_, " of ", list_.size(), ", ",
+                std::exchange(ends_, {}).text());
   }
 
-  double even() const {
+  double in_flight_limit() const {
     return std::max(limit_, kLeastInFlight * std::max(listed(), 1) / settings_.gateway_count);
   }
 
-  double pressure(Micros now) {
+  double utilization(Micros now) {
     settle(now);
-    return 0.5 - 0.5 * room_ / even();
+    return 0.5 - 0.5 * room_ / in_flight_limit();
   }
 
  private:
@@ -346,7 +370,7 @@
 
   // After any change of what a server is held for: the sums are kept, and our part is looked at
   // anew.
-  void recount(EndpointHealth& s) {
+  void recount(Endpoint& s) {
     const bool ejected = s.usable && s.ejected;
     const bool trial = s.usable && s.on_trial;
     ejected_ += int(ejected) - int(std::exchange(s.counts_ejected, ejected));
@@ -354,19 +378,19 @@
     stale_ = true;
   }
 
-  void draw(Micros now, EndpointHealth& s, double work, double mean, double most) {
+  void draw(Micros now, Endpoint& s, double work, double mean, double most) {
     // Danger: a whole zone gone may be more than may be ejected; its servers then come last, not in
     // turn.
     const bool last_resort = ejected_ > kMaxEjected * double(list_.up());
     if ((s.ejected && !last_resort) || (s.on_trial && s.out > 0)) {
       return;
     }
-    const double root = std::sqrt(warmth(now, s));
+    const double root = std::sqrt(warmup_fraction(now, s));
     const double speed = weight(s) * root / slowness(now, s, mean);
     if (s.out > 0 && s.out >= std::round(most * speed)) {
       return;
     }
-    if (!cold_covers(now, s, work)) {
+    if (!slow_start_admits(now, s, work)) {
       return;
     }
     const double others =
@@ -382,7 +406,7 @@
 
   // Danger: who meets a server seldom waits long for failures in a row. Each counts by how rare
   // failures are; where all servers fail, it says next to nothing of one.
-  bool fails(Micros now, EndpointHealth& s) {
+  bool fails(Micros now, Endpoint& s) {
     failing_ = std::min(kBadFails, failing_ + kFailingGain * (1 - failing_));
     s.odds += std::log(kBadFails / std::max(kFailsLeast, failing_));
     if ((s.odds < kEjectOdds && !s.on_trial) || s.ejected_until > now) {
@@ -403,10 +427,12 @@
   // An even part may always be out.
   bool has_room(Micros now) {
     settle(now);
-    return out_ + 1 <= even() || (room_ > 0 && out_ < 1 + even() + kSpread * std::sqrt(even()));
+    return out_ + 1 <= in_flight_limit() ||
+           (room_ > 0 && out_ < 1 + in_flight_limit() + kSpread * std::sqrt(in_flight_limit()));
   }
   void settle(Micros now) {
-    room_ = std::clamp(room_ + (even() - out_) * double(now - room_at_) / kSecond, -even(), even());
+    room_ = std::clamp(room_ + (in_flight_limit() - out_) * double(now - room_at_) / kSecond,
+                       -in_flight_limit(), in_flight_limit());
     room_at_ = now;
   }
 
@@ -429,11 +455,11 @@
       return;  // danger: one server, or one plan there, is not the fleet
     }
     if (base_ <= 0 || norm_ <= kBusy * base_) {
-      if (timed && room_ < 0.5 * even()) {
-        limit_ = even() + kGrow;
+      if (timed && room_ < 0.5 * in_flight_limit()) {
+        limit_ = in_flight_limit() + kGrow;
       }
     } else if (double(now - cut_at_) > mean) {
-      limit_ = even() * kLimitCut;
+      limit_ = in_flight_limit() * kLimitCut;
       cut_at_ = now;
     }
   }
@@ -442,15 +468,15 @@
   std::uint64_t random_;
   List list_;
   RankCursor start_;
-  std::vector<EndpointHealth*> part_;
+  std::vector<Endpoint*> part_;
   std::uint64_t part_end_ = 0;  // place of its last one
   bool stale_ = true;
   double enough_ = 0;               // fit servers that `part_` was made with
   double weights_ = 0;              // of those there that are not ejected, by their warmth
   Micros warm_at_ = 0;              // when it is looked at anew because cold ones warm up
   int ejected_ = 0, on_trial_ = 0;  // of the listed ones
-  std::deque<std::pair<Micros, EndpointHealth*>> ejections_;  // by their end
-  WeightedSample<EndpointHealth> draws_;
+  std::deque<std::pair<Micros, Endpoint*>> ejections_;  // by their end
+  WeightedSample<Endpoint> draws_;
   double limit_ = 0, norm_ = 0, slow_norm_ = 0, base_ = 0, peer_rate_ = 0;
   double failing_ = kFailsLeast;  // part of all our attempts that fail; fading mean
   int answers_ = 0, out_ = 0, processes_ = 1;
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -28,7 +28,7 @@
 constexpr Micros kLogEvery = 5'000'000;  // us between log lines of one kind
 
 struct Attempt {
-  EndpointHealth* server = nullptr;
+  Endpoint* server = nullptr;
   Micros sent = 0;
   bool out = true, may_have_run = true;
   bool with_server = true;  // all of it; a long body that comes slowly takes no room there
@@ -104,7 +104,7 @@
     emit(LogLine{std::string(kind).append(": ").append(text)});
   }
 
-  void on(const EndpointListUpdate& e) { servers_.update(now_, e); }
+  void on(const EndpointListUpdate& e) { servers_.update_endpoints(now_, e); }
   void on(const StreamStarted& e) {
     if (Request* r = find(e.id)) {
       r->done = true;  // the attempt is the client's now
@@ -117,19 +117,19 @@
     }
     Attempt& a = r->attempts.at(std::size_t(e.attempt));
     if (a.out && !std::exchange(a.with_server, true)) {
-      servers_.occupy(now_, *a.server, 1);
+      servers_.add_in_flight(now_, *a.server, 1);
     }
   }
   void on(const HealthCheckCompleted&) {}
   void on(const ResponseAborted& e) {
-    if (servers_.cut(now_, e.server)) {
+    if (servers_.on_response_aborted(now_, e.server)) {
       log("server", e.server + " ejected: it fails");
     }
   }
   void on(const PeerProcessesChanged& e) {
     fill_ceilings();
     slices_.split(now_, 1 + e.peer_count);
-    servers_.split(1 + e.peer_count);
+    servers_.set_process_count(1 + e.peer_count);
   }
   void on(const SettingsChanged& e) {
     fill_ceilings();
@@ -211,7 +211,7 @@
   }
 
   void look() {
-    servers_.look(now_);
+    servers_.on_period(now_);
     slices_.look(now_, *out_);
     tell_why();
     next_look_ = std::max(next_look_ + kPeriod, now_);  // a late batch skips looks
@@ -226,7 +226,7 @@
     told_at_ = now_;
     const RejectionCounts r = std::exchange(refusals_, {});
     if (r.any()) {
-      log("refused", join(r.text(), slices_.state(now_), "; ", servers_.state(now_)));
+      log("refused", join(r.text(), slices_.state(now_), "; ", servers_.describe_state(now_)));
     }
   }
 
@@ -282,7 +282,7 @@
     slices_.advance(now_, c);
     // A plan that earns more beyond its quota than it costs is let through while servers have room.
     const bool excess =
-        plan.over_quota_value > plan.over_quota_cost && servers_.pressure(now_) < kRelaxed;
+        plan.over_quota_value > plan.over_quota_cost && servers_.utilization(now_) < kRelaxed;
     const auto spare = [this](int ahead) {
       return [this, ahead] { return slices_.spare_call(now_, ahead); };
     };
@@ -355,7 +355,7 @@
   }
 
   // Rule 2: where may this request still go?
-  bool may_go(const Request& r, const EndpointHealth& s) const {
+  bool may_go(const Request& r, const Endpoint& s) const {
     for (const Attempt& a : r.attempts) {
       if (a.server == &s) {
         return false;  // what failed there once may again
@@ -394,8 +394,8 @@
     }
     const bool again = !r.attempts.empty();
     const double work = r.expected / kSecond;
-    EndpointHealth* s = servers_.choose(now_, work, mean_of(*r.cls),
-                                        [&](const EndpointHealth& to) { return may_go(r, to); });
+    Endpoint* s = servers_.pick(now_, {work, mean_of(*r.cls)},
+                                [&](const Endpoint& to) { return may_go(r, to); });
     if (!s) {
       return false;
     }
@@ -406,11 +406,11 @@
       ceilings_.take(now_, *r.customer, r.units);
       retries_ = std::min(kRetryBurst, retries_ + kRetryShare);
     }
-    servers_.sent(now_, *s, work);
+    servers_.on_attempt_sent(now_, *s, work);
     r.attempts.push_back({s, now_});
     r.attempts.back().with_server = !r.body_pending;
     if (!r.body_pending) {
-      servers_.occupy(now_, *s, 1);
+      servers_.add_in_flight(now_, *s, 1);
     }
     ++r.out;
     ++r.customer->open;
@@ -437,7 +437,7 @@
     const bool repeatable = r.cls->idempotency == Idempotency::kIdempotent ||
                             r.cls->idempotency == Idempotency::kIdempotencyKey;
     if (repeatable && retries_ >= 1 && settings_.cancellation_allowed &&
-        a.server->owing_since <= a.sent) {
+        a.server->last_progress_at <= a.sent) {
       retries_ -= 1;
       a.blamed = true;
       emit(CancelAttempt{r.id, index});
@@ -472,10 +472,14 @@
                             double(std::max<Micros>(1, r.cls->latency_objective)) * mean /
                             r.expected;
     if (a.with_server) {
-      servers_.occupy(now_, *a.server, -1);
-    }
-    if (servers_.ended(now_, *a.server, e.outcome, double(e.duration) / r.expected, over_aim, mean,
-                       a.blamed, e.load)) {
+      servers_.add_in_flight(now_, *a.server, -1);
+    }
+    const AttemptResult result{.outcome = e.outcome,
+                               .cancelled_as_stalled = a.blamed,
+                               .relative_duration = double(e.duration) / r.expected,
+                               .objective_fraction = over_aim,
+                               .mean_response_time = mean};
+    if (servers_.on_attempt_complete(now_, *a.server, result, e.load)) {
       log("server", a.server->entry.server + " ejected: it fails");
     }
     if (settings_.units_settled_later && e.billed_units > 0 && !r.over) {
@@ -495,7 +499,7 @@
       // Danger: a keyed request that may have run has few servers to go to, which are soon all
       // taken.
       if (again && !send(r) &&
-          servers_.any(now_, [&](const EndpointHealth& to) { return may_go(r, to); })) {
+          servers_.any_available(now_, [&](const Endpoint& to) { return may_go(r, to); })) {
         hold(r);
       } else if (r.out == 0) {
         end(r);
@@ -544,7 +548,7 @@
       return;
     }
     for (const Attempt& a : r.attempts) {
-      --a.server->named;
+      --a.server->open_references;
     }
     requests_.erase(requests_.find(r.id));
   }
@@ -576,7 +580,7 @@
       if (!r.done && !send(r)) {
         // Danger: who stands behind more than will go out in its time would wait in vain: told so
         // at once.
-        if (double(now_) + ahead / servers_.even() < double(r.hold_until)) {
+        if (double(now_) + ahead / servers_.in_flight_limit() < double(r.hold_until)) {
           ahead += r.expected;
           r.held = true;
           keep.push_back(id);
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -552,7 +552,7 @@
     }
     const EndpointListUpdate whole{EndpointListUpdate::Kind::kComplete, entries(0, servers)};
     for (auto& m : modules) {
-      m->update(0, whole);
+      m->update_endpoints(0, whole);
     }
     for (int i = 0; i < 400; ++i) {
       EndpointEntry e = entry(int(mix(std::uint64_t(i)) % std::uint64_t(servers)));
@@ -566,9 +566,9 @@
       parts.change(update);
       const Stretches now = parts.stretches();
       for (std::size_t k = 0; k < modules.size(); ++k) {
-        modules[k]->update(i * kMs, update);
+        modules[k]->update_endpoints(i * kMs, update);
         std::vector<std::uint64_t> used;
-        for (const policy::EndpointHealth* s : modules[k]->part(i * kMs)) {
+        for (const policy::Endpoint* s : modules[k]->subset(i * kMs)) {
           used.push_back(s->place);
         }
         std::sort(used.begin(), used.end());
@@ -672,13 +672,13 @@
     Settings settings = settings_of(7'400);
     policy::LoadBalancer module(settings, 1);
     const EndpointListUpdate whole{EndpointListUpdate::Kind::kComplete, entries(0, servers)};
-    module.update(0, whole);
+    module.update_endpoints(0, whole);
     Gateway gateway(settings, 1);
     std::vector<Action> actions;
     gateway.handle(0, {whole}, actions);
     std::vector<EndpointEntry> gone;
     std::set<std::string> names;
-    for (const policy::EndpointHealth* s : module.part(0)) {
+    for (const policy::Endpoint* s : module.subset(0)) {
       gone.push_back(s->entry);
       gone.back().state = EndpointState::kDraining;
       names.insert(s->entry.server);
@@ -698,12 +698,12 @@
     }
     EXPECT_EQ(sent, 1) << servers;
     // And one that fails instead is made up for at once.
-    const std::size_t size = module.part(kMs).size();
-    const std::string failing = module.part(kMs).front()->entry.server;
-    while (!module.cut(kMs, failing)) {
+    const std::size_t size = module.subset(kMs).size();
+    const std::string failing = module.subset(kMs).front()->entry.server;
+    while (!module.on_response_aborted(kMs, failing)) {
       continue;
     }
-    EXPECT_EQ(module.part(kMs).size(), size + 1) << servers;
+    EXPECT_EQ(module.subset(kMs).size(), size + 1) << servers;
   }
 }
 
@@ -713,40 +713,40 @@
   settings.slow_start_overload_window =
       10 * kS;  // and sixty gateways share one: one request in 600 s
   policy::LoadBalancer module(settings, 1);
-  module.update(0, {EndpointListUpdate::Kind::kComplete, entries(0, 100)});
-  EndpointEntry cold = module.part(0).front()->entry;
+  module.update_endpoints(0, {EndpointListUpdate::Kind::kComplete, entries(0, 100)});
+  EndpointEntry cold = module.subset(0).front()->entry;
   cold.started_at = kS;
-  module.update(kS, changes({cold}));
-  policy::EndpointHealth* s = module.part(kS).front();
+  module.update_endpoints(kS, changes({cold}));
+  policy::Endpoint* s = module.subset(kS).front();
   ASSERT_EQ(s->entry.server, cold.server);
-  ASSERT_TRUE(module.cold_covers(kS, *s, 0.02));
-  module.sent(kS, *s, 0.02);
-  --s->named;
+  ASSERT_TRUE(module.slow_start_admits(kS, *s, 0.02));
+  module.on_attempt_sent(kS, *s, 0.02);
+  --s->open_references;
   settings.gateway_index += 300;
   module.settings_changed();
   for (int second = 2; second < 200; ++second) {
-    module.look(second * kS);
-    for (const policy::EndpointHealth* other : module.part(second * kS)) {
+    module.on_period(second * kS);
+    for (const policy::Endpoint* other : module.subset(second * kS)) {
       ASSERT_NE(other->entry.server, cold.server);
     }
   }
   settings.gateway_index -= 300;
   module.settings_changed();
-  s = module.part(200 * kS).front();
+  s = module.subset(200 * kS).front();
   ASSERT_EQ(s->entry.server, cold.server);
-  EXPECT_FALSE(module.cold_covers(200 * kS, *s, 0.02));
+  EXPECT_FALSE(module.slow_start_admits(200 * kS, *s, 0.02));
 }
 
 TEST(ServersRules, NoMoreIsKeptThanThePartsOfTheLastMinute) {
   Settings settings = settings_of(1'000);
   policy::LoadBalancer module(settings, 1);
-  module.update(0, {EndpointListUpdate::Kind::kComplete, entries(0, 10'000)});
+  module.update_endpoints(0, {EndpointListUpdate::Kind::kComplete, entries(0, 10'000)});
   for (int second = 1; second < 600; ++second) {
     ++settings.gateway_index;
     module.settings_changed();
-    module.look(second * kS);
-    EXPECT_LE(module.used(), 70U * 100);
-    ASSERT_LE(module.used(), module.part(second * kS).size() * 70);
+    module.on_period(second * kS);
+    EXPECT_LE(module.tracked_endpoints(), 70U * 100);
+    ASSERT_LE(module.tracked_endpoints(), module.subset(second * kS).size() * 70);
   }
 }
 
