--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -3,9 +3,14 @@
 #include "quota_gateway/gateway.hpp"
 
 #include <memory>
+#include <optional>
 
 #include "policy/endpoints/load_balancer.hpp"
+#include "policy/quota/demand_estimator.hpp"
+#include "policy/quota/quota_allocator.hpp"
+#include "policy/quota/quota_capacity.hpp"
 #include "policy/quota/rate_ceiling.hpp"
+#include "policy/quota/shared_pool.hpp"
 #include "policy/rejection_stats.hpp"
 
 namespace quota_gateway {
@@ -24,7 +29,9 @@
 constexpr double kHoldShare = 0.25;  // of the aim that a request may wait here for a server
 constexpr double kNeed =
     1.5;  // expected answer times that must be left when a held request goes out
-constexpr double kRelaxed = 0.25;        // of the room taken: below it there is room for excess
+constexpr double kRelaxed = 0.25;  // of the room taken: below it there is room for excess
+constexpr double kReserveAheadSeconds =
+    0.5;  // of the customer's demand, in one reservation of the ceiling's pool
 constexpr Micros kLogEvery = 5'000'000;  // us between log lines of one kind
 
 struct Attempt {
@@ -52,8 +59,8 @@
   Micros arrived = 0, hold_until = 0, give_up = 0;  // no answer after the last earns anything
   bool over = false;                                // beyond the quota as far as we know
   bool body_pending = false, done = false, held = false;
-  double* taken_from = nullptr;       // its units; null: they are not taken
-  bool waits = false, tried = false;  // for the counter; to draw on the quota
+  std::optional<BudgetSource> charged_to;  // its units; none: they are not charged
+  bool waits = false, tried = false;       // for the counter; to draw on the quota
   std::vector<Attempt> attempts;
 };
 
@@ -66,6 +73,7 @@
         seed_(seed),
         slices_(settings_, mix(seed)),
         ceilings_(settings_),
+        pools_(slices_.counter_limiter()),
         servers_(settings_, mix(seed + 1)) {
     settings_changed();
   }
@@ -128,19 +136,17 @@
   }
   void on(const PeerProcessesChanged& e) {
     fill_ceilings();
-    slices_.split(now_, 1 + e.peer_count);
+    slices_.set_process_count(now_, 1 + e.peer_count);
     servers_.set_process_count(1 + e.peer_count);
   }
   void on(const SettingsChanged& e) {
     fill_ceilings();
     settings_ = e.settings;
     settings_changed();
-    slices_.replan(now_);
+    slices_.on_settings_changed(now_);
     servers_.settings_changed();
   }
-  void fill_ceilings() {
-    slices_.each([this](CustomerState& c) { ceilings_.covers(now_, c, 0); });
-  }
+  void fill_ceilings() { slices_.refill_ceilings(now_, ceilings_); }
   // Customers and open requests hold plans and classes: plans change in place, a changed class is
   // another.
   void settings_changed() {
@@ -157,18 +163,19 @@
     }
   }
   void on(const CounterReply& e) {
-    slices_.pace(now_, e);
-    const auto d = pools_.answered(now_, e);
-    if (d.counts && d.pool.drawn == &CustomerState::of_quota) {
-      slices_.drew(now_, *d.owner, e.total,
-                   std::max(d.pool.since(now_, *d.owner), d.pool.length / 2));
+    slices_.counter_limiter().on_reply(now_, e);
+    const std::optional<PoolReply> reserved = pools_.on_reply(now_, e);
+    if (reserved && reserved->is_usable && reserved->pool.kind == PoolKind::kQuota) {
+      const Micros elapsed = reserved->pool.elapsed(now_, *reserved->customer);
+      record_pool_total(now_, *reserved->customer, e.total,
+                        std::max(elapsed, reserved->pool.window_length / 2));
     }
-    CustomerState* counted = d.owner ? nullptr : slices_.answered(now_, e);
-    if (d.owner) {
-      decide_all((d.owner->*d.pool.drawn).waiting);
+    CustomerState* counted = reserved ? nullptr : slices_.on_counter_reply(now_, e);
+    if (reserved) {
+      decide_all(reserved->customer->reservation(reserved->pool.kind).waiting);
     }
     if (counted) {
-      decide_all(counted->waiting);
+      decide_all(counted->total.waiting);
     }
     if (e.outcome != CounterOutcome::kOk) {
       log("counter", "no answer or refused; totals are held");
@@ -212,7 +219,7 @@
 
   void look() {
     servers_.on_period(now_);
-    slices_.look(now_, *out_);
+    slices_.on_period(now_, *out_);
     tell_why();
     next_look_ = std::max(next_look_ + kPeriod, now_);  // a late batch skips looks
     emit(SetTimer{next_look_, kLook});
@@ -226,7 +233,8 @@
     told_at_ = now_;
     const RejectionCounts r = std::exchange(refusals_, {});
     if (r.any()) {
-      log("refused", join(r.text(), slices_.state(now_), "; ", servers_.describe_state(now_)));
+      log("refused", join(r.text(), format_quota_stats(slices_.take_stats(now_)), "; ",
+                          servers_.describe_state(now_)));
     }
   }
 
@@ -235,10 +243,10 @@
     const auto known = classes_.find(e.request_class);
     const std::shared_ptr<Class> cls = known != classes_.end() ? known->second : unknown_class_;
     const PlanSettings* plan = &plans_[e.plan];  // one that nobody knows has no quota
-    CustomerState& c = slices_.find(now_, e, *plan);
+    CustomerState& c = slices_.customer(now_, e, *plan);
     cls->usual_units += (cls->usual_units > 0 ? kMeanGain : 1.0) * (e.units - cls->usual_units);
     const double quota_units = plan->quota_rate > 0 ? e.units : expected(*cls, e.units) / kSecond;
-    slices_.count(now_, c, quota_units);
+    record_demand(now_, c, quota_units);
     Request& r = requests_[e.id];
     r.id = e.id;
     r.cls = cls;
@@ -255,9 +263,9 @@
     // Danger: gateways that meet a customer seldom would never know a total in time. The first one
     // waits. A draw comes first. Danger: with the total read no call was left to draw on the
     // ceiling.
-    if (ceilings_.covers(now_, c, r.units) && slices_.call(now_, e.customer, c, *out_) &&
+    if (ceilings_.admits(now_, c, r.units) && slices_.report_demand(now_, c, *out_) &&
         may_wait(r)) {
-      wait(r, c.waiting);
+      wait(r, c.total.waiting);
     } else {
       decide(r);
     }
@@ -279,34 +287,33 @@
     r.waits = false;
     CustomerState& c = *r.customer;
     const PlanSettings& plan = *c.plan;
-    slices_.advance(now_, c);
+    advance_estimates(now_, c);
     // A plan that earns more beyond its quota than it costs is let through while servers have room.
     const bool excess =
         plan.over_quota_value > plan.over_quota_cost && servers_.utilization(now_) < kRelaxed;
-    const auto spare = [this](int ahead) {
-      return [this, ahead] { return slices_.spare_call(now_, ahead); };
-    };
     bool within = slices_.covers(c, r.quota_units);
-    double* from = nullptr;
-    if (slices_.thin(c)) {
+    std::optional<BudgetSource> from;
+    if (is_sparse(settings_, c)) {
       const auto pool = quota_pool(plan);
       const bool first = !std::exchange(r.tried, true) && !excess;
       if (pool.reserved(now_, c) >= r.units) {
-        from = &c.of_quota.reserved;
+        from = BudgetSource::kPoolReservation;
       }
-      const bool shut = !from && (pool.drained(now_, c) || (first && !slices_.may_draw(c)));
+      const bool shut = !from && (pool.exhausted(now_, c) || (first && !slices_.should_reserve(c)));
       if (!from && !shut && first && may_wait(r) &&
-          pools_.draw(now_, c, pool, r.units, spare(0), *out_)) {
-        return wait(r, c.of_quota.waiting);
+          pools_.reserve(now_, c, pool, r.units, 0, *out_)) {
+        return wait(r, c.quota_reservation.waiting);
       }
-      within = from || (!shut && slices_.passes_undrawn(c, r.units));
+      within = from || (!shut && slices_.covers_without_reservation(c, r.units));
     }
-    within = within && (plan.max_concurrent_attempts <= 0 || c.open < plan.max_concurrent_attempts);
-    const bool under_ceiling = ceilings_.covers(now_, c, r.units);
+    within = within && (plan.max_concurrent_attempts <= 0 ||
+                        c.attempts_in_progress < plan.max_concurrent_attempts);
+    const bool under_ceiling = ceilings_.admits(now_, c, r.units);
     if ((within || excess) && !under_ceiling && may_wait(r) && settings_.has_counter) {
-      const double ahead = std::max(r.units, std::min(c.own, c.rate) * kDrawAhead);
-      if (pools_.draw(now_, c, ceiling_pool(plan), ahead, spare(1), *out_)) {
-        return wait(r, c.of_ceiling.waiting);
+      const double ahead =
+          std::max(r.units, std::min(c.demand.own, c.quota_rate) * kReserveAheadSeconds);
+      if (pools_.reserve(now_, c, ceiling_pool(plan), ahead, 1, *out_)) {
+        return wait(r, c.ceiling_reservation.waiting);
       }
     }
     if (!under_ceiling || (!within && !excess)) {
@@ -314,21 +321,26 @@
         ++refusals_.sliced;
       }
       ++(under_ceiling ? refusals_.slice : refusals_.ceiling);
-      if (under_ceiling && c.read_at <= 0) {
+      if (under_ceiling && !c.total.trusted_at) {
         ++refusals_.blind;
       }
-      if (under_ceiling && c.read_at > 0 && c.own + c.others < c.rate) {
+      if (under_ceiling && c.total.trusted_at && c.demand.own + c.demand.others < c.quota_rate) {
         ++refusals_.within;
       }
       // Danger: with units left in the slice the advice would be to come at once, and be refused at
       // once.
-      const Micros room = under_ceiling ? 0 : ceilings_.room_in(now_, c, r.units);
+      const Micros room = under_ceiling ? 0 : ceilings_.time_until_available(now_, c, r.units);
       emit(Reject{r.id, slices_.retry_after(c, r.quota_units, r.cls->latency_objective, room)});
       return close(r);
     }
     r.over = !within;
     if (within) {
-      r.taken_from = slices_.take(c, r.quota_units, from);
+      if (from) {
+        slices_.charge_to(*from, c, r.quota_units);
+      } else {
+        from = slices_.charge(c, r.quota_units);
+      }
+      r.charged_to = from;
     }
     // Danger: room grows with time, and who comes first after that would take it from dearer ones
     // that wait.
@@ -400,10 +412,9 @@
       return false;
     }
     if (!again) {
-      if (!ceilings_.covers(now_, *r.customer, r.units)) {
+      if (!ceilings_.try_acquire(now_, *r.customer, r.units)) {
         return false;
       }
-      ceilings_.take(now_, *r.customer, r.units);
       retries_ = std::min(kRetryBurst, retries_ + kRetryShare);
     }
     servers_.on_attempt_sent(now_, *s, work);
@@ -413,7 +424,7 @@
       servers_.add_in_flight(now_, *s, 1);
     }
     ++r.out;
-    ++r.customer->open;
+    ++r.customer->attempts_in_progress;
     emit(SendAttempt{r.id, s->entry.server, r.give_up - now_});
     watch(r, int(r.attempts.size()) - 1, Micros(kDoubtAfter * r.expected));
     return true;
@@ -457,7 +468,7 @@
       return;
     }
     --r.out;
-    --r.customer->open;
+    --r.customer->attempts_in_progress;
     using O = Outcome;
     a.may_have_run = !(e.outcome == O::kOverloaded || e.outcome == O::kConnectFailed ||
                        e.outcome == O::kNotSent);
@@ -483,7 +494,7 @@
       log("server", a.server->entry.server + " ejected: it fails");
     }
     if (settings_.units_settled_later && e.billed_units > 0 && !r.over) {
-      slices_.take(*r.customer, e.billed_units - r.units);
+      slices_.charge(*r.customer, e.billed_units - r.units);
     }
     if (e.request_answered) {
       finish(r);
@@ -525,9 +536,9 @@
   void finish(Request& r) {
     r.done = true;
     // What was never sent on took nothing. Danger: units of all that waits in vain would be gone.
-    const auto from = std::exchange(r.taken_from, nullptr);
+    const auto from = std::exchange(r.charged_to, std::nullopt);
     if (from && r.attempts.empty()) {
-      slices_.give_back(*r.customer, from, r.quota_units);
+      slices_.refund(*from, *r.customer, r.quota_units);
     }
     if (!settings_.cancellation_allowed) {
       return;
@@ -602,7 +613,7 @@
   const std::uint64_t seed_;
   QuotaAllocator slices_;
   RateCeiling ceilings_;
-  PoolLedger<CustomerState> pools_;
+  PoolLedger pools_;
   LoadBalancer servers_;
   std::unordered_map<std::string, Request> requests_;  // looked up by id, never walked
   std::unordered_map<std::int64_t, std::pair<std::string, int>> timers_;
--- /dev/null
+++ b/src/policy/quota/quota_allocator.cpp
@@ -0,0 +1,226 @@
+#include "policy/quota/quota_allocator.hpp"
+
+#include <algorithm>
+
+#include "policy/quota/demand_estimator.hpp"
+#include "policy/quota/quota_capacity.hpp"
+#include "policy/time_units.hpp"
+#include "util/hash.hpp"
+#include "util/random.hpp"
+#include "util/string_join.hpp"
+
+namespace quota_gateway::policy {
+namespace {
+
+// The longest Retry-After, as a fraction of the latency objective: a retry then still ends in time.
+constexpr double kRetryAfterFraction = 0.33;
+
+// A customer without requests for longer is forgotten, in us. It is four times as long as the
+// counter uses one name for a customer (see counter_sync.cpp).
+constexpr Micros kForgetIdleAfter = 64 * kPeriod;
+
+// A total is recent for so long, in us.
+constexpr Micros kRecentTotal = 2 * kPeriod;
+
+constexpr double kRoundingUnits = 1e-9;  // sums of units may fall short by so much
+constexpr double kLeastFillRate = 1e-6;  // units a second; keeps divisions defined
+constexpr double kLeastDemand = 1e-9;    // units a second; keeps divisions defined
+
+// Units of the store that a request may spend now. Between two totals each gateway spends its own
+// allowance alone, or a spike would be admitted as often as there are gateways. But the last
+// request may go past it, since a small allowance holds none.
+double spendable_store(const CustomerState& customer) {
+  const LocalBudget& budget = customer.budget;
+  return budget.own_allowance > 0 ? budget.store : std::min(budget.store, 0.0);
+}
+
+// Units that must be there for a request of `units`.
+double needed_units(const CustomerState& customer, double units) {
+  return std::min(units, store_capacity(customer)) - kRoundingUnits;
+}
+
+bool can_forget(Micros now, const CustomerState& customer) {
+  return now - customer.last_request_at > kForgetIdleAfter && customer.attempts_in_progress == 0 &&
+         customer.total.calls_in_flight == 0 && !customer.ceiling_reservation.in_flight &&
+         !customer.quota_reservation.in_flight;
+}
+
+}  // namespace
+
+QuotaAllocator::QuotaAllocator(const Settings& settings, std::uint64_t seed)
+    : settings_(settings),
+      random_(seed),
+      counter_limiter_(settings),
+      counter_sync_(settings, counter_limiter_, random_) {}
+
+CustomerState& QuotaAllocator::customer(Micros now, const RequestArrived& request,
+                                        const PlanSettings& plan) {
+  CustomerState& customer = customers_[request.customer];
+  if (!started_at_) {
+    started_at_ = now - settings_.clock_tick;
+  }
+  const int subset_size = request.gateway_subset_size > 0
+                              ? std::min(request.gateway_subset_size, settings_.gateway_count)
+                              : settings_.gateway_count;
+  customer.gateway_subset_size = process_count_ * subset_size;
+  if (customer.plan != &plan) {
+    set_plan(now, request.customer, plan, customer);
+  }
+  customer.last_request_at = now;
+  return customer;
+}
+
+void QuotaAllocator::set_plan(Micros now, const std::string& name, const PlanSettings& plan,
+                              CustomerState& customer) {
+  customer.plan = &plan;
+  customer.key = hash_text(name);
+  customer.quota_rate = quota_rate(plan);
+  customer.estimated_at = now;
+  // An earlier process may just have spent the share of the ceiling: it starts empty and fills from
+  // this gateway's start on.
+  customer.ceiling.units = 0;
+  customer.ceiling.filled_at = *started_at_;
+  customer.budget.store = store_capacity(customer);
+  customer.budget.own_allowance = customer.budget.store;
+  assume_even_demand(customer);
+}
+
+bool QuotaAllocator::report_demand(Micros now, CustomerState& customer,
+                                   std::vector<Action>& actions) {
+  return counter_sync_.report_demand(now, customer, actions);
+}
+
+CustomerState* QuotaAllocator::on_counter_reply(Micros now, const CounterReply& reply) {
+  return counter_sync_.on_reply(now, started_at_.value_or(0), reply);
+}
+
+bool QuotaAllocator::covers(const CustomerState& customer, double units) const {
+  return customer.quota_rate <= 0 || std::max(spendable_store(customer), customer.budget.credit) >=
+                                         needed_units(customer, units);
+}
+
+bool QuotaAllocator::covers_without_reservation(const CustomerState& customer, double units) const {
+  const Demand& demand = customer.demand;
+  return covers(customer, units) &&
+         (counter_limiter_.is_counter_down() || !customer.total.trusted_at ||
+          demand.own + demand.others <= customer.quota_rate);
+}
+
+bool QuotaAllocator::should_reserve(CustomerState& customer) {
+  ReservationSampling& sampling = customer.sampling;
+  if (!customer.quota_reservation.window) {
+    sampling.accumulated = uniform(random_);
+  }
+  sampling.accumulated += sampling.fraction;
+  if (sampling.accumulated < 1) {
+    return false;
+  }
+  sampling.accumulated -= 1;
+  return true;
+}
+
+BudgetSource QuotaAllocator::charge(CustomerState& customer, double units) const {
+  const bool in_store = spendable_store(customer) >= needed_units(customer, units);
+  const BudgetSource source = in_store ? BudgetSource::kStore : BudgetSource::kCredit;
+  charge_to(source, customer, units);
+  return source;
+}
+
+void QuotaAllocator::charge_to(BudgetSource source, CustomerState& customer, double units) const {
+  refund(source, customer, -units);
+}
+
+void QuotaAllocator::refund(BudgetSource source, CustomerState& customer, double units) const {
+  if (customer.quota_rate <= 0) {
+    return;
+  }
+  switch (source) {
+    case BudgetSource::kStore:
+      customer.budget.store += units;
+      customer.budget.own_allowance += units;
+      break;
+    case BudgetSource::kCredit:
+      customer.budget.credit += units;
+      break;
+    case BudgetSource::kPoolReservation:
+      customer.quota_reservation.units += units;
+      break;
+  }
+}
+
+Micros QuotaAllocator::retry_after(const CustomerState& customer, double units,
+                                   Micros latency_objective, Micros least) const {
+  const Demand& demand = customer.demand;
+  const LocalBudget& budget = customer.budget;
+  const double quota = customer.quota_rate;
+  const double own_slice = quota * demand.own / (demand.own + demand.others + kLeastDemand);
+  const double fill_rate = std::max({quota - demand.others, own_slice, kLeastFillRate});
+  const double missing = std::max(0.0, units - std::max(budget.store, budget.credit));
+  const double until_filled = missing / fill_rate * kSecond;
+  const double most =
+      std::min(double(settings_.max_retry_after), kRetryAfterFraction * double(latency_objective));
+  const double advice = std::min(most, std::max(until_filled, double(least)));
+  return std::max(settings_.clock_tick, Micros(advice));
+}
+
+void QuotaAllocator::on_period(Micros now, std::vector<Action>& actions) {
+  for (auto it = customers_.begin(); it != customers_.end();) {
+    CustomerState& customer = it->second;
+    advance_estimates(now, customer);
+    if (can_forget(now, customer)) {
+      it = customers_.erase(it);
+    } else {
+      report_demand(now, customer, actions);
+      ++it;
+    }
+  }
+}
+
+void QuotaAllocator::refill_ceilings(Micros now, const RateCeiling& ceiling) {
+  for (auto& [name, customer] : customers_) {
+    ceiling.refill(now, customer);
+  }
+}
+
+void QuotaAllocator::set_process_count(Micros now, int process_count) {
+  // The share of a customer without requests until now was not filled by this process alone; it
+  // fills anew.
+  started_at_ = now;
+  for (auto& [name, customer] : customers_) {
+    customer.gateway_subset_size = customer.gateway_subset_size / process_count_ * process_count;
+  }
+  process_count_ = process_count;
+}
+
+void QuotaAllocator::on_settings_changed(Micros now) {
+  for (auto& [name, customer] : customers_) {
+    advance_estimates(now, customer);
+    customer.quota_rate = quota_rate(*customer.plan);
+    if (!customer.total.trusted_at) {
+      assume_even_demand(customer);
+    }
+    customer.budget.store = std::min(customer.budget.store, store_capacity(customer));
+  }
+}
+
+QuotaStats QuotaAllocator::take_stats(Micros now) {
+  QuotaStats stats;
+  stats.customers = customers_.size();
+  for (const auto& [name, customer] : customers_) {
+    const std::optional<Micros> trusted_at = customer.total.trusted_at;
+    stats.customers_with_recent_total += trusted_at && now - *trusted_at < kRecentTotal ? 1 : 0;
+  }
+  stats.counter_calls = counter_limiter_.take_call_counts();
+  stats.counter_calls_per_second = counter_limiter_.calls_per_second();
+  return stats;
+}
+
+std::string format_quota_stats(const QuotaStats& stats) {
+  const CounterCallCounts& calls = stats.counter_calls;
+  return join("customers ", stats.customers, " (", stats.customers_with_recent_total,
+              " with a recent total), counter calls: ok ", calls.ok, ", not added ",
+              calls.not_added, ", slow ", calls.slow, ", lost ", calls.lost, "; limit ",
+              int(stats.counter_calls_per_second), " a second");
+}
+
+}  // namespace quota_gateway::policy
--- a/src/policy/quota/shared_pool.hpp
+++ b/src/policy/quota/shared_pool.hpp
@@ -1,104 +1,81 @@
-// Pools that all gateways of an owner share through the counter. Under a name for the owner and
-// this window each gateway adds what it wants, and what lies within the window's pool is its own
-// until the window ends. Keeps the books of names, windows and units; who draws on what and how
-// much is decided in policy/.
+// Pools of units that all gateways of a customer share through the counter: a part of its rate
+// ceiling, and the quota of a sparse customer. Under a name for the customer and the present window
+// each gateway adds what it wants; what lies within the window's pool is reserved for that gateway
+// until the window ends. The gateway decides who reserves how much; this keeps names, windows, and
+// units.
 #pragma once
 
 #include <cstdint>
-#include <string>
+#include <optional>
 #include <unordered_map>
-#include <utility>
 #include <vector>
 
-#include "quota_gateway/gateway.hpp"
-#include "util/hash.hpp"
+#include "policy/quota/counter_rate_limiter.hpp"
+#include "policy/quota/customer_state.hpp"
 
-namespace quota_gateway {
+namespace quota_gateway::policy {
 
-// Units drawn, good in `window` alone.
-struct PoolReservation {
-  double reserved = 0;
-  std::int64_t window = 0;
-  bool drained = false;              // nothing is left there in `window`
-  bool drawing = false;              // a draw is on its way; its owner has to stay meanwhile
-  std::vector<std::string> waiting;  // requests that wait for it
+// One customer's pool, as its plan defines it. Values, cheap to make.
+struct SharedPool {
+  PoolKind kind = PoolKind::kQuota;
+  double units_per_window = 0;
+  Micros window_length = 1;
+
+  // Us since the present window began.
+  Micros elapsed(Micros now, const CustomerState& customer) const;
+  // The number of the present window; all gateways count alike.
+  std::int64_t window(Micros now, const CustomerState& customer) const;
+  // Units that this gateway has left of its reservation in the present window.
+  double reserved(Micros now, const CustomerState& customer) const;
+  // Whether the counter said that nothing is left in the present window.
+  bool exhausted(Micros now, const CustomerState& customer) const;
 };
 
-// An owner has a `key` that is the same at all gateways.
-template <typename Owner>
-struct SharedPool {
-  PoolReservation Owner::*drawn = nullptr;
-  std::uint64_t names = 0;  // sets its names apart from others
-  double size = 0;          // units a window
-  Micros length = 1;        // of a window; us
+// The fraction of a rate ceiling that is split evenly over the gateways; the rest is the shared
+// pool. The ceiling is a hard rule, and no total is young enough to show what others forward at
+// this moment. Even shares alone would reject a customer inside its quota that comes through one
+// gateway, or that is new to this one: a share starts empty, since an earlier process may have
+// spent it.
+constexpr double kCeilingEvenFraction = 0.5;
+
+// The pool of a plan with a rate ceiling.
+SharedPool ceiling_pool(const PlanSettings& plan);
+// The pool of a plan with a quota rate, for its sparse customers.
+SharedPool quota_pool(const PlanSettings& plan);
 
-  // All gateways change windows at once, at times spread over the owners.
-  Micros since(Micros now, const Owner& o) const {
-    return (now + Micros(o.key % std::uint64_t(length))) % length;
-  }
-  std::int64_t window(Micros now, const Owner& o) const {
-    return (now + Micros(o.key % std::uint64_t(length))) / length + 1;
-  }
-  double reserved(Micros now, const Owner& o) const {
-    return (o.*drawn).window == window(now, o) ? (o.*drawn).reserved : 0;
-  }
-  bool drained(Micros now, const Owner& o) const {
-    return (o.*drawn).window == window(now, o) && (o.*drawn).drained;
-  }
+// A reply of the counter about a reservation.
+struct PoolReply {
+  CustomerState* customer = nullptr;
+  SharedPool pool;
+  // The reply is good and of the present window. Otherwise the units may or may not have been
+  // added, and the reservation is unchanged.
+  bool is_usable = false;
 };
 
-template <typename Owner>
+// The reservations that are on their way. The gateway owns one.
 class PoolLedger {
  public:
-  struct Answer {
-    Owner* owner = nullptr;  // null: the call was none of ours
-    SharedPool<Owner> pool;
-    double amount = 0;
-    bool counts = false;  // Danger: what may or may not have been added is not used
-  };
+  // `limiter` must outlive this.
+  explicit PoolLedger(CounterRateLimiter& limiter) : limiter_(limiter) {}
 
-  // Whether there is an answer to wait for.
-  template <typename MayCall>
-  bool draw(Micros now, Owner& o, const SharedPool<Owner>& pool, double amount, MayCall may_call,
-            std::vector<Action>& out) {
-    PoolReservation& d = o.*pool.drawn;
-    if (d.drawing) {
-      return true;
-    }
-    if (pool.drained(now, o) || !may_call()) {
-      return false;
-    }
-    const std::int64_t w = pool.window(now, o);
-    if (std::exchange(d.window, w) != w) {
-      d.reserved = 0, d.drained = false;
-    }
-    const auto name = std::int64_t(mix(o.key ^ mix(pool.names ^ std::uint64_t(w))) >> 2);
-    pending_[name] = {&o, pool, amount};
-    d.drawing = true;
-    out.emplace_back(AddToCounter{name, amount, std::max<Micros>(1'000'000, 2 * pool.length)});
-    return true;
-  }
+  // Appends a call that reserves `units`, unless one is in flight already, the pool is exhausted or
+  // the limiter has no call within `overdraft_seconds`. Returns whether there is a reply to wait
+  // for. The customer must stay where it is until then.
+  bool reserve(Micros now, CustomerState& customer, const SharedPool& pool, double units,
+               double overdraft_seconds, std::vector<Action>& actions);
 
-  Answer answered(Micros now, const CounterReply& a) {
-    const auto call = pending_.extract(a.name);
-    if (call.empty()) {
-      return {};
-    }
-    Answer r = call.mapped();
-    PoolReservation& d = r.owner->*r.pool.drawn;
-    d.drawing = false;
-    r.counts = a.outcome == CounterOutcome::kOk && d.window == r.pool.window(now, *r.owner);
-    if (!r.counts) {
-      return r;
-    }
-    const double over = std::max(0.0, a.total - r.pool.size);
-    d.reserved += std::max(0.0, r.amount - over);
-    d.drained = over > 0;
-    return r;
-  }
+  // Adds what the reply reserved. None if it answers no reservation.
+  std::optional<PoolReply> on_reply(Micros now, const CounterReply& reply);
 
  private:
-  std::unordered_map<std::int64_t, Answer> pending_;  // looked up by name, never walked
+  struct PendingReservation {
+    CustomerState* customer = nullptr;
+    SharedPool pool;
+    double units = 0;
+  };
+
+  CounterRateLimiter& limiter_;
+  std::unordered_map<std::int64_t, PendingReservation> pending_;  // by name; never iterated
 };
 
-}  // namespace quota_gateway
+}  // namespace quota_gateway::policy
--- a/src/policy/rejection_stats.hpp
+++ b/src/policy/rejection_stats.hpp
@@ -21,19 +21,4 @@
   }
 };
 
-// How the calls to the counter went.
-struct CounterCalls {
-  int ok = 0, not_added = 0, late = 0, lost = 0;
-
-  void add(CounterOutcome outcome, bool slow) {
-    ++(outcome == CounterOutcome::kOk        ? ok
-       : outcome != CounterOutcome::kUnknown ? not_added
-       : slow                                ? late
-                                             : lost);
-  }
-  std::string text() const {
-    return join("calls ok ", ok, " not added ", not_added, " late ", late, " lost ", lost);
-  }
-};
-
 }  // namespace quota_gateway
