--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -138,27 +138,27 @@
   return out;
 }
 
-Config parse_config(const json& config) {
+GatewayConfig parse_config(const json& config) {
   if (!config.is_object()) {
     bad("no object");
   }
-  Config out;
+  GatewayConfig out;
   out.name = text(config, "name");
-  out.listen = parse_endpoint(text(config, "listen"));
-  out.discovery = parse_endpoint(text(config, "discovery"));
+  out.listen_address = parse_endpoint(text(config, "listen"));
+  out.discovery_address = parse_endpoint(text(config, "discovery"));
   if (config.contains("counter") && !config["counter"].is_null()) {
-    out.counter = parse_endpoint(text(config, "counter"));
+    out.counter_address = parse_endpoint(text(config, "counter"));
   }
   if (config.contains("mgmt") && !config["mgmt"].is_null()) {
-    out.mgmt = parse_endpoint(text(config, "mgmt"));
+    out.admin_address = parse_endpoint(text(config, "mgmt"));
   }
   if (config.contains("seed")) {
     out.seed = parse_seed(text(config, "seed"));
   }
   const json limits = config.value("limits", json::object());
-  out.sockets = std::size_t(positive(limits, "sockets", 1024));
-  out.memory_mb = std::size_t(positive(limits, "memory_mb", 192));
-  if (out.sockets < 64) {
+  out.max_sockets = std::size_t(positive(limits, "sockets", 1024));
+  out.memory_limit_mb = std::size_t(positive(limits, "memory_mb", 192));
+  if (out.max_sockets < 64) {
     bad("fewer than 64 sockets");
   }
   if (!config.contains("settings")) {
@@ -167,13 +167,13 @@
   out.settings = wire::parse_settings(config["settings"]);
   check(out.settings);
   const json network = config["settings"].value("Limits", json::object());
-  out.conn_idle = positive(network, "ConnIdleUs", out.conn_idle);
-  out.dial_timeout = positive(network, "DialTimeoutUs", out.dial_timeout);
+  out.connection_idle_timeout = positive(network, "ConnIdleUs", out.connection_idle_timeout);
+  out.connect_timeout = positive(network, "DialTimeoutUs", out.connect_timeout);
   // Where lists are asked for, a list is old only four times that after a call that failed; else at
   // once.
   const json& info = config["settings"];
   if (info.value("MembershipMode", "") == "on_request") {
-    out.discovery_wait =
+    out.max_discovery_backoff =
         Micros(kAskShare * 4 *
                double(info.value("Obligations", json::object()).value("AskWithinUs", Micros{0})));
   }
--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -5,7 +5,8 @@
 #include <istream>
 #include <nlohmann/json.hpp>
 
-#include "net/server/gateway_server.hpp"
+#include "net/config/gateway_config.hpp"
+#include "net/discovery/endpoint_list_parser.hpp"
 
 namespace quota_gateway::net {
 
@@ -33,7 +34,7 @@
   std::string piece_;
 };
 // All but `known`.
-Config parse_config(const nlohmann::json& tree);
+GatewayConfig parse_config(const nlohmann::json& tree);
 // Throws if a key that `was` had is missing. Most have a value to fall back on, which is right for
 // a gateway that never knew them, but not what the writer of a changed file meant.
 void check_complete(const nlohmann::json& was, const nlohmann::json& is);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -28,26 +28,26 @@
 constexpr std::size_t kClientMemory =
     256 << 10;  // bytes a client may come to: three bodies, and buffers
 
-std::size_t most_clients(const Config& c) {
-  return std::max<std::size_t>(
-      16, std::min(c.sockets / 2 - kMostCallers, c.memory_mb * (1 << 20) / kClientMemory));
+std::size_t most_clients(const GatewayConfig& config) {
+  return std::max<std::size_t>(16, std::min(config.max_sockets / 2 - kMostCallers,
+                                            config.memory_limit_mb * (1 << 20) / kClientMemory));
 }
 
-std::size_t most_connections(const Config& c) {
-  return std::max<std::size_t>(8, c.sockets * 2 / 5);
+std::size_t most_connections(const GatewayConfig& config) {
+  return std::max<std::size_t>(8, config.max_sockets * 2 / 5);
 }
 
 }  // namespace
 
-GatewayServer::GatewayServer(asio::io_context& io, Config config)
+GatewayServer::GatewayServer(asio::io_context& io, GatewayConfig config)
     : io_(io),
       settings_(config.settings),
-      dial_timeout_(config.dial_timeout),
+      dial_timeout_(config.connect_timeout),
       timers_(io, clock_),
       gateway_(config.settings, config.seed),
-      known_(std::move(config.known)),
+      known_(std::move(config.persisted_endpoints)),
       upstream_(io, timers_, clock_,
-                {config.conn_idle, config.dial_timeout, most_connections(config)},
+                {config.connection_idle_timeout, config.connect_timeout, most_connections(config)},
                 {[this](AttemptKey key, AttemptResult result) { ended(key, std::move(result)); },
                  [this](AttemptKey key) { written(key); },
                  [this](AttemptKey key) {
@@ -63,11 +63,12 @@
                      frontend_.pass(it->second.client, std::move(piece));
                    }
                  }}),
-      discovery_at_(config.discovery),
+      discovery_at_(config.discovery_address),
       discovery_(
-          io, timers_, clock_, config.discovery, known_->revision,
-          [this](EndpointList list) { told(std::move(list)); }, config.seed, config.discovery_wait,
-          [this] { believe_known(); }, lists_within(config.memory_mb)),
+          io, timers_, clock_, config.discovery_address, known_->revision,
+          [this](EndpointList list) { told(std::move(list)); }, config.seed,
+          config.max_discovery_backoff, [this] { believe_known(); },
+          lists_within(config.memory_limit_mb)),
       frontend_(
           io, timers_, clock_, settings_, most_clients(config),
           {[this](std::uint64_t client, ClientRequest r) { return took(client, std::move(r)); },
@@ -79,24 +80,26 @@
              }
            },
            [this] { return !known_ && !partly_listed(); }}),
-      succession_(io, timers_, config.folder, config.name, config.listen, [this] { met(); }),
+      succession_(io, timers_, config.shared_directory, config.name, config.listen_address,
+                  [this] { met(); }),
       connections_(most_connections(config)) {
-  count_at(config.counter);
+  count_at(config.counter_address);
   discovery_.start();
   for (const ClassSettings& c : settings_.classes) {
     replies_[c.name];
   }
   if (succession_.predecessor()) {
-    frontend_.adopt(config.listen, succession_.take_listening());
+    frontend_.adopt(config.listen_address, succession_.take_listening());
   } else {
-    frontend_.listen(config.listen);
+    frontend_.listen(config.listen_address);
   }
   succession_.wait_for_successor(frontend_.listening());
   met();
   timers_.after(kTellWithin, [this] { believe_known(); });
-  if (config.mgmt) {
+  if (config.admin_address) {
     operators_.emplace(
-        io, timers_, *config.mgmt, [this] { return ready(); }, [this] { return figures(); });
+        io, timers_, *config.admin_address, [this] { return ready(); },
+        [this] { return figures(); });
   }
 }
 
@@ -449,18 +452,18 @@
 
 // ---- A new configuration
 // ------------------------------------------------------------------------------
-void GatewayServer::reload(const Config& config) {
+void GatewayServer::reload(const GatewayConfig& config) {
   settings_ = config.settings;
   for (const ClassSettings& c : settings_.classes) {
     replies_[c.name];
   }
   push(SettingsChanged{settings_});
-  if (config.discovery != discovery_at_) {
-    discovery_at_ = config.discovery;
-    discovery_.move_to(config.discovery);
+  if (config.discovery_address != discovery_at_) {
+    discovery_at_ = config.discovery_address;
+    discovery_.move_to(config.discovery_address);
   }
-  if (config.counter != counter_at_) {
-    count_at(config.counter);
+  if (config.counter_address != counter_at_) {
+    count_at(config.counter_address);
   }
   ++reload_success_;
 }
--- a/src/net/server/gateway_server.hpp
+++ b/src/net/server/gateway_server.hpp
@@ -14,6 +14,7 @@
 
 #include "net/admin/admin_server.hpp"
 #include "net/client/client_listener.hpp"
+#include "net/config/gateway_config.hpp"
 #include "net/counter/counter_client.hpp"
 #include "net/discovery/discovery_client.hpp"
 #include "net/event_loop/timers.hpp"
@@ -23,28 +24,14 @@
 
 namespace quota_gateway::net {
 
-struct Config {
-  std::string name;
-  boost::asio::ip::tcp::endpoint listen, discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> counter;
-  std::optional<boost::asio::ip::tcp::endpoint> mgmt;  // the operators' door; none: nothing listens
-  std::uint64_t seed = 0;
-  std::size_t sockets = 1024, memory_mb = 192;
-  std::string folder;  // that an old and a new process of this gateway share; empty: none
-  Settings settings;
-  Micros conn_idle = 15'000'000, dial_timeout = 250'000;
-  Micros discovery_wait = 0;  // the most between two calls while discovery turns us away
-  EndpointList known;
-};
-
 class GatewayServer {
  public:
-  GatewayServer(boost::asio::io_context& io, Config config);
+  GatewayServer(boost::asio::io_context& io, GatewayConfig config);
 
   boost::asio::ip::tcp::endpoint address() const { return frontend_.address(); }
   // Takes what may change while it runs: the settings, and where discovery and the counter are. The
   // rest waits for a restart.
-  void reload(const Config& config);
+  void reload(const GatewayConfig& config);
   // Goes on accepting, finishes all that has come before we may be killed, then calls `done`, once.
   void drain(std::function<void()> done);
   // A configuration that was turned down.
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -14,6 +14,7 @@
 #include <utility>
 
 #include "net/config/config_loader.hpp"
+#include "net/server/gateway_server.hpp"
 
 namespace {
 
@@ -31,15 +32,15 @@
   return file;
 }
 
-quota_gateway::net::Config parse(const nlohmann::json& tree) {
+quota_gateway::net::GatewayConfig parse(const nlohmann::json& tree) {
   auto config = quota_gateway::net::parse_config(tree);
   const char* mgmt = std::getenv("RELAY_MGMT");
   const char* folder = std::getenv("TMPDIR");
   if (folder) {
-    config.folder = folder;
+    config.shared_directory = folder;
   }
-  if (!config.mgmt && mgmt && *mgmt) {
-    config.mgmt = quota_gateway::net::parse_endpoint(mgmt);
+  if (!config.admin_address && mgmt && *mgmt) {
+    config.admin_address = quota_gateway::net::parse_endpoint(mgmt);
   }
   return config;
 }
@@ -142,7 +143,7 @@
 int main_loop() {
   auto file = read_at_start();
   auto config = parse(file.tree);
-  config.known = std::move(file.known);
+  config.persisted_endpoints = std::move(file.known);
   const std::string name = config.name;
   boost::asio::io_context io(1);
   // First of all: a SIGHUP that nobody handles ends the process.
--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -12,7 +12,7 @@
 
 class OperatorsTest : public ::testing::Test {
  protected:
-  OperatorsTest() { rig.config.mgmt = tcp::endpoint(asio::ip::address_v4::loopback(), 0); }
+  OperatorsTest() { rig.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0); }
   Client caller() { return {rig.io, *rig.driver->operators_address()}; }
   // The status of a call, and its body.
   std::pair<int, std::string> call(const std::string& text) {
@@ -38,7 +38,7 @@
 };
 
 TEST_F(OperatorsTest, NothingListensWhereNoPlaceIsNamed) {
-  rig.config.mgmt.reset();
+  rig.config.admin_address.reset();
   rig.start();
   EXPECT_FALSE(rig.driver->operators_address());
 }
@@ -47,7 +47,7 @@
   // Guards against a start that is refused because another process still has the operators' place.
   tcp::acceptor other(rig.io, {asio::ip::address_v4::loopback(), 0}, false);
   const auto place = other.local_endpoint();
-  rig.config.mgmt = place;
+  rig.config.admin_address = place;
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -115,7 +115,7 @@
 
 TEST_F(OperatorsTest, ClientsThatTakeEveryConnectionKeepNoCallerOut) {
   rig.know(member("s1", s1));
-  rig.config.sockets = 64;
+  rig.config.max_sockets = 64;
   rig.start();
   std::list<Client> crowd;
   for (int i = 0; i < 100; ++i) {
@@ -192,7 +192,7 @@
   Client open = rig.client();
   open.send(get("t"));
   ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
-  Config other = rig.config;
+  GatewayConfig other = rig.config;
   other.settings.classes[0].name = "profile-next";
   rig.driver->reload(other);
   EXPECT_EQ(figure("replies.profile-next.success"), 0);
--- a/tests/net/discovery/endpoint_lists_test.cpp
+++ b/tests/net/discovery/endpoint_lists_test.cpp
@@ -289,7 +289,7 @@
     Rig rig;
     FakeServer server(rig.io);
     rig.know(member("s1", server));
-    rig.config.memory_mb = memory_mb;
+    rig.config.memory_limit_mb = memory_mb;
     rig.discovery.first = list(42, true, fleet(2'000));
     ::testing::internal::CaptureStderr();
     GatewayServer& driver = rig.start();
--- a/tests/net/server/gateway_server_test.cpp
+++ b/tests/net/server/gateway_server_test.cpp
@@ -191,7 +191,7 @@
 }
 
 TEST_F(DriverTest, ASilentCrowdKeepsNobodyOut) {
-  rig.config.sockets = 64;  // 32 clients
+  rig.config.max_sockets = 64;  // 32 clients
   rig.know(member("s1", s1));
   rig.start();
   Client usual = rig.client();
@@ -390,7 +390,7 @@
   FakeCounter counter(rig.io);
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 30'000;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -412,7 +412,7 @@
   counter.resets_every = 3;
   rig.config.settings.has_counter = true;
   rig.config.settings.counter_timeout = 1'000'000;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -433,7 +433,7 @@
   rig.config.settings.has_counter = true;
   rig.config.settings.plans[0].quota_rate = 1e5;
   rig.config.settings.plans[0].quota_burst = 5e5;
-  rig.config.counter = counter.address();
+  rig.config.counter_address = counter.address();
   rig.know(member("s1", s1));
   rig.start();
   Client c = rig.client();
@@ -530,7 +530,7 @@
 TEST_F(DriverTest, ClientsThatAskOnceAndStayDoNotHoldAllConnections) {
   // Guards against a front whose connections to this gateway all rest: its next requests would find
   // none.
-  rig.config.sockets = 64;
+  rig.config.max_sockets = 64;
   rig.know(member("s1", s1));
   rig.start();
   std::deque<Client> stayed;
@@ -547,7 +547,7 @@
 }
 
 TEST_F(DriverTest, IdleClientsMakeRoomForNewOnes) {
-  rig.config.sockets = 64;  // 32 clients
+  rig.config.max_sockets = 64;  // 32 clients
   rig.know(member("s1", s1));
   rig.start();
   std::deque<Client> clients;
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -10,7 +10,7 @@
 class BulkTest : public ::testing::Test {
  protected:
   BulkTest() {
-    rig.config.mgmt = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
+    rig.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
     rig.know(member("s1", s1));
   }
   std::string figures() {
--- a/tests/net/server/moments_test.cpp
+++ b/tests/net/server/moments_test.cpp
@@ -226,7 +226,7 @@
   for (int i = 0; i < 60; ++i) {
     rig.know(member(label("s", i), servers.emplace_back(rig.io)));
   }
-  rig.config.sockets = 64;  // 24 clients
+  rig.config.max_sockets = 64;  // 24 clients
   rig.start();
   std::vector<Client> crowd;
   for (int i = 0; i < 24; ++i) {
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -314,8 +314,8 @@
  public:
   Rig() : discovery(io) {
     config.name = "n0";
-    config.listen = {asio::ip::address_v4::loopback(), 0};
-    config.discovery = discovery.address();
+    config.listen_address = {asio::ip::address_v4::loopback(), 0};
+    config.discovery_address = discovery.address();
     config.seed = 7;
     Settings& s = config.settings;
     s.zone = "a";
@@ -339,14 +339,14 @@
     plan.quota_rate = 1000;
     plan.quota_burst = 1000;
     s.plans = {plan};
-    config.known.complete = true;
-    config.known.revision = 41;
+    config.persisted_endpoints.complete = true;
+    config.persisted_endpoints.revision = 41;
   }
-  void know(const Member& m) { config.known.members.push_back(m); }
+  void know(const Member& m) { config.persisted_endpoints.members.push_back(m); }
   // Returns once the list that it knows is in force, unless its agent is mute.
   GatewayServer& start() {
     driver.emplace(io, config);
-    if (!config.known.members.empty() && !discovery.mute) {
+    if (!config.persisted_endpoints.members.empty() && !discovery.mute) {
       EXPECT_TRUE(
           until([&] { return driver->figures().find("app.targets=0\n") == std::string::npos; }));
     }
@@ -357,7 +357,7 @@
 
   asio::io_context io;
   FakeDiscovery discovery;
-  Config config;
+  GatewayConfig config;
   std::optional<GatewayServer> driver;
 };
 
