--- /dev/null
+++ b/tests/policy/peer_processes_test.cpp
@@ -0,0 +1,76 @@
+// Two processes of one gateway that serve side by side during a restart divide its limits.
+#include <gtest/gtest.h>
+
+#include "support/gateway_harness.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+// A ceiling of 20 units a second and 40 at once; half of it belongs to each of the two gateways.
+Settings settings_with_ceiling() {
+  Settings settings = basic_settings();
+  set_ceiling(settings, 20, 40);
+  return settings;
+}
+
+TEST(PeerProcesses, ParentAndChildTogetherKeepOneShareOfTheCeiling) {
+  Settings settings = settings_with_ceiling();
+  set_quota(settings, 1000, 1000);
+  GatewayHarness parent(settings);
+  GatewayHarness child(settings);
+  parent.arrive(kMillisecond, "first");
+  EXPECT_EQ(parent.admitted(10 * kSecond, 15), 15);  // the gateway's share holds twenty
+  parent.handle(10 * kSecond, {PeerProcessesChanged{1}});
+  child.handle(10 * kSecond, {PeerProcessesChanged{1}});
+  int forwarded = 0;
+  for (Micros now = 10 * kSecond + kMillisecond; now <= 14 * kSecond; now += 20 * kMillisecond) {
+    forwarded += parent.admitted(now, 3);
+    forwarded += child.admitted(now, 3);
+  }
+  EXPECT_GE(forwarded, 36);
+  EXPECT_LE(forwarded, 5 + 40);  // what was left, and ten a second
+
+  child.handle(14 * kSecond, {PeerProcessesChanged{0}});
+  forwarded = 0;
+  for (Micros now = 14 * kSecond + kMillisecond; now <= 18 * kSecond; now += 20 * kMillisecond) {
+    forwarded += child.admitted(now, 3);
+  }
+  EXPECT_GE(forwarded, 36);  // alone, the child has the whole share again
+  EXPECT_LE(forwarded, 41);
+}
+
+TEST(PeerProcesses, CustomerFirstSeenAfterTheSplitHasOnlyWhatHasRefilledSince) {
+  GatewayHarness gateway(settings_with_ceiling());
+  RequestArrived other = make_request("other", kSecond);
+  other.customer = "c2";
+  gateway.handle(kSecond, {other});
+  gateway.handle(10 * kSecond, {PeerProcessesChanged{1}});
+  // Half of ten a second; the parent process may have spent the rest.
+  EXPECT_EQ(gateway.admitted(11 * kSecond, 20), 5);
+}
+
+TEST(PeerProcesses, EachSendsAWarmingUpServerItsOwnShare) {
+  Settings settings = basic_settings();
+  set_quota(settings, 1000, 1000);
+  settings.gateway_count = 1;
+  settings.slow_start_min_fraction = 0.2;
+  settings.slow_start_duration = 100 * kSecond;
+  settings.slow_start_overload_factor = 2;
+  settings.slow_start_overload_window = kSecond;
+  auto endpoints = make_endpoints({"a"});
+  endpoints[0].started_at = 1;
+  const auto forwarded_beside = [&](int peer_count) {
+    GatewayHarness gateway(settings, endpoints);
+    gateway.handle(kMillisecond, {PeerProcessesChanged{peer_count}});
+    int forwarded = 0;
+    for (Micros now = 2 * kMillisecond; now < 8 * kSecond; now += 100 * kMillisecond) {
+      forwarded += gateway.admitted(now, 1);
+    }
+    return forwarded;
+  };
+  EXPECT_EQ(forwarded_beside(0), 8);
+  EXPECT_EQ(forwarded_beside(1), 4);
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
--- /dev/null
+++ b/tests/policy/retry_policy_test.cpp
@@ -0,0 +1,66 @@
+// Which attempts may follow one that failed, by the request's idempotency and by whether the failed
+// attempt may have run.
+#include <gtest/gtest.h>
+
+#include "support/gateway_harness.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+// Keys are recognised for 8 s, within one cell.
+Settings settings_with(Idempotency idempotency) {
+  Settings settings = basic_settings();
+  settings.classes[0].idempotency = idempotency;
+  settings.classes[0].dedup_scope = DedupScope::kCell;
+  settings.classes[0].dedup_window = 8 * kSecond;
+  settings.classes[0].late_value_fraction = 0.2;
+  return settings;
+}
+
+// What the gateway does when a request's first attempt ends with `outcome` after 50 ms.
+std::vector<Action> first_attempt_ends(GatewayHarness& gateway, Outcome outcome) {
+  const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
+  return gateway.complete(50 * kMillisecond, sent.at(0), {.outcome = outcome});
+}
+
+TEST(RetryPolicy, KeyedRequestThatMayHaveRunIsRetriedOnlyInItsCell) {
+  auto endpoints = make_endpoints({"a", "b", "c", "d"});
+  for (std::size_t i = 0; i < 4; ++i) {
+    endpoints[i].cell = std::int64_t(i / 2);
+  }
+  GatewayHarness gateway(settings_with(Idempotency::kIdempotencyKey), endpoints);
+  const auto first = attempts(gateway.arrive(kMillisecond, "r"));
+  ASSERT_EQ(first.size(), 1U);
+  const auto second =
+      attempts(gateway.complete(50 * kMillisecond, first[0], {.outcome = Outcome::kReset}));
+  ASSERT_EQ(second.size(), 1U);
+  const auto in_first_cell = [](const std::string& server) {
+    return server == "a" || server == "b";
+  };
+  EXPECT_EQ(in_first_cell(first[0].server), in_first_cell(second[0].server));
+}
+
+TEST(RetryPolicy, KeyedRequestThatMayHaveRunIsFailedNotRejected) {
+  // Without this, a client told that its request was rejected would take it for one that never ran.
+  Settings settings = settings_with(Idempotency::kIdempotencyKey);
+  settings.max_attempts = 1;
+  GatewayHarness gateway(settings);
+  const auto actions = first_attempt_ends(gateway, Outcome::kReset);
+  EXPECT_EQ(failures(actions).size(), 1U);
+  EXPECT_TRUE(rejections(actions).empty());
+}
+
+TEST(RetryPolicy, NonIdempotentRequestIsRetriedOnlyIfItNeverRan) {
+  for (const Outcome may_have_run :
+       {Outcome::kTimeout, Outcome::kReset, Outcome::kError, Outcome::kCancelled}) {
+    GatewayHarness gateway(settings_with(Idempotency::kNonIdempotent));
+    const auto actions = first_attempt_ends(gateway, may_have_run);
+    EXPECT_TRUE(attempts(actions).empty());
+    EXPECT_EQ(failures(actions).size(), 1U);
+  }
+  GatewayHarness gateway(settings_with(Idempotency::kNonIdempotent));
+  EXPECT_EQ(attempts(first_attempt_ends(gateway, Outcome::kConnectFailed)).size(), 1U);
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
