--- /dev/null
+++ b/src/policy/admission.cpp
@@ -0,0 +1,206 @@
+#include "policy/admission.hpp"
+
+#include <algorithm>
+#include <utility>
+
+#include "policy/endpoints/load_balancer.hpp"
+#include "policy/quota/demand_estimator.hpp"
+#include "policy/quota/quota_allocator.hpp"
+#include "policy/quota/quota_capacity.hpp"
+#include "policy/quota/rate_ceiling.hpp"
+#include "policy/rejection_stats.hpp"
+#include "policy/timer_table.hpp"
+
+namespace quota_gateway::policy {
+namespace {
+
+// Utilization of the endpoints, 0 to 1, below which requests beyond the quota may be admitted.
+constexpr double kMaxUtilizationForExcess = 0.25;
+// Seconds of the customer's demand in one reservation from the ceiling's pool, which saves calls.
+constexpr double kReserveAheadSeconds = 0.5;
+// Seconds of the limit on counter calls that a reservation may overdraw. Reservations from the
+// ceiling's pool go first, for the ceiling is a hard rule.
+constexpr double kQuotaOverdraftSeconds = 0;
+constexpr double kCeilingOverdraftSeconds = 1;
+
+RejectionReason reason(const CustomerState& customer, bool within_quota, bool under_ceiling) {
+  if (!under_ceiling) {
+    return within_quota ? RejectionReason::kOverCeilingWithinQuota : RejectionReason::kOverCeiling;
+  }
+  if (!customer.total.trusted_at) {
+    return RejectionReason::kOverQuotaTotalUnknown;
+  }
+  const bool demand_within_quota =
+      customer.demand.own + customer.demand.others < customer.quota_rate;
+  return demand_within_quota ? RejectionReason::kOverQuotaDemandWithinQuota
+                             : RejectionReason::kOverQuota;
+}
+
+}  // namespace
+
+Admission::Admission(const Settings& settings, QuotaAllocator& quota, RateCeiling& rate_ceiling,
+                     LoadBalancer& load_balancer, TimerTable& timers, RejectionCounts& rejections)
+    : settings_(settings),
+      quota_(quota),
+      rate_ceiling_(rate_ceiling),
+      load_balancer_(load_balancer),
+      timers_(timers),
+      rejections_(rejections),
+      pools_(quota.counter_limiter()) {}
+
+// Without this, gateways that see a customer seldom would never know a total in time: its first
+// request waits for one. If the ceiling does not admit the request, the call is left for a draw on
+// the ceiling's pool instead.
+bool Admission::waits_for_first_total(EventContext& context, Request& request) {
+  CustomerState& customer = *request.customer;
+  if (!rate_ceiling_.admits(context.now, customer, request.units)) {
+    return false;
+  }
+  const bool first_total_is_pending = quota_.report_demand(context.now, customer, context.actions);
+  if (!first_total_is_pending || !may_wait(context.now, request)) {
+    return false;
+  }
+  wait(context, request, customer.total.waiting);
+  return true;
+}
+
+AdmissionDecision Admission::decide(EventContext& context, Request& request) {
+  const Micros now = context.now;
+  CustomerState& customer = *request.customer;
+  const PlanSettings& plan = *customer.plan;
+  request.waiting_for_counter = false;
+  advance_estimates(now, customer);
+  const bool excess_admitted = is_excess_admitted(now, plan);
+  const QuotaCheck quota = check_quota(context, request, excess_admitted);
+  if (quota == QuotaCheck::kWaitForCounter) {
+    return wait(context, request, customer.quota_reservation.waiting);
+  }
+  const bool within_concurrency_limit =
+      plan.max_concurrent_attempts <= 0 ||
+      customer.attempts_in_progress < plan.max_concurrent_attempts;
+  const bool within_quota = quota != QuotaCheck::kBeyond && within_concurrency_limit;
+  const bool under_ceiling = rate_ceiling_.admits(now, customer, request.units);
+  const bool passes_quota = within_quota || excess_admitted;
+  if (passes_quota && !under_ceiling && reserves_from_ceiling_pool(context, request)) {
+    return wait(context, request, customer.ceiling_reservation.waiting);
+  }
+  if (!passes_quota || !under_ceiling) {
+    return reject(context, request, within_quota, under_ceiling);
+  }
+  request.over_quota = !within_quota;
+  if (within_quota) {
+    charge(request, quota);
+  }
+  return AdmissionDecision::kAdmitted;
+}
+
+std::vector<std::string> Admission::on_counter_reply(Micros now, const CounterReply& reply) {
+  quota_.counter_limiter().on_reply(now, reply);
+  const std::optional<PoolReply> reservation = pools_.on_reply(now, reply);
+  if (!reservation) {
+    CustomerState* const customer = quota_.on_counter_reply(now, reply);
+    return customer ? std::exchange(customer->total.waiting, {}) : std::vector<std::string>();
+  }
+  CustomerState& customer = *reservation->customer;
+  const SharedPool& pool = reservation->pool;
+  if (reservation->is_usable && pool.kind == PoolKind::kQuota) {
+    const Micros elapsed = std::max(pool.elapsed(now, customer), pool.window_length / 2);
+    record_pool_total(now, customer, reply.total, elapsed);
+  }
+  return std::exchange(customer.reservation(pool.kind).waiting, {});
+}
+
+Admission::QuotaCheck Admission::check_quota(EventContext& context, Request& request,
+                                             bool excess_admitted) {
+  const CustomerState& customer = *request.customer;
+  if (is_sparse(settings_, customer)) {
+    return check_shared_pool(context, request, excess_admitted);
+  }
+  return quota_.covers(customer, request.quota_units) ? QuotaCheck::kWithinSlice
+                                                      : QuotaCheck::kBeyond;
+}
+
+// Sparse customers reserve units from the pool that all gateways share. A request has one chance to
+// do so.
+Admission::QuotaCheck Admission::check_shared_pool(EventContext& context, Request& request,
+                                                   bool excess_admitted) {
+  const Micros now = context.now;
+  CustomerState& customer = *request.customer;
+  const SharedPool pool = quota_pool(*customer.plan);
+  const bool may_reserve = !request.reservation_tried && !excess_admitted;
+  request.reservation_tried = true;
+  if (pool.reserved(now, customer) >= request.units) {
+    return QuotaCheck::kReserved;
+  }
+  if (pool.exhausted(now, customer) || (may_reserve && !quota_.should_reserve(customer))) {
+    return QuotaCheck::kBeyond;
+  }
+  if (may_reserve && may_wait(now, request) &&
+      pools_.reserve(now, customer, pool, request.units, kQuotaOverdraftSeconds, context.actions)) {
+    return QuotaCheck::kWaitForCounter;
+  }
+  return quota_.covers_without_reservation(customer, request.units) ? QuotaCheck::kWithinSlice
+                                                                    : QuotaCheck::kBeyond;
+}
+
+void Admission::charge(Request& request, QuotaCheck quota) {
+  CustomerState& customer = *request.customer;
+  if (quota == QuotaCheck::kReserved) {
+    request.charged_to = BudgetSource::kPoolReservation;
+    quota_.charge_to(BudgetSource::kPoolReservation, customer, request.quota_units);
+  } else {
+    request.charged_to = quota_.charge(customer, request.quota_units);
+  }
+}
+
+// Plans that earn more beyond their quota than it costs use what endpoints have to spare.
+bool Admission::is_excess_admitted(Micros now, const PlanSettings& plan) {
+  return plan.over_quota_value > plan.over_quota_cost &&
+         load_balancer_.utilization(now) < kMaxUtilizationForExcess;
+}
+
+// Whether a reply is pending that may let the request pass the ceiling.
+bool Admission::reserves_from_ceiling_pool(EventContext& context, const Request& request) {
+  const Micros now = context.now;
+  if (!may_wait(now, request) || !settings_.has_counter) {
+    return false;
+  }
+  CustomerState& customer = *request.customer;
+  const double demand = std::min(customer.demand.own, customer.quota_rate);
+  const double units = std::max(request.units, demand * kReserveAheadSeconds);
+  return pools_.reserve(now, customer, ceiling_pool(*customer.plan), units,
+                        kCeilingOverdraftSeconds, context.actions);
+}
+
+// For the counter: the time-out of one call at most, over all calls that a request waits for.
+bool Admission::may_wait(Micros now, const Request& request) const {
+  const Micros time_left = request.give_up_at - now;
+  return now - request.arrived_at < settings_.counter_timeout &&
+         time_left > settings_.counter_timeout + 2 * settings_.clock_tick;
+}
+
+AdmissionDecision Admission::wait(EventContext& context, Request& request,
+                                  std::vector<std::string>& waiting_ids) {
+  request.waiting_for_counter = true;
+  waiting_ids.push_back(request.id);
+  const Micros decide_at = request.arrived_at + settings_.counter_timeout + settings_.clock_tick;
+  timers_.arm(context, request, CounterWaitTimeout{}, decide_at);
+  return AdmissionDecision::kWaitForCounter;
+}
+
+AdmissionDecision Admission::reject(EventContext& context, const Request& request,
+                                    bool within_quota, bool under_ceiling) {
+  const CustomerState& customer = *request.customer;
+  rejections_.on_rejected(reason(customer, within_quota, under_ceiling));
+  // Without this, a client whose quota is not spent would be advised to return at once, and the
+  // ceiling would reject it at once.
+  const Micros ceiling_wait =
+      under_ceiling ? 0 : rate_ceiling_.time_until_available(context.now, customer, request.units);
+  const Micros retry_after =
+      quota_.retry_after(customer, request.quota_units,
+                         request.request_class->settings.latency_objective, ceiling_wait);
+  context.emit(Reject{request.id, retry_after});
+  return AdmissionDecision::kRejected;
+}
+
+}  // namespace quota_gateway::policy
--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,82 @@
+#include "policy/retry_policy.hpp"
+
+#include <algorithm>
+
+#include "policy/endpoints/load_balancer.hpp"
+
+namespace quota_gateway::policy {
+namespace {
+
+constexpr double kRetriesPerFirstAttempt = 0.1;
+
+// Whether the two share the memory of idempotency keys.
+bool shares_dedup_memory(DedupScope scope, const EndpointEntry& first,
+                         const EndpointEntry& second) {
+  switch (scope) {
+    case DedupScope::kAll:
+      return true;
+    case DedupScope::kZone:
+      return first.zone == second.zone;
+    case DedupScope::kCell:
+      return first.cell == second.cell;
+  }
+  return false;
+}
+
+}  // namespace
+
+bool RetryPolicy::has_attempts_left(const Request& request) const {
+  const int max_attempts = std::min(request.max_attempts, settings_.max_attempts);
+  return int(request.attempts.size()) < max_attempts;
+}
+
+bool RetryPolicy::may_send_to(Micros now, const Request& request, const Endpoint& endpoint) const {
+  const RequestClass& request_class = *request.request_class;
+  const ClassSettings& settings = request_class.settings;
+  for (const Attempt& attempt : request.attempts) {
+    if (attempt.endpoint == &endpoint) {
+      return false;  // what failed there once may fail there again
+    }
+    if (!attempt.may_have_run || settings.idempotency == Idempotency::kIdempotent) {
+      continue;
+    }
+    if (settings.idempotency == Idempotency::kNonIdempotent) {
+      return false;
+    }
+    if (!shares_dedup_memory(settings.dedup_scope, endpoint.entry, attempt.endpoint->entry) ||
+        !dedup_window_covers(now, request_class, attempt)) {
+      return false;
+    }
+  }
+  return true;
+}
+
+bool RetryPolicy::may_reject(const Request& request) {
+  const ClassSettings& settings = request.request_class->settings;
+  if (settings.idempotency == Idempotency::kIdempotent) {
+    return true;
+  }
+  if (settings.idempotency == Idempotency::kIdempotencyKey &&
+      settings.dedup_scope == DedupScope::kAll) {
+    return true;
+  }
+  return std::none_of(request.attempts.begin(), request.attempts.end(),
+                      [](const Attempt& attempt) { return attempt.may_have_run; });
+}
+
+bool RetryPolicy::is_repeatable(const RequestClass& request_class) {
+  return request_class.settings.idempotency != Idempotency::kNonIdempotent;
+}
+
+void RetryPolicy::on_first_attempt() {
+  retry_budget_ = std::min(kMaxRetryBudget, retry_budget_ + kRetriesPerFirstAttempt);
+}
+
+bool RetryPolicy::dedup_window_covers(Micros now, const RequestClass& request_class,
+                                      const Attempt& attempt) const {
+  const Micros usable_window =
+      request_class.settings.dedup_window - 2 * settings_.clock_tick;  // both ends are rounded
+  return now - attempt.sent_at < usable_window;
+}
+
+}  // namespace quota_gateway::policy
