--- /dev/null
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -0,0 +1,276 @@
+#include "policy/endpoints/load_balancer.hpp"
+
+#include <cmath>
+#include <utility>
+
+#include "policy/time_units.hpp"
+#include "util/decaying_mean.hpp"
+#include "util/random.hpp"
+#include "util/string_join.hpp"
+
+namespace quota_gateway::policy {
+namespace {
+
+// Endpoints compared for an attempt, besides this gateway's share of all.
+constexpr int kLeastSampleSize = 2;
+
+// An endpoint's share of the attempts in flight, over an even one.
+constexpr double kUnevenness = 1.6;
+
+// An endpoint in another zone must look so much better to be worth the longer way.
+constexpr double kOtherZoneCost = 1.08;
+
+// Cost of an ejected endpoint, when too many are ejected: it comes after all others.
+constexpr double kLastResortCost = 1e6;
+
+// A load report says little after this time constant.
+constexpr Micros kLoadReportMemory = 1'000'000;
+
+// Expected durations that a failed attempt counts for at the least, so that an endpoint that
+// answers errors at once does not look fast.
+constexpr double kFailedRelativeDuration = 10;
+
+constexpr Micros kLeastRetention = 64 * kPeriod;
+
+bool is_failure(const AttemptResult& result) {
+  switch (result.outcome) {
+    case Outcome::kOk:
+    case Outcome::kOverloaded:
+    case Outcome::kNotSent:
+    case Outcome::kCancelled:
+      return result.cancelled_as_stalled;
+    default:
+      return true;
+  }
+}
+
+// Does the attempt's duration say how long its endpoint takes?
+bool has_valid_duration(const AttemptResult& result) {
+  return result.outcome == Outcome::kOk || result.outcome == Outcome::kTimeout ||
+         result.cancelled_as_stalled;
+}
+
+void apply_load_report(Micros now, Endpoint& endpoint, const LoadReport& load) {
+  if (load.in_flight >= 0) {
+    const double others = load.in_flight - endpoint.attempts_in_flight - 1;
+    endpoint.reported_load = {std::max(0.0, others), now};
+  } else if (load.queued >= 0) {
+    endpoint.reported_load = {load.queued, now};
+  }
+}
+
+double attempts_of_others(Micros now, const Endpoint& endpoint) {
+  const ReportedLoad& load = endpoint.reported_load;
+  if (load.attempts_of_others <= 0) {
+    return 0;
+  }
+  return load.attempts_of_others * decay_factor(now - load.reported_at, kLoadReportMemory);
+}
+
+}  // namespace
+
+LoadBalancer::LoadBalancer(const Settings& settings, std::uint64_t seed)
+    : settings_(settings),
+      random_state_(seed),
+      slow_start_(settings),
+      subset_(settings, registry_, slow_start_),
+      concurrency_limit_(settings),
+      retention_(kLeastRetention) {
+  settings_changed();
+}
+
+void LoadBalancer::settings_changed() {
+  for (const ClassSettings& request_class : settings_.classes) {
+    retention_ = std::max(retention_, 2 * request_class.deadline);
+  }
+  subset_.on_settings_changed();
+}
+
+void LoadBalancer::update_endpoints(Micros now, const EndpointListUpdate& update) {
+  registry_.update(update, [&](const EndpointRegistry::Change& change) {
+    subset_.on_endpoint_changed(change);
+    Endpoint* endpoint = change.endpoint;
+    if (endpoint == nullptr) {
+      return;
+    }
+    endpoint->last_used_at = now;
+    if (change.restarted) {
+      outlier_detector_.on_restart(*endpoint);
+      endpoint->relative_duration = {};
+    }
+    outlier_detector_.update_counts(*endpoint);
+    subset_.invalidate();
+  });
+  subset_.on_list_updated();
+  concurrency_limit_.set_healthy_endpoints(healthy_endpoints());
+}
+
+void LoadBalancer::on_period(Micros now) {
+  double work = 0;
+  double total_weight = 0;
+  for (Endpoint* endpoint : subset(now)) {
+    endpoint->last_used_at = now;
+    if (slow_start_.warmup_fraction(now, *endpoint) < 1 || endpoint->outlier.ejected) {
+      continue;
+    }
+    work += endpoint->slow_start.work_this_period;
+    total_weight += effective_weight(*endpoint);
+  }
+  slow_start_.update_peer_rate(work, total_weight);
+  registry_.forget_if([&](Endpoint& endpoint) {
+    endpoint.slow_start.work_this_period = 0;
+    return endpoint.open_references == 0 && now - endpoint.last_used_at > retention_ &&
+           !slow_start_.has_relevant_state(now, endpoint);
+  });
+}
+
+void LoadBalancer::on_attempt_sent(Micros now, Endpoint& endpoint, double work) {
+  endpoint.last_used_at = now;
+  ++endpoint.open_references;
+  slow_start_.on_attempt_sent(now, endpoint, work);
+}
+
+void LoadBalancer::add_in_flight(Micros now, Endpoint& endpoint, int attempts) {
+  concurrency_limit_.add_in_flight(now, attempts);
+  endpoint.attempts_in_flight += attempts;
+  const bool had_none = endpoint.attempts_in_flight == attempts;
+  if (had_none) {
+    endpoint.last_progress_at = now;
+  }
+}
+
+bool LoadBalancer::on_attempt_complete(Micros now, Endpoint& endpoint, const AttemptResult& result,
+                                       const LoadReport& load) {
+  const bool failed = is_failure(result);
+  const bool duration_is_valid = has_valid_duration(result);
+  if (failed) {
+    add_relative_duration(now, endpoint,
+                          std::max(result.relative_duration, kFailedRelativeDuration));
+  } else if (duration_is_valid) {
+    add_relative_duration(now, endpoint, result.relative_duration);
+  }
+  apply_load_report(now, endpoint, load);
+  if (result.outcome == Outcome::kOk || result.outcome == Outcome::kError) {
+    endpoint.last_progress_at = now;
+  }
+  if (result.outcome == Outcome::kOk && outlier_detector_.on_success(endpoint)) {
+    on_health_changed();
+  }
+  concurrency_limit_.on_attempt_complete(now, {.objective_fraction = result.objective_fraction,
+                                               .has_valid_duration = duration_is_valid,
+                                               .overloaded = result.outcome == Outcome::kOverloaded,
+                                               .mean_response_time = result.mean_response_time});
+  if (result.cancelled_as_stalled) {
+    outcome_counts_.add_stalled();
+  } else {
+    outcome_counts_.add(result.outcome);
+  }
+  return failed && on_failure(now, endpoint);
+}
+
+bool LoadBalancer::on_response_aborted(Micros now, const std::string& server) {
+  Endpoint* endpoint = registry_.find(server);
+  return endpoint != nullptr && on_failure(now, *endpoint);
+}
+
+const std::vector<Endpoint*>& LoadBalancer::subset(Micros now) {
+  if (outlier_detector_.end_expired_ejections(now)) {
+    on_health_changed();
+  }
+  return subset_.endpoints(now);
+}
+
+bool LoadBalancer::slow_start_admits(Micros now, Endpoint& endpoint, double work) const {
+  const SubsetShare share{.subset_size = subset_.size(), .endpoints_up = registry_.up_count()};
+  return slow_start_.admits(now, endpoint, work, share);
+}
+
+int LoadBalancer::unavailable_endpoints() const {
+  return registry_.draining_count() + outlier_detector_.on_trial_count();
+}
+
+std::string LoadBalancer::describe_state(Micros now) {
+  subset(now);  // ends ejections that are over
+  const OutcomeCounts counts = std::exchange(outcome_counts_, {});
+  return join("in flight ", concurrency_limit_.in_flight(), " of ", concurrency_limit_.limit(),
+              ", response time ", concurrency_limit_.response_time(), " idle ",
+              concurrency_limit_.idle_response_time(), " of the objective, ejected ",
+              outlier_detector_.ejected_count(), " of ", registry_.size(), " endpoints, ",
+              counts.text());
+}
+
+int LoadBalancer::healthy_endpoints() const {
+  return static_cast<int>(registry_.up_count()) - outlier_detector_.ejected_count();
+}
+
+void LoadBalancer::on_health_changed() {
+  subset_.invalidate();
+  concurrency_limit_.set_healthy_endpoints(healthy_endpoints());
+}
+
+// A random window of a large subset, so that the cost of a pick does not grow with it.
+std::size_t LoadBalancer::first_considered(std::size_t subset_size) {
+  if (subset_size <= kConsideredPerPick) {
+    return 0;
+  }
+  return static_cast<std::size_t>(uniform(random_state_) * static_cast<double>(subset_size));
+}
+
+// Gateways that see little of what endpoints hold would all pick the one that looks best, and the
+// slower ones would lie idle. So a few are drawn by their speed, the fewer the less of the load is
+// this gateway's own, and the best of those is taken.
+std::size_t LoadBalancer::sample_size() const {
+  return static_cast<std::size_t>(kLeastSampleSize + healthy_endpoints() / settings_.gateway_count);
+}
+
+double LoadBalancer::max_attempts_per_speed() const {
+  return kUnevenness * concurrency_limit_.limit() / subset_.total_weight();
+}
+
+void LoadBalancer::consider(Micros now, Endpoint& endpoint, const AttemptEstimate& attempt,
+                            double attempts_per_speed) {
+  if (!is_selectable(endpoint)) {
+    return;
+  }
+  const double warmup_root = std::sqrt(slow_start_.warmup_fraction(now, endpoint));
+  const double slowness = relative_slowness(now, endpoint, attempt.mean_response_time);
+  const double speed = effective_weight(endpoint) * warmup_root / slowness;
+  const int in_flight = endpoint.attempts_in_flight;
+  if (in_flight > 0 && in_flight >= std::round(attempts_per_speed * speed)) {
+    return;
+  }
+  if (!slow_start_admits(now, endpoint, attempt.work)) {
+    return;
+  }
+  // Compared without the warm-up: drawn by it and compared by it too, warming endpoints would lie
+  // idle beside full ones.
+  const double load = in_flight + attempts_of_others(now, endpoint) + 1;
+  double cost = load / speed * warmup_root;
+  if (endpoint.is_in_other_zone) {
+    cost *= kOtherZoneCost;
+  }
+  const double last_resort = endpoint.outlier.ejected ? kLastResortCost : 1;
+  const double key = -std::log(1 - uniform(random_state_)) / speed * last_resort;
+  candidates_.add(key, cost * last_resort, &endpoint);
+}
+
+// Where a whole zone is gone, more endpoints may be ejected than is useful: ejected ones are then
+// selectable, too, at the last resort's cost.
+bool LoadBalancer::is_selectable(const Endpoint& endpoint) const {
+  if (endpoint.outlier.ejected && !outlier_detector_.too_many_ejected(registry_.up_count())) {
+    return false;
+  }
+  return !endpoint.outlier.on_trial || endpoint.attempts_in_flight <= 0;
+}
+
+bool LoadBalancer::on_failure(Micros now, Endpoint& endpoint) {
+  if (!outlier_detector_.on_failure(now, endpoint)) {
+    return false;
+  }
+  outcome_counts_.add_ejection();
+  endpoint.last_used_at = now;  // so that it is kept until the ejection ends
+  on_health_changed();
+  return true;
+}
+
+}  // namespace quota_gateway::policy
--- a/src/policy/endpoints/outcome_counts.hpp
+++ b/src/policy/endpoints/outcome_counts.hpp
@@ -1,36 +1,31 @@
-// How attempts ended, counted for the log: nothing that decides.
+// How attempts ended, counted for the log.
 #pragma once
 
 #include <array>
+#include <cstddef>
+#include <string>
 
 #include "quota_gateway/gateway.hpp"
-#include "util/string_join.hpp"
 
-namespace quota_gateway {
+namespace quota_gateway::policy {
 
 class OutcomeCounts {
  public:
-  // `blamed`: cancelled by us because its server had stalled.
-  void add(Outcome outcome, bool blamed) { ++counts_[blamed ? kBlamed : std::size_t(outcome)]; }
-  void add_ejection() { ++ejections_; }
-
-  std::string text() const {
-    static constexpr const char* kNames[] = {" ok ",        " error ",       " full ",
-                                             " late ",      " unconnected ", " reset ",
-                                             " cancelled ", " not sent ",    " blamed "};
-    std::string out = join(ejections_, " times, ended:");
-    for (std::size_t i = 0; i < counts_.size(); ++i) {
-      if (counts_[i] > 0) {
-        out += join(kNames[i], counts_[i]);
-      }
-    }
-    return out;
-  }
+  void add(Outcome outcome);
+
+  // An attempt that this gateway cancelled since its endpoint had stalled, whatever its outcome.
+  void add_stalled();
+
+  void add_ejection();
+
+  // For the log; leaves out outcomes that did not occur.
+  std::string text() const;
 
  private:
-  static constexpr std::size_t kBlamed = std::size_t(Outcome::kNotSent) + 1;  // beside the outcomes
-  std::array<int, kBlamed + 1> counts_{};
+  static constexpr std::size_t kStalled = static_cast<std::size_t>(Outcome::kNotSent) + 1;
+
+  std::array<int, kStalled + 1> counts_{};  // by outcome, and the stalled ones
   int ejections_ = 0;
 };
 
-}  // namespace quota_gateway
+}  // namespace quota_gateway::policy
--- a/src/util/order_statistic_ring.hpp
+++ b/src/util/order_statistic_ring.hpp
@@ -1,4 +1,5 @@
-// Items in the order of their places on a ring of 2^64, some of them counted: nothing that decides.
+// Items on a ring of 2^64 positions, some of them counted, that can be found by rank among the
+// counted ones.
 #pragma once
 
 #include <algorithm>
@@ -12,236 +13,307 @@
 
 namespace quota_gateway {
 
-// T has a unique `name`, read as a string_view, and a bool `counted`. Sorted blocks: a search, an
-// insertion and an erasure cost a binary search over the blocks and the shift of part of one,
-// whatever the size. Danger: items move in memory at each insertion and erasure; only a Position
-// from after the last of them is good.
-template <typename T>
+// Ordered by position, and by name where several items share one. `Item` has a unique `name`, which
+// converts to std::string_view, and a bool `counted`, which only the ring changes once the item is
+// inserted.
+//
+// The items lie in sorted blocks of bounded size: a search, an insertion and an erasure cost a
+// binary search over the blocks and a shift within one of them, however many items there are.
+//
+// Items move in memory at each insertion and erasure, which invalidate every Slot and reference to
+// an item.
+template <typename Item>
 class OrderStatisticRing {
  public:
-  struct Position {
-    std::size_t block = 0, index = 0;
+  // Where an item is stored.
+  struct Slot {
+    std::size_t block = 0;
+    std::size_t index = 0;
+  };
+
+  struct FindResult {
+    Slot slot;  // of the item, or where it would be inserted
+    bool found = false;
   };
 
   std::size_t size() const { return size_; }
-  std::size_t counted() const { return counted_; }
+  std::size_t counted_size() const { return counted_size_; }
 
-  T& at(Position p) { return blocks_[p.block]->items[p.index]; }
-  std::uint64_t place(Position p) const { return blocks_[p.block]->places[p.index]; }
+  // `slot` is that of an item.
+  Item& at(Slot slot) { return blocks_[slot.block]->items[slot.index]; }
+  std::uint64_t ring_position(Slot slot) const {
+    return blocks_[slot.block]->positions[slot.index];
+  }
 
-  // Where the item is, or would be inserted; true if it is there.
-  std::pair<Position, bool> find(std::uint64_t place, std::string_view name) const {
-    Position p;
-    if (blocks_.empty()) {
-      return {p, false};
-    }
-    p.block = block_of(place);
-    while (p.block > 0 && first_[p.block] == place &&
-           name < std::string_view(blocks_[p.block]->items.front().name)) {
-      --p.block;
-    }
-    const Block& b = *blocks_[p.block];
-    p.index = index_of(b, place);
-    while (p.index < b.items.size() && b.places[p.index] == place &&
-           std::string_view(b.items[p.index].name) < name) {
-      ++p.index;
-    }
-    const bool found = p.index < b.items.size() && b.places[p.index] == place &&
-                       std::string_view(b.items[p.index].name) == name;
-    return {p, found};
+  FindResult find(std::uint64_t position, std::string_view name) const;
+
+  // Inserts at a slot that `find` gave for this position and name. Returns the slot of the item.
+  Slot insert(Slot slot, std::uint64_t position, Item item);
+
+  void erase(Slot slot);
+
+  void set_counted(Slot slot, bool counted);
+
+  // The position of the counted item that has `rank` counted ones before it; `rank` is less than
+  // counted_size().
+  std::uint64_t position_of_rank(std::size_t rank) const;
+
+  // Calls `visit(position, item)` for the counted items from a position on, once round the ring at
+  // the most, until it returns false. It may neither insert, erase nor count.
+  template <typename Visit>
+  void visit_counted_from(std::uint64_t position, Visit visit);
+
+  // Calls `visit(slot)` for all items. It may neither insert nor erase.
+  template <typename Visit>
+  void for_each(Visit visit);
+
+  // Erases the items of which `predicate(item)` is true.
+  template <typename Predicate>
+  void erase_if(Predicate predicate);
+
+ private:
+  static constexpr std::size_t kBlockCapacity = 64;  // an insertion moves a third of it on average
+  static constexpr std::size_t kMergeBelow = kBlockCapacity / 4;
+  static constexpr std::size_t kMergedAtMost = kBlockCapacity / 4 * 3;  // leaves space to insert
+
+  struct Block {
+    // Of the items. Apart from them and inside the block, so that a search waits for memory once.
+    std::array<std::uint64_t, kBlockCapacity> positions;
+    std::vector<Item> items;
+  };
+
+  static std::ptrdiff_t offset(std::size_t index) { return static_cast<std::ptrdiff_t>(index); }
+
+  std::size_t block_containing(std::uint64_t position) const;
+  static std::size_t first_index_at(const Block& block, std::uint64_t position);
+  Slot split(Slot slot);
+  void merge_with_next(std::size_t block);
+  void insert_block(std::size_t block, std::uint64_t first_position);
+  void erase_block(std::size_t block);
+
+  std::vector<std::unique_ptr<Block>>
+      blocks_;  // none is empty; pointers, as a split moves all behind it
+  std::vector<std::uint64_t> first_positions_;  // by block
+  std::vector<std::uint32_t>
+      counted_in_block_;  // apart from the blocks, so that a rank is found fast
+  std::size_t size_ = 0;
+  std::size_t counted_size_ = 0;
+};
+
+template <typename Item>
+typename OrderStatisticRing<Item>::FindResult OrderStatisticRing<Item>::find(
+    std::uint64_t position, std::string_view name) const {
+  if (blocks_.empty()) {
+    return {};
+  }
+  const auto name_at = [](const Block& block, std::size_t index) {
+    return static_cast<std::string_view>(block.items[index].name);
+  };
+  Slot slot;
+  slot.block = block_containing(position);
+  // Items of one position may begin in an earlier block.
+  while (slot.block > 0 && first_positions_[slot.block] == position &&
+         name < name_at(*blocks_[slot.block], 0)) {
+    --slot.block;
   }
+  const Block& block = *blocks_[slot.block];
+  slot.index = first_index_at(block, position);
+  const auto is_at_position = [&](std::size_t index) {
+    return index < block.items.size() && block.positions[index] == position;
+  };
+  while (is_at_position(slot.index) && name_at(block, slot.index) < name) {
+    ++slot.index;
+  }
+  return {slot, is_at_position(slot.index) && name_at(block, slot.index) == name};
+}
 
-  // At a position that `find` gave for this place and name. Returns where it is now.
-  Position insert(Position p, std::uint64_t place, T item) {
-    if (blocks_.empty()) {
-      add(0, place);
-    }
-    if (blocks_[p.block]->items.size() == kBlock) {
-      p = split(p);
-    }
-    Block& b = *blocks_[p.block];
-    if (item.counted) {
-      ++counts_[p.block], ++counted_;
-    }
-    const auto spot = b.places.begin() + std::ptrdiff_t(p.index);
-    const auto end = b.places.begin() + std::ptrdiff_t(b.items.size());
-    std::copy_backward(spot, end, end + 1);
-    *spot = place;
-    b.items.insert(b.items.begin() + std::ptrdiff_t(p.index), std::move(item));
-    first_[p.block] = b.places.front();
-    ++size_;
-    return p;
-  }
-
-  void erase(Position p) {
-    Block& b = *blocks_[p.block];
-    count(p, false);
-    const auto spot = b.places.begin() + std::ptrdiff_t(p.index);
-    std::copy(spot + 1, b.places.begin() + std::ptrdiff_t(b.items.size()), spot);
-    b.items.erase(b.items.begin() + std::ptrdiff_t(p.index));
-    --size_;
-    if (b.items.empty()) {
-      return drop(p.block);
-    }
-    first_[p.block] = b.places.front();
-    const std::size_t next = p.block + 1;
-    const std::size_t n = b.items.size();  // the next block is seldom worth a look
-    if (n < kBlock / 4 && next < blocks_.size() &&
-        n + blocks_[next]->items.size() <= kBlock / 4 * 3) {
-      merge(p.block);
-    }
+template <typename Item>
+typename OrderStatisticRing<Item>::Slot OrderStatisticRing<Item>::insert(Slot slot,
+                                                                         std::uint64_t position,
+                                                                         Item item) {
+  if (blocks_.empty()) {
+    insert_block(0, position);
+  }
+  if (blocks_[slot.block]->items.size() == kBlockCapacity) {
+    slot = split(slot);
+  }
+  Block& block = *blocks_[slot.block];
+  if (item.counted) {
+    ++counted_in_block_[slot.block];
+    ++counted_size_;
   }
+  const auto spot = block.positions.begin() + offset(slot.index);
+  const auto end = block.positions.begin() + offset(block.items.size());
+  std::copy_backward(spot, end, end + 1);
+  *spot = position;
+  block.items.insert(block.items.begin() + offset(slot.index), std::move(item));
+  first_positions_[slot.block] = block.positions.front();
+  ++size_;
+  return slot;
+}
 
-  void count(Position p, bool counted) {
-    T& item = at(p);
-    if (item.counted == counted) {
-      return;
-    }
-    item.counted = counted;
-    const std::uint32_t by = counted ? 1 : std::uint32_t(-1);
-    counts_[p.block] += by;
-    counted_ = counted ? counted_ + 1 : counted_ - 1;
+template <typename Item>
+void OrderStatisticRing<Item>::erase(Slot slot) {
+  set_counted(slot, false);
+  Block& block = *blocks_[slot.block];
+  const auto spot = block.positions.begin() + offset(slot.index);
+  std::copy(spot + 1, block.positions.begin() + offset(block.items.size()), spot);
+  block.items.erase(block.items.begin() + offset(slot.index));
+  --size_;
+  if (block.items.empty()) {
+    erase_block(slot.block);
+    return;
+  }
+  first_positions_[slot.block] = block.positions.front();
+  const std::size_t remaining = block.items.size();
+  const std::size_t next = slot.block + 1;
+  // The size of the next block is read last: it is elsewhere in memory and rarely needed.
+  if (remaining < kMergeBelow && next < blocks_.size() &&
+      remaining + blocks_[next]->items.size() <= kMergedAtMost) {
+    merge_with_next(slot.block);
   }
+}
 
-  // The place of the counted item that has `rank` counted ones before it; rank < counted().
-  std::uint64_t select(std::size_t rank) const {
-    std::size_t block = 0;
-    std::size_t index = 0;
-    while (rank >= counts_[block]) {
-      rank -= counts_[block++];
-    }
-    const Block& b = *blocks_[block];
-    while (!b.items[index].counted || rank-- > 0) {
-      ++index;
-    }
-    return b.places[index];
+template <typename Item>
+void OrderStatisticRing<Item>::set_counted(Slot slot, bool counted) {
+  Item& item = at(slot);
+  if (item.counted == counted) {
+    return;
   }
+  item.counted = counted;
+  if (counted) {
+    ++counted_in_block_[slot.block];
+    ++counted_size_;
+  } else {
+    --counted_in_block_[slot.block];
+    --counted_size_;
+  }
+}
 
-  // Counted items from a place on, once round the ring at the most, while `visit(place, item)` says
-  // so.
-  template <typename Visit>
-  void walk(std::uint64_t from, Visit visit) {
-    if (blocks_.empty()) {
-      return;
+template <typename Item>
+std::uint64_t OrderStatisticRing<Item>::position_of_rank(std::size_t rank) const {
+  std::size_t number = 0;
+  while (rank >= counted_in_block_[number]) {
+    rank -= counted_in_block_[number];
+    ++number;
+  }
+  const Block& block = *blocks_[number];
+  std::size_t index = 0;
+  while (!block.items[index].counted || rank > 0) {
+    if (block.items[index].counted) {
+      --rank;
     }
-    const std::size_t first = block_of(from);
-    const std::size_t start = index_of(*blocks_[first], from);
-    for (std::size_t i = 0; i <= blocks_.size(); ++i) {
-      Block& b = *blocks_[(first + i) % blocks_.size()];
-      const std::size_t end = i == blocks_.size() ? start : b.items.size();
-      for (std::size_t k = i == 0 ? start : 0; k < end; ++k) {
-        if (b.items[k].counted && !visit(b.places[k], b.items[k])) {
-          return;
-        }
+    ++index;
+  }
+  return block.positions[index];
+}
+
+template <typename Item>
+template <typename Visit>
+void OrderStatisticRing<Item>::visit_counted_from(std::uint64_t position, Visit visit) {
+  if (blocks_.empty()) {
+    return;
+  }
+  const std::size_t first_block = block_containing(position);
+  const std::size_t start = first_index_at(*blocks_[first_block], position);
+  // The first block comes twice: from `start` on, and at the end up to it.
+  for (std::size_t i = 0; i <= blocks_.size(); ++i) {
+    Block& block = *blocks_[(first_block + i) % blocks_.size()];
+    const std::size_t begin = i == 0 ? start : 0;
+    const std::size_t end = i == blocks_.size() ? start : block.items.size();
+    for (std::size_t index = begin; index < end; ++index) {
+      Item& item = block.items[index];
+      if (item.counted && !visit(block.positions[index], item)) {
+        return;
       }
     }
   }
+}
 
-  // All, counted or not; `visit(position)` inserts and erases nothing.
-  template <typename Visit>
-  void each(Visit visit) {
-    for (Position p; p.block < blocks_.size(); ++p.block) {
-      for (p.index = 0; p.index < blocks_[p.block]->items.size(); ++p.index) {
-        visit(p);
-      }
+template <typename Item>
+template <typename Visit>
+void OrderStatisticRing<Item>::for_each(Visit visit) {
+  for (std::size_t block = 0; block < blocks_.size(); ++block) {
+    for (std::size_t index = 0; index < blocks_[block]->items.size(); ++index) {
+      visit(Slot{block, index});
     }
   }
+}
 
-  template <typename Gone>
-  void erase_if(Gone gone) {
-    for (std::size_t block = blocks_.size(); block-- > 0;) {
-      for (std::size_t index = blocks_[block]->items.size(); index-- > 0;) {
-        if (gone(blocks_[block]->items[index])) {
-          erase({block, index});
-        }
+template <typename Item>
+template <typename Predicate>
+void OrderStatisticRing<Item>::erase_if(Predicate predicate) {
+  // From the end, since an erasure moves only what lies behind it.
+  for (std::size_t block = blocks_.size(); block-- > 0;) {
+    for (std::size_t index = blocks_[block]->items.size(); index-- > 0;) {
+      if (predicate(blocks_[block]->items[index])) {
+        erase({block, index});
       }
     }
   }
+}
 
- private:
-  static constexpr std::size_t kBlock = 64;  // items; one insertion moves a third of so many
-  struct Block {
-    std::array<std::uint64_t, kBlock>
-        places;  // of the items; apart and here, so that a search waits once
-    std::vector<T> items;
-  };
+template <typename Item>
+std::size_t OrderStatisticRing<Item>::block_containing(std::uint64_t position) const {
+  const auto next = std::upper_bound(first_positions_.begin(), first_positions_.end(), position);
+  if (next == first_positions_.begin()) {
+    return 0;
+  }
+  return static_cast<std::size_t>(next - first_positions_.begin()) - 1;
+}
 
-  std::size_t block_of(std::uint64_t place) const {
-    const auto after = std::upper_bound(first_.begin(), first_.end(), place);
-    return after == first_.begin() ? 0 : std::size_t(after - first_.begin()) - 1;
+template <typename Item>
+std::size_t OrderStatisticRing<Item>::first_index_at(const Block& block, std::uint64_t position) {
+  std::size_t before = 0;
+  for (std::size_t index = 0; index < block.items.size(); ++index) {  // without branches
+    before += static_cast<std::size_t>(block.positions[index] < position);
   }
-  static std::size_t index_of(const Block& b, std::uint64_t place) {
-    std::size_t before = 0;
-    for (std::size_t i = 0; i < b.items.size(); ++i) {
-      before += b.places[i] < place;
-    }
-    return before;
-  }
-
-  Position split(Position p) {
-    add(p.block + 1, blocks_[p.block]->places[kBlock / 2]);
-    Block& low = *blocks_[p.block];
-    Block& high = *blocks_[p.block + 1];
-    const auto half = std::ptrdiff_t(kBlock / 2);
-    std::copy(low.places.begin() + half, low.places.end(), high.places.begin());
-    high.items.assign(std::make_move_iterator(low.items.begin() + half),
-                      std::make_move_iterator(low.items.end()));
-    low.items.erase(low.items.begin() + half, low.items.end());
-    for (const T& item : high.items) {
-      counts_[p.block + 1] += item.counted;
-    }
-    counts_[p.block] -= counts_[p.block + 1];
-    return p.index <= kBlock / 2 ? p : Position{p.block + 1, p.index - kBlock / 2};
-  }
-  void merge(std::size_t block) {
-    Block& low = *blocks_[block];
-    Block& high = *blocks_[block + 1];
-    std::copy_n(high.places.begin(), high.items.size(),
-                low.places.begin() + std::ptrdiff_t(low.items.size()));
-    low.items.insert(low.items.end(), std::make_move_iterator(high.items.begin()),
-                     std::make_move_iterator(high.items.end()));
-    counts_[block] += counts_[block + 1];
-    drop(block + 1);
-  }
-  void add(std::size_t block, std::uint64_t first) {
-    blocks_.insert(blocks_.begin() + std::ptrdiff_t(block), std::make_unique<Block>());
-    first_.insert(first_.begin() + std::ptrdiff_t(block), first);
-    counts_.insert(counts_.begin() + std::ptrdiff_t(block), 0);
-  }
-  void drop(std::size_t block) {
-    blocks_.erase(blocks_.begin() + std::ptrdiff_t(block));
-    first_.erase(first_.begin() + std::ptrdiff_t(block));
-    counts_.erase(counts_.begin() + std::ptrdiff_t(block));
+  return before;
+}
+
+// Moves the upper half of a full block into a new one. Returns where `slot` is now.
+template <typename Item>
+typename OrderStatisticRing<Item>::Slot OrderStatisticRing<Item>::split(Slot slot) {
+  constexpr std::size_t kHalf = kBlockCapacity / 2;
+  const std::size_t upper = slot.block + 1;
+  insert_block(upper, blocks_[slot.block]->positions[kHalf]);
+  Block& low = *blocks_[slot.block];
+  Block& high = *blocks_[upper];
+  std::copy(low.positions.begin() + offset(kHalf), low.positions.end(), high.positions.begin());
+  const auto middle = low.items.begin() + offset(kHalf);
+  high.items.assign(std::make_move_iterator(middle), std::make_move_iterator(low.items.end()));
+  low.items.erase(middle, low.items.end());
+  for (const Item& item : high.items) {
+    counted_in_block_[upper] += static_cast<std::uint32_t>(item.counted);
   }
+  counted_in_block_[slot.block] -= counted_in_block_[upper];
+  return slot.index <= kHalf ? slot : Slot{upper, slot.index - kHalf};
+}
 
-  std::vector<std::unique_ptr<Block>>
-      blocks_;                        // none is empty; by pointer, since a split moves all after it
-  std::vector<std::uint64_t> first_;  // the first place of each
-  std::vector<std::uint32_t>
-      counts_;  // how many of each are counted; apart, so that a rank is found fast
-  std::size_t size_ = 0, counted_ = 0;
-};
+template <typename Item>
+void OrderStatisticRing<Item>::merge_with_next(std::size_t block) {
+  Block& low = *blocks_[block];
+  Block& high = *blocks_[block + 1];
+  std::copy_n(high.positions.begin(), high.items.size(),
+              low.positions.begin() + offset(low.items.size()));
+  low.items.insert(low.items.end(), std::make_move_iterator(high.items.begin()),
+                   std::make_move_iterator(high.items.end()));
+  counted_in_block_[block] += counted_in_block_[block + 1];
+  erase_block(block + 1);
+}
 
-// A place on a ring that is kept while items come and go, and how many counted ones lie before it.
-class RankCursor {
- public:
-  std::uint64_t place() const { return place_; }
-  double rank() const { return double(rank_); }
-  template <typename Ring>
-  void set(const Ring& ring, std::size_t rank) {
-    place_ = ring.select(rank);
-    rank_ = std::int64_t(rank);
-  }
-  // An item at `place` is counted now and was not (1), or the other way round (-1).
-  void moved(std::uint64_t place, int by) {
-    if (place < place_) {
-      rank_ += by;
-    }
-  }
+template <typename Item>
+void OrderStatisticRing<Item>::insert_block(std::size_t block, std::uint64_t first_position) {
+  blocks_.insert(blocks_.begin() + offset(block), std::make_unique<Block>());
+  first_positions_.insert(first_positions_.begin() + offset(block), first_position);
+  counted_in_block_.insert(counted_in_block_.begin() + offset(block), 0);
+}
 
- private:
-  std::uint64_t place_ = 0;
-  std::int64_t rank_ = 0;
-};
+template <typename Item>
+void OrderStatisticRing<Item>::erase_block(std::size_t block) {
+  blocks_.erase(blocks_.begin() + offset(block));
+  first_positions_.erase(first_positions_.begin() + offset(block));
+  counted_in_block_.erase(counted_in_block_.begin() + offset(block));
+}
 
 }  // namespace quota_gateway
--- a/src/util/weighted_sample.hpp
+++ b/src/util/weighted_sample.hpp
@@ -1,4 +1,4 @@
-// Things drawn by a random key, of which the one of the least cost is taken: nothing that decides.
+// Draws a few candidates by random keys and picks the one of the least cost among them.
 #pragma once
 
 #include <algorithm>
@@ -7,35 +7,43 @@
 
 namespace quota_gateway {
 
-template <typename T>
+// With keys that are exponentially distributed, at a rate that is the item's weight, the items of
+// the least keys are a weighted sample without replacement. Keeps pointers alone; its memory is
+// used again after `clear`.
+template <typename Item>
 class WeightedSample {
  public:
-  void clear() { draws_.clear(); }
-  bool empty() const { return draws_.empty(); }
-  void add(double key, double cost, T* item) { draws_.push_back({key, cost, item}); }
-
-  // Of the `few` (at least 1) with the least keys the one that costs least, and of equal ones the
-  // first by key; null if there are none.
-  T* best_of(std::size_t few) {
-    if (draws_.empty()) {
+  void clear() { candidates_.clear(); }
+  bool empty() const { return candidates_.empty(); }
+  void add(double key, double cost, Item* item) { candidates_.push_back({key, cost, item}); }
+
+  // Among the `sample_size` (at least 1) candidates with the least keys, the one of the least cost,
+  // and of equal costs the one of the least key. Null if there are no candidates. Reorders them.
+  Item* cheapest_of(std::size_t sample_size) {
+    if (candidates_.empty()) {
       return nullptr;
     }
-    const auto end = draws_.begin() + std::ptrdiff_t(std::min(few, draws_.size()));
-    std::nth_element(draws_.begin(), end - 1, draws_.end(),
-                     [](const Draw& a, const Draw& b) { return a.key < b.key; });
-    return std::min_element(draws_.begin(), end,
-                            [](const Draw& a, const Draw& b) {
-                              return a.cost < b.cost || (a.cost == b.cost && a.key < b.key);
-                            })
-        ->item;
+    const std::size_t size = std::min(sample_size, candidates_.size());
+    const auto end = candidates_.begin() + static_cast<std::ptrdiff_t>(size);
+    std::nth_element(candidates_.begin(), end - 1, candidates_.end(), has_lower_key);
+    return std::min_element(candidates_.begin(), end, is_cheaper)->item;
   }
 
  private:
-  struct Draw {
-    double key = 0, cost = 0;
-    T* item = nullptr;
+  struct Candidate {
+    double key = 0;
+    double cost = 0;
+    Item* item = nullptr;
   };
-  std::vector<Draw> draws_;
+
+  static bool has_lower_key(const Candidate& left, const Candidate& right) {
+    return left.key < right.key;
+  }
+  static bool is_cheaper(const Candidate& left, const Candidate& right) {
+    return left.cost < right.cost || (left.cost == right.cost && left.key < right.key);
+  }
+
+  std::vector<Candidate> candidates_;
 };
 
 }  // namespace quota_gateway
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -7,6 +7,7 @@
 #include <time.h>
 
 #include <algorithm>
+#include <cmath>
 #include <deque>
 #include <map>
 #include <memory>
@@ -15,6 +16,7 @@
 #include <vector>
 
 #include "quota_gateway/gateway.hpp"
+#include "util/compact_string.hpp"
 #include "util/hash.hpp"
 #include "util/order_statistic_ring.hpp"
 #include "util/random.hpp"
@@ -44,7 +46,7 @@
 
 std::vector<std::string> walked_from(Ring& ring, std::uint64_t from) {
   std::vector<std::string> out;
-  ring.walk(from, [&](std::uint64_t, const Item& item) {
+  ring.visit_counted_from(from, [&](std::uint64_t, const Item& item) {
     out.push_back(item.name);
     return true;
   });
@@ -73,7 +75,7 @@
       ASSERT_EQ(ring.at(now_at).name, name);
       model[{place, name}] = counted;
     } else if (found && (grows || uniform(random) < 0.1)) {
-      ring.count(at, counted);
+      ring.set_counted(at, counted);
       model[{place, name}] = counted;
     } else if (found) {
       ring.erase(at);
@@ -86,17 +88,17 @@
     const std::uint64_t from = mix(random);
     const auto expected = counted_from(model, from);
     ASSERT_EQ(walked_from(ring, from), expected);
-    ASSERT_EQ(ring.counted(), expected.size());
+    ASSERT_EQ(ring.counted_size(), expected.size());
     const auto in_order = counted_from(model, 0);
     for (std::size_t rank = 0; rank < in_order.size(); rank += 1 + in_order.size() / 7) {
-      ASSERT_EQ(ring.select(rank), hash_text(in_order[rank]) >> 52 << 52);
+      ASSERT_EQ(ring.position_of_rank(rank), hash_text(in_order[rank]) >> 52 << 52);
     }
   }
   ring.erase_if([](const Item& item) { return item.counted; });
   std::erase_if(model, [](const auto& e) { return e.second; });
   EXPECT_EQ(ring.size(), model.size());
   std::size_t visited = 0;
-  ring.each([&](Ring::Position) { ++visited; });
+  ring.for_each([&](Ring::Slot) { ++visited; });
   EXPECT_EQ(visited, model.size());
   ring.erase_if([](const Item&) { return true; });
   EXPECT_EQ(ring.size(), 0U);
@@ -105,18 +107,18 @@
 
 TEST(StringInterner, KeepsEachTextOnceAndOnlyWhileItIsHeld) {
   StringInterner zones;
-  const auto a = zones.take("a");
-  const auto b = zones.take("b");
-  EXPECT_EQ(zones.take("a"), a);
+  const auto a = zones.acquire("a");
+  const auto b = zones.acquire("b");
+  EXPECT_EQ(zones.acquire("a"), a);
   EXPECT_NE(a, b);
-  zones.drop(a);
-  zones.drop(b);
+  zones.release(a);
+  zones.release(b);
   EXPECT_EQ(zones[a], "a");
   EXPECT_EQ(zones.size(), 1U);
   for (int i = 0; i < 100; ++i) {
-    zones.drop(zones.take("passing"));
+    zones.release(zones.acquire("passing"));
   }
-  EXPECT_EQ(zones.take("c"), b);  // numbers are used again
+  EXPECT_EQ(zones.acquire("c"), b);  // numbers are used again
 }
 
 TEST(CompactString, HoldsAnyBytes) {
@@ -434,15 +436,15 @@
   }
   void change(const EndpointListUpdate& update) {
     std::vector<std::uint64_t> came;
-    list_.update(update, [&](const policy::List::Change& c) {
+    list_.update(update, [&](const policy::EndpointRegistry::Change& c) {
       for (RankCursor& start : starts_) {
-        start.moved(c.place, c.came);
+        start.on_change(c.ring_position, c.up_change);
       }
-      if (c.came > 0) {
-        came.push_back(c.place);
+      if (c.up_change == CountChange::kBecameCounted) {
+        came.push_back(c.ring_position);
       }
-      if (c.came < 0) {
-        places_.erase(std::lower_bound(places_.begin(), places_.end(), c.place));
+      if (c.up_change == CountChange::kNoLongerCounted) {
+        places_.erase(std::lower_bound(places_.begin(), places_.end(), c.ring_position));
       }
     });
     std::sort(came.begin(), came.end());
@@ -457,9 +459,9 @@
   }
   Stretches stretches() const {
     Stretches out{
-        places_, {}, std::min(places_.size(), std::size_t(policy::part_size(list_, settings_)))};
+        places_, {}, std::min(places_.size(), std::size_t(policy::subset_size(list_, settings_)))};
     for (const RankCursor& start : starts_) {
-      const auto at = std::lower_bound(places_.begin(), places_.end(), start.place());
+      const auto at = std::lower_bound(places_.begin(), places_.end(), start.ring_position());
       out.firsts.push_back(std::size_t(at - places_.begin()) % places_.size());
     }
     return out;
@@ -470,10 +472,10 @@
     settings_.gateway_count = std::max(1, int(starts_.size()));
     for (std::size_t i = 0; i < starts_.size(); ++i) {
       settings_.gateway_index = int(i);
-      policy::place_part(starts_[i], list_, settings_);
+      policy::place_subset_start(starts_[i], list_, settings_);
     }
   }
-  policy::List list_;
+  policy::EndpointRegistry list_;
   std::vector<RankCursor> starts_;
   std::vector<std::uint64_t> places_;
   Settings settings_;
@@ -569,7 +571,7 @@
         modules[k]->update_endpoints(i * kMs, update);
         std::vector<std::uint64_t> used;
         for (const policy::Endpoint* s : modules[k]->subset(i * kMs)) {
-          used.push_back(s->place);
+          used.push_back(s->ring_position);
         }
         std::sort(used.begin(), used.end());
         ASSERT_EQ(used, now.part(std::size_t(settings[k].gateway_index))) << i;
