--- a/src/policy/endpoints/endpoint_registry.hpp
+++ b/src/policy/endpoints/endpoint_registry.hpp
@@ -114,8 +114,8 @@
 
 template <typename Visit>
 void EndpointRegistry::use_from(std::uint64_t position, Visit visit) {
-  ring_.visit_counted_from(position, [&](std::uint64_t at, ListedEndpoint& listed) {
-    return visit(listed.endpoint != nullptr ? *listed.endpoint : start_use(at, listed));
+  ring_.visit_counted_from(position, [&](std::uint64_t found_at, ListedEndpoint& listed) {
+    return visit(listed.endpoint != nullptr ? *listed.endpoint : start_use(found_at, listed));
   });
 }
 
--- a/src/policy/endpoints/load_balancer.cpp
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -220,7 +220,8 @@
 // slower ones would lie idle. So a few are drawn by their speed, the fewer the less of the load is
 // this gateway's own, and the best of those is taken.
 std::size_t LoadBalancer::sample_size() const {
-  return static_cast<std::size_t>(kLeastSampleSize + healthy_endpoints() / settings_.gateway_count);
+  const int size = kLeastSampleSize + healthy_endpoints() / settings_.gateway_count;
+  return static_cast<std::size_t>(size);
 }
 
 double LoadBalancer::max_attempts_per_speed() const {
--- a/src/util/compact_string.hpp
+++ b/src/util/compact_string.hpp
@@ -17,7 +17,9 @@
   operator std::string_view() const { return view(); }
 
  private:
-  std::unique_ptr<char[]> bytes_;  // its size in four bytes, then the text
+  // Its size in four bytes, then the text. A vector would take three pointers.
+  // NOLINTNEXTLINE(modernize-avoid-c-arrays): the length is known at run time only
+  std::unique_ptr<char[]> bytes_;
 };
 
 }  // namespace quota_gateway
--- a/src/util/string_join.hpp
+++ b/src/util/string_join.hpp
@@ -7,7 +7,8 @@
 namespace quota_gateway {
 
 // Each part as operator<< writes it, with nothing between.
-std::string join(const auto&... parts) {
+template <typename... Parts>
+std::string join(const Parts&... parts) {
   std::ostringstream text;
   (text << ... << parts);
   return text.str();
