--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -5,6 +5,7 @@
 
 #include "policy/endpoints/load_balancer.hpp"
 #include "policy/quota/demand_estimator.hpp"
+#include "policy/quota/local_budget.hpp"
 #include "policy/quota/quota_allocator.hpp"
 #include "policy/quota/quota_capacity.hpp"
 #include "policy/quota/rate_ceiling.hpp"
@@ -116,8 +117,8 @@
   if (is_sparse(settings_, customer)) {
     return check_shared_pool(context, request, excess_admitted);
   }
-  return quota_.covers(customer, request.quota_units) ? QuotaCheck::kWithinSlice
-                                                      : QuotaCheck::kBeyond;
+  return slice_covers(customer, request.quota_units) ? QuotaCheck::kWithinSlice
+                                                     : QuotaCheck::kBeyond;
 }
 
 // Sparse customers reserve units from the pool that all gateways share. A request has one chance to
@@ -147,9 +148,9 @@
   CustomerState& customer = *request.customer;
   if (quota == QuotaCheck::kReserved) {
     request.charged_to = BudgetSource::kPoolReservation;
-    quota_.charge_to(BudgetSource::kPoolReservation, customer, request.quota_units);
+    charge_to(customer, BudgetSource::kPoolReservation, request.quota_units);
   } else {
-    request.charged_to = quota_.charge(customer, request.quota_units);
+    request.charged_to = charge_slice(customer, request.quota_units);
   }
 }
 
--- a/src/policy/attempt_completion.cpp
+++ b/src/policy/attempt_completion.cpp
@@ -7,7 +7,7 @@
 #include "policy/endpoints/load_balancer.hpp"
 #include "policy/hold_queue.hpp"
 #include "policy/log_limiter.hpp"
-#include "policy/quota/quota_allocator.hpp"
+#include "policy/quota/local_budget.hpp"
 #include "policy/request_finisher.hpp"
 #include "policy/retry_policy.hpp"
 
@@ -33,12 +33,11 @@
 
 }  // namespace
 
-AttemptCompletion::AttemptCompletion(const Settings& settings, QuotaAllocator& quota,
-                                     LoadBalancer& load_balancer, LogLimiter& log,
-                                     RetryPolicy& retry_policy, AttemptSender& sender,
-                                     HoldQueue& hold_queue, RequestFinisher& finisher)
+AttemptCompletion::AttemptCompletion(const Settings& settings, LoadBalancer& load_balancer,
+                                     LogLimiter& log, RetryPolicy& retry_policy,
+                                     AttemptSender& sender, HoldQueue& hold_queue,
+                                     RequestFinisher& finisher)
     : settings_(settings),
-      quota_(quota),
       load_balancer_(load_balancer),
       log_(log),
       retry_policy_(retry_policy),
@@ -64,7 +63,7 @@
   }
   report_to_endpoint(context, request, attempt, event);
   if (settings_.units_settled_later && event.billed_units > 0 && !request.over_quota) {
-    quota_.charge(*request.customer, event.billed_units - request.units);
+    charge_slice(*request.customer, event.billed_units - request.units);
   }
   if (event.request_answered) {
     finisher_.finish(context, request);
--- a/src/policy/attempt_completion.hpp
+++ b/src/policy/attempt_completion.hpp
@@ -12,16 +12,15 @@
 class HoldQueue;
 class LoadBalancer;
 class LogLimiter;
-class QuotaAllocator;
 class RequestFinisher;
 class RetryPolicy;
 
 class AttemptCompletion {
  public:
   // All references must outlive this object.
-  AttemptCompletion(const Settings& settings, QuotaAllocator& quota, LoadBalancer& load_balancer,
-                    LogLimiter& log, RetryPolicy& retry_policy, AttemptSender& sender,
-                    HoldQueue& hold_queue, RequestFinisher& finisher);
+  AttemptCompletion(const Settings& settings, LoadBalancer& load_balancer, LogLimiter& log,
+                    RetryPolicy& retry_policy, AttemptSender& sender, HoldQueue& hold_queue,
+                    RequestFinisher& finisher);
 
   // An attempt of this request ended. Ignores attempts that the request never had and those that
   // have ended before: returns false then. Leaves it to the caller to erase the request if that is
@@ -34,7 +33,6 @@
   void retry_or_end(EventContext& context, Request& request, bool retry_is_free);
 
   const Settings& settings_;
-  QuotaAllocator& quota_;
   LoadBalancer& load_balancer_;
   LogLimiter& log_;
   RetryPolicy& retry_policy_;
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -94,10 +94,9 @@
       admission_(settings_, quota_, rate_ceiling_, load_balancer_, timers_,
                  rejection_stats_.counts()),
       sender_(settings_, retry_policy_, rate_ceiling_, load_balancer_, timers_),
-      finisher_(settings_, quota_, rejection_stats_.counts(), requests_),
+      finisher_(settings_, rejection_stats_.counts(), requests_),
       hold_queue_(settings_, requests_, timers_, log_, load_balancer_, sender_, finisher_),
-      completion_(settings_, quota_, load_balancer_, log_, retry_policy_, sender_, hold_queue_,
-                  finisher_) {
+      completion_(settings_, load_balancer_, log_, retry_policy_, sender_, hold_queue_, finisher_) {
   registry_.update(settings_);
 }
 
--- a/src/policy/quota/counter_rate_limiter.cpp
+++ b/src/policy/quota/counter_rate_limiter.cpp
@@ -59,9 +59,8 @@
 }
 
 void CounterRateLimiter::refill(Micros now) {
-  const double elapsed_us = double(now - refilled_at_);
-  available_calls_ =
-      std::min(capacity(), available_calls_ + calls_per_second_ * elapsed_us / kSecond);
+  const double earned = calls_per_second_ * double(now - refilled_at_) / kSecond;
+  available_calls_ = std::min(capacity(), available_calls_ + earned);
   refilled_at_ = now;
 }
 
--- a/src/policy/quota/demand_estimator.cpp
+++ b/src/policy/quota/demand_estimator.cpp
@@ -87,6 +87,8 @@
 
 void record_pool_total(Micros now, CustomerState& customer, double total, double elapsed) {
   advance_estimates(now, customer);
+  // Known unit error, kept until its mending is measured: this is in units per microsecond, the
+  // rates are per second. So `fraction` stays 1, and others' demand is taken as 0.
   const double asked = total / elapsed;
   double& fraction = customer.sampling.fraction;
   customer.demand.others = std::max(0.0, asked / fraction - customer.demand.own);
--- a/src/policy/quota/quota_allocator.cpp
+++ b/src/policy/quota/quota_allocator.cpp
@@ -3,11 +3,11 @@
 #include <algorithm>
 
 #include "policy/quota/demand_estimator.hpp"
+#include "policy/quota/local_budget.hpp"
 #include "policy/quota/quota_capacity.hpp"
 #include "policy/time_units.hpp"
 #include "util/hash.hpp"
 #include "util/random.hpp"
-#include "util/string_join.hpp"
 
 namespace quota_gateway::policy {
 namespace {
@@ -22,23 +22,6 @@
 // A total is recent for so long, in us.
 constexpr Micros kRecentTotal = 2 * kPeriod;
 
-constexpr double kRoundingUnits = 1e-9;  // sums of units may fall short by so much
-constexpr double kLeastFillRate = 1e-6;  // units a second; keeps divisions defined
-constexpr double kLeastDemand = 1e-9;    // units a second; keeps divisions defined
-
-// Units of the store that a request may spend now. Between two totals each gateway spends its own
-// allowance alone, or a spike would be admitted as often as there are gateways. But the last
-// request may go past it, since a small allowance holds none.
-double spendable_store(const CustomerState& customer) {
-  const LocalBudget& budget = customer.budget;
-  return budget.own_allowance > 0 ? budget.store : std::min(budget.store, 0.0);
-}
-
-// Units that must be there for a request of `units`.
-double needed_units(const CustomerState& customer, double units) {
-  return std::min(units, store_capacity(customer)) - kRoundingUnits;
-}
-
 bool can_forget(Micros now, const CustomerState& customer) {
   return now - customer.last_request_at > kForgetIdleAfter && customer.attempts_in_progress == 0 &&
          customer.total.calls_in_flight == 0 && !customer.ceiling_reservation.in_flight &&
@@ -94,14 +77,9 @@
   return counter_sync_.on_reply(now, started_at_.value_or(0), reply);
 }
 
-bool QuotaAllocator::covers(const CustomerState& customer, double units) const {
-  return customer.quota_rate <= 0 || std::max(spendable_store(customer), customer.budget.credit) >=
-                                         needed_units(customer, units);
-}
-
 bool QuotaAllocator::covers_without_reservation(const CustomerState& customer, double units) const {
   const Demand& demand = customer.demand;
-  return covers(customer, units) &&
+  return slice_covers(customer, units) &&
          (counter_limiter_.is_counter_down() || !customer.total.trusted_at ||
           demand.own + demand.others <= customer.quota_rate);
 }
@@ -119,47 +97,12 @@
   return true;
 }
 
-BudgetSource QuotaAllocator::charge(CustomerState& customer, double units) const {
-  const bool in_store = spendable_store(customer) >= needed_units(customer, units);
-  const BudgetSource source = in_store ? BudgetSource::kStore : BudgetSource::kCredit;
-  charge_to(source, customer, units);
-  return source;
-}
-
-void QuotaAllocator::charge_to(BudgetSource source, CustomerState& customer, double units) const {
-  refund(source, customer, -units);
-}
-
-void QuotaAllocator::refund(BudgetSource source, CustomerState& customer, double units) const {
-  if (customer.quota_rate <= 0) {
-    return;
-  }
-  switch (source) {
-    case BudgetSource::kStore:
-      customer.budget.store += units;
-      customer.budget.own_allowance += units;
-      break;
-    case BudgetSource::kCredit:
-      customer.budget.credit += units;
-      break;
-    case BudgetSource::kPoolReservation:
-      customer.quota_reservation.units += units;
-      break;
-  }
-}
-
 Micros QuotaAllocator::retry_after(const CustomerState& customer, double units,
                                    Micros latency_objective, Micros least) const {
-  const Demand& demand = customer.demand;
-  const LocalBudget& budget = customer.budget;
-  const double quota = customer.quota_rate;
-  const double own_slice = quota * demand.own / (demand.own + demand.others + kLeastDemand);
-  const double fill_rate = std::max({quota - demand.others, own_slice, kLeastFillRate});
-  const double missing = std::max(0.0, units - std::max(budget.store, budget.credit));
-  const double until_filled = missing / fill_rate * kSecond;
+  const double until_covered = seconds_until_covered(customer, units) * kSecond;
   const double most =
       std::min(double(settings_.max_retry_after), kRetryAfterFraction * double(latency_objective));
-  const double advice = std::min(most, std::max(until_filled, double(least)));
+  const double advice = std::min(most, std::max(until_covered, double(least)));
   return std::max(settings_.clock_tick, Micros(advice));
 }
 
@@ -208,19 +151,13 @@
   stats.customers = customers_.size();
   for (const auto& [name, customer] : customers_) {
     const std::optional<Micros> trusted_at = customer.total.trusted_at;
-    stats.customers_with_recent_total += trusted_at && now - *trusted_at < kRecentTotal ? 1 : 0;
+    if (trusted_at && now - *trusted_at < kRecentTotal) {
+      ++stats.customers_with_recent_total;
+    }
   }
   stats.counter_calls = counter_limiter_.take_call_counts();
   stats.counter_calls_per_second = counter_limiter_.calls_per_second();
   return stats;
 }
 
-std::string format_quota_stats(const QuotaStats& stats) {
-  const CounterCallCounts& calls = stats.counter_calls;
-  return join("customers ", stats.customers, " (", stats.customers_with_recent_total,
-              " with a recent total), counter calls: ok ", calls.ok, ", not added ",
-              calls.not_added, ", slow ", calls.slow, ", lost ", calls.lost, "; limit ",
-              int(stats.counter_calls_per_second), " a second");
-}
-
 }  // namespace quota_gateway::policy
--- a/src/policy/quota/quota_allocator.hpp
+++ b/src/policy/quota/quota_allocator.hpp
@@ -1,10 +1,9 @@
 // Allocates customers' quotas: each gateway has a slice of a customer's quota, by its share of the
-// demand that is measured at all gateways, and spends it locally. The gateway owns one allocator;
-// it records each request here, asks whether the slice covers it, and charges it. Customers live
-// here: they are made by the first request and forgotten when idle.
+// demand that is measured at all gateways, and spends it locally (see local_budget.hpp). The
+// gateway owns one allocator. Customers live here: they are made by the first request and forgotten
+// when idle; what is measured and spent is in their CustomerState.
 #pragma once
 
-#include <cstddef>
 #include <cstdint>
 #include <map>
 #include <optional>
@@ -14,21 +13,11 @@
 #include "policy/quota/counter_rate_limiter.hpp"
 #include "policy/quota/counter_sync.hpp"
 #include "policy/quota/customer_state.hpp"
+#include "policy/quota/quota_stats.hpp"
 #include "policy/quota/rate_ceiling.hpp"
 
 namespace quota_gateway::policy {
 
-// What an operator's log says of the quotas.
-struct QuotaStats {
-  std::size_t customers = 0;
-  int customers_with_recent_total = 0;
-  CounterCallCounts counter_calls;      // since the last stats
-  double counter_calls_per_second = 0;  // the present limit
-};
-
-// The stats as a part of a log line.
-std::string format_quota_stats(const QuotaStats& stats);
-
 class QuotaAllocator {
  public:
   // `settings` must outlive this; after they changed, on_settings_changed() is to be called.
@@ -47,24 +36,15 @@
   // A reply of the counter. Returns the customer whose total it was, or null if it was none.
   CustomerState* on_counter_reply(Micros now, const CounterReply& reply);
 
-  // Whether the customer's slice covers a request. One that is larger than the whole store is
-  // covered when that is full. Estimates must be as of now (see demand_estimator.hpp).
-  bool covers(const CustomerState& customer, double units) const;
-
-  // The same for a sparse customer without a reservation from the pool. Past the quota such a slice
-  // covers nothing: together with what others reserve, twice the quota was admitted otherwise.
+  // Whether the slice covers a sparse customer's request that has no reservation from the pool.
+  // Past the quota it covers none: together with what others reserve, twice the quota was admitted
+  // otherwise.
   bool covers_without_reservation(const CustomerState& customer, double units) const;
 
   // Whether a sparse customer's request may reserve units from the shared pool. Past the quota only
   // so many may that their units add up to a little more than the quota.
   bool should_reserve(CustomerState& customer);
 
-  // Charges `units` to the source that a slice's request is covered by, and returns it. Negative
-  // units refund.
-  BudgetSource charge(CustomerState& customer, double units) const;
-  void charge_to(BudgetSource source, CustomerState& customer, double units) const;
-  void refund(BudgetSource source, CustomerState& customer, double units) const;
-
   // What a rejected client should wait, in us: until the slice will cover `units`, and at least
   // `least`, but no longer than a retry may take to meet the latency objective; one that returns
   // later earns nothing.
--- a/src/policy/request_finisher.cpp
+++ b/src/policy/request_finisher.cpp
@@ -2,16 +2,16 @@
 
 #include <cstddef>
 
-#include "policy/quota/quota_allocator.hpp"
+#include "policy/quota/local_budget.hpp"
 #include "policy/rejection_stats.hpp"
 #include "policy/request_table.hpp"
 #include "policy/retry_policy.hpp"
 
 namespace quota_gateway::policy {
 
-RequestFinisher::RequestFinisher(const Settings& settings, QuotaAllocator& quota,
-                                 RejectionCounts& rejections, RequestTable& requests)
-    : settings_(settings), quota_(quota), rejections_(rejections), requests_(requests) {}
+RequestFinisher::RequestFinisher(const Settings& settings, RejectionCounts& rejections,
+                                 RequestTable& requests)
+    : settings_(settings), rejections_(rejections), requests_(requests) {}
 
 void RequestFinisher::reject_or_fail(EventContext& context, Request& request) {
   if (request.done) {
@@ -32,7 +32,7 @@
   // A request that was never sent used nothing. Without this, the units of all requests that were
   // held in vain would be lost to their customers.
   if (request.charged_to && request.attempts.empty()) {
-    quota_.refund(*request.charged_to, *request.customer, request.quota_units);
+    refund(*request.customer, *request.charged_to, request.quota_units);
   }
   request.charged_to.reset();
   if (!settings_.cancellation_allowed || request.request_class->settings.streamed) {
--- a/src/policy/request_finisher.hpp
+++ b/src/policy/request_finisher.hpp
@@ -8,15 +8,13 @@
 
 namespace quota_gateway::policy {
 
-class QuotaAllocator;
 class RejectionCounts;
 class RequestTable;
 
 class RequestFinisher {
  public:
   // All references must outlive this object.
-  RequestFinisher(const Settings& settings, QuotaAllocator& quota, RejectionCounts& rejections,
-                  RequestTable& requests);
+  RequestFinisher(const Settings& settings, RejectionCounts& rejections, RequestTable& requests);
 
   // The one final reply of a request that no endpoint will answer: rejected if it had no effect or
   // may be sent again, failed otherwise. Does nothing if the request is done.
@@ -31,7 +29,6 @@
 
  private:
   const Settings& settings_;
-  QuotaAllocator& quota_;
   RejectionCounts& rejections_;
   RequestTable& requests_;
 };
