--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -101,8 +101,8 @@
     try {
       check_framing(parser_.get(), parser_.get().version() == 11);
       return true;
-    } catch (const BadMessage& e) {
-      answer(e.status(), std::string(e.what()) + "\n");
+    } catch (const HttpError& e) {
+      answer(int(e.status()), std::string(e.what()) + "\n");
       return false;
     }
   }
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -21,7 +21,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using boost::system::error_code;
-using RequestParser = http::request_parser<PieceBody>;
+using RequestParser = http::request_parser<IncrementalBody>;
 
 constexpr std::uint32_t kMostHeader = 8 << 10;
 constexpr std::size_t kMostAhead = 4 << 10;  // read while a request is held
@@ -112,7 +112,7 @@
   }
 
   // What is left of the request's body is not waited for.
-  void answer(const Answer& a) {
+  void answer(const ClientResponse& a) {
     if (state_ != State::kHeld) {
       return;
     }
@@ -146,7 +146,7 @@
     }
     out_ += "\r\n\r\n";
     if (!piece.empty()) {
-      out_ += chunked_ ? as_chunk(piece) : piece;
+      out_ += chunked_ ? encode_chunk(piece) : piece;
     }
     stream();
   }
@@ -154,7 +154,7 @@
     if (!streaming_ || state_ != State::kWriting) {
       return;
     }
-    out_ = chunked_ ? as_chunk(piece) : std::move(piece);
+    out_ = chunked_ ? encode_chunk(piece) : std::move(piece);
     stream();
   }
   void finish() {
@@ -163,7 +163,7 @@
     }
     streaming_ = false;
     request_ = 0;
-    out_ = chunked_ ? as_chunk("") : "";
+    out_ = chunked_ ? std::string(kLastChunk) : std::string();
     send([this] { wrote(last_); });
   }
   // Danger: a close with a FIN would make an answer without a length look whole.
@@ -206,7 +206,7 @@
     error_code ignored;
     socket_.close(ignored);
     if (was == State::kHeld || streaming_) {
-      front_.events_.gone(request_);
+      front_.callbacks_.on_client_disconnected(request_);
     }
     front_.erase(client_);
   }
@@ -277,7 +277,7 @@
       if (!parser_) {
         parser_.emplace();
         parser_->header_limit(kMostHeader);
-        parser_->body_limit(kMostBody);
+        parser_->body_limit(kMaxBodyBytes);
         enter(State::kReading);
       }
       error_code ec;
@@ -291,7 +291,8 @@
       if (parser_->is_header_done() && !parser_->eager() && !head()) {
         return;
       }
-      if (parser_->is_done() || (request_in_ && parser_->get().body().size() > kMostWhole)) {
+      if (parser_->is_done() ||
+          (request_in_ && parser_->get().body().size() > kMaxBufferedBodyBytes)) {
         take();
       } else if (more || used == 0) {
         if (pending_.size() > kMostHeader) {
@@ -312,13 +313,13 @@
       check_framing(message, http11_);
       if (message.method() == http::verb::get && message.target() == "/_health") {
         if (parser_->content_length().value_or(0) > 0) {
-          throw BadMessage("a body where none belongs");
+          throw HttpError("a body where none belongs");
         }
         return true;
       }
       request_in_ = parse_request(message, front_.settings_);
-    } catch (const BadMessage& e) {
-      refuse(e.status(), e.what());
+    } catch (const HttpError& e) {
+      refuse(int(e.status()), e.what());
       return false;
     }
     // A client may wait to be told that its body is welcome.
@@ -335,32 +336,33 @@
     served_ = true;
     if (!request_in_) {
       parser_.reset();
-      Answer health;
-      const bool starting = !front_.events_.serves();
+      ClientResponse health;
+      const bool starting = !front_.callbacks_.is_serving();
       health.status = front_.draining_ || starting ? 503 : 200;
       health.body = front_.draining_ ? "draining\n" : starting ? "starting\n" : "ok\n";
       return write(health, closes());
     }
     ClientRequest request = std::move(*request_in_);
     request_in_.reset();
-    Outgoing& out = request.outgoing;
+    ForwardedRequest& out = request.forwarded;
     out.body = std::exchange(parser_->get().body(), {});
-    if (request.safe && !out.body.empty()) {
+    if (request.idempotent && !out.body.empty()) {
       return refuse(400, "a body where none belongs");
     }
-    out.whole = parser_->is_done();
+    out.body_complete = parser_->is_done();
     if (const auto length = parser_->content_length()) {
-      out.length = *length;
+      out.content_length = *length;
     }
-    uploading_ = !out.whole;
+    uploading_ = !out.body_complete;
     if (!uploading_) {
       parser_.reset();
     }
     enter(State::kHeld);
-    request_ = front_.events_.took(client_, std::move(request));
-    if (request_ == 0) {
-      refuse(409, "a request of that id is open");
+    const auto id = front_.callbacks_.on_request(client_, std::move(request));
+    if (!id) {
+      return refuse(409, "a request of that id is open");
     }
+    request_ = *id;
   }
 
   // The next piece of a long body, once there is one.
@@ -387,27 +389,27 @@
     if (last) {
       parser_.reset();
     }
-    front_.events_.body(request_, piece, last);
+    front_.callbacks_.on_body_piece(request_, piece, last);
   }
 
   void refuse(int status, const std::string& why) {
     parser_.reset();
     request_in_.reset();
     uploading_ = pulled_ = false;
-    Answer a;
+    ClientResponse a;
     a.status = status;
     a.body = why + "\n";
     write(a, true);
   }
 
-  void write(const Answer& a, bool last) {
+  void write(const ClientResponse& a, bool last) {
     enter(State::kWriting);
     out_ = "HTTP/1.1 " + std::to_string(a.status) + " " + reason(a.status) +
            "\r\nContent-Length: " + std::to_string(a.body.size());
-    if (a.retry_after > 0) {
+    if (a.retry_after) {
       char text[48];
       std::snprintf(text, sizeof text, "\r\nRetry-After: %.3f",
-                    double(std::max<Micros>(a.retry_after, 1000)) / 1e6);
+                    double(std::max<Micros>(*a.retry_after, 1000)) / 1e6);
       out_ += text;
     }
     if (last) {
@@ -439,7 +441,7 @@
         out_ = {};
       }
       starved_ = true;
-      front_.events_.sent(request_);
+      front_.callbacks_.on_piece_sent(request_);
     });
   }
 
@@ -552,13 +554,13 @@
 
 ClientListener::ClientListener(asio::io_context& io, Timers& timers, const Clock& clock,
                                const Settings& settings, std::size_t most_clients,
-                               ClientEvents events)
+                               ClientListenerCallbacks callbacks)
     : io_(io),
       timers_(timers),
       clock_(clock),
       settings_(settings),
       most_clients_(most_clients),
-      events_(std::move(events)),
+      callbacks_(std::move(callbacks)),
       acceptor_(io) {
   sweep();
 }
@@ -580,7 +582,7 @@
   acceptor_.assign(at.protocol(), listening);
 }
 
-void ClientListener::open() {
+void ClientListener::start_accepting() {
   open_ = true;
   leaving_ = false;
   accept();
@@ -588,7 +590,7 @@
 
 // Danger: the socket is not closed, for what waits in its queue is everybody's who holds it; and
 // were it closed here, this loop would go on hearing of it as long as the other process has it.
-void ClientListener::leave() {
+void ClientListener::hand_over_new_clients() {
   open_ = false;
   leaving_ = true;
   error_code ignored;
@@ -686,33 +688,33 @@
   return it == sessions_.end() ? nullptr : it->second;
 }
 
-void ClientListener::answer(std::uint64_t client, Answer answer) {
+void ClientListener::respond(std::uint64_t client, ClientResponse response) {
   if (const auto s = find(client)) {
-    s->answer(answer);
+    s->answer(response);
   }
 }
-void ClientListener::begin(std::uint64_t client, std::optional<std::uint64_t> length,
-                           std::string piece) {
+void ClientListener::begin_response(std::uint64_t client, std::optional<std::uint64_t> length,
+                                    std::string piece) {
   if (const auto s = find(client)) {
     s->begin(length, piece);
   }
 }
-void ClientListener::pass(std::uint64_t client, std::string piece) {
+void ClientListener::send_body_piece(std::uint64_t client, std::string piece) {
   if (const auto s = find(client)) {
     s->pass(std::move(piece));
   }
 }
-void ClientListener::finish(std::uint64_t client) {
+void ClientListener::finish_response(std::uint64_t client) {
   if (const auto s = find(client)) {
     s->finish();
   }
 }
-void ClientListener::cut(std::uint64_t client) {
+void ClientListener::abort_response(std::uint64_t client) {
   if (const auto s = find(client)) {
     s->cut();
   }
 }
-void ClientListener::pull(std::uint64_t client) {
+void ClientListener::request_body_piece(std::uint64_t client) {
   if (const auto s = find(client)) {
     s->pull();
   }
@@ -726,7 +728,7 @@
   }
 }
 
-bool ClientListener::quiet() {
+bool ClientListener::is_idle() {
   pollfd queue{acceptor_.native_handle(), POLLIN, 0};
   if (!leaving_ && ::poll(&queue, 1, 0) > 0) {
     return false;
--- a/src/net/client/request_validator.cpp
+++ b/src/net/client/request_validator.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 namespace http = boost::beast::http;
-using Request = http::request<PieceBody>;
+using Request = http::request<IncrementalBody>;
 
 constexpr std::size_t kMostId = 128;              // bytes of an id or a key
 constexpr std::uint64_t kCustomers = 1ULL << 33;  // customers are numbers below this
@@ -25,14 +25,14 @@
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value);
   if (ec != std::errc() || stop != end || !std::isfinite(value) || std::abs(value) > kMostNumber) {
-    throw BadMessage(std::string("bad ") + what);
+    throw HttpError(std::string("bad ") + what);
   }
   return value;
 }
 
 int whole(double value, int least, int most, const char* what) {
   if (value < least || value > most || value != std::floor(value)) {
-    throw BadMessage(std::string("bad ") + what);
+    throw HttpError(std::string("bad ") + what);
   }
   return int(value);
 }
@@ -48,16 +48,16 @@
   const auto [first, last] = r.equal_range(name);
   if (first == last) {
     if (needed) {
-      throw BadMessage(std::string("no ") + what);
+      throw HttpError(std::string("no ") + what);
     }
     return {};
   }
   if (std::next(first) != last) {
-    throw BadMessage(std::string("more than one ") + what);
+    throw HttpError(std::string("more than one ") + what);
   }
   const auto value = view(first->value());
   if (needed && value.empty()) {
-    throw BadMessage(std::string("no ") + what);
+    throw HttpError(std::string("no ") + what);
   }
   return value;
 }
@@ -65,7 +65,7 @@
 std::string plain_field(const Request& r, const char* name, bool needed) {
   const auto value = field(r, name, name, needed);
   if (value.size() > kMostId || !is_plain(value)) {
-    throw BadMessage(std::string("bad ") + name);
+    throw HttpError(std::string("bad ") + name);
   }
   return std::string(value);
 }
@@ -74,12 +74,12 @@
 Micros parse_patience(std::string_view text, const ClassSettings& cls) {
   const char unit = text.back();
   if (unit != 'm' && unit != 'u') {
-    throw BadMessage("bad X-Expires-In");
+    throw HttpError("bad X-Expires-In");
   }
   const double value =
       number(text.substr(0, text.size() - 1), "X-Expires-In") * (unit == 'm' ? 1000 : 1);
   if (value < 1) {
-    throw BadMessage("bad X-Expires-In");
+    throw HttpError("bad X-Expires-In");
   }
   return Micros(std::min(value, double(cls.deadline)));
 }
@@ -95,24 +95,24 @@
     part.remove_prefix(std::min(part.find_first_not_of(' '), part.size()));
     const auto equals = part.find('=');
     if (equals == std::string_view::npos) {
-      throw BadMessage("bad Quota-Info");
+      throw HttpError("bad Quota-Info");
     }
     const double value = number(part.substr(equals + 1), "Quota-Info");
     for (std::size_t i = 0; i < kNames.size(); ++i) {
       if (part.substr(0, equals) == kNames[i]) {
         if (std::exchange(said[i], true)) {
-          throw BadMessage("bad Quota-Info");
+          throw HttpError("bad Quota-Info");
         }
         values[i] = value;
       }
     }
   }
   if (!said[0] || !said[1] || !said[2]) {
-    throw BadMessage("bad Quota-Info");
+    throw HttpError("bad Quota-Info");
   }
   out.units = values[0];
   if (out.units <= 0 || out.units > settings.max_request_units) {
-    throw BadMessage("units are out of range");
+    throw HttpError("units are out of range");
   }
   out.gateway_subset_size = whole(values[1], 1, settings.gateway_count, "spread");
   out.gateway_subset_start = whole(values[2], 0, settings.gateway_count - 1, "first");
@@ -124,7 +124,7 @@
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value, 16);
   if (text.size() != 16 || ec != std::errc() || stop != end || value >= kCustomers) {
-    throw BadMessage("no customer in the path");
+    throw HttpError("no customer in the path");
   }
   std::string out(text);
   std::transform(out.begin(), out.end(), out.begin(),
@@ -137,7 +137,7 @@
   const auto it =
       std::find_if(all.begin(), all.end(), [&](const Named& n) { return n.name == name; });
   if (it == all.end()) {
-    throw BadMessage(std::string("no such ") + what);
+    throw HttpError(std::string("no such ") + what);
   }
   return *it;
 }
@@ -145,15 +145,15 @@
 void check_method(const Request& r, const ClassSettings& cls) {
   const bool safe = cls.idempotency == Idempotency::kIdempotent;
   if (r.method() != (safe ? http::verb::get : http::verb::post)) {
-    throw BadMessage("the method does not fit the class");
+    throw HttpError("the method does not fit the class");
   }
   const auto length = r[http::field::content_length];
   if (safe && length.find_first_not_of('0') != length.npos) {
-    throw BadMessage("a body where none belongs");
+    throw HttpError("a body where none belongs");
   }
   if (!safe && r.count(http::field::content_length) == 0 &&
       r.count(http::field::transfer_encoding) == 0) {
-    throw BadMessage("no length", 411);
+    throw HttpError("no length", http::status::length_required);
   }
 }
 
@@ -166,23 +166,23 @@
   const std::string_view path = target.substr(0, target.find('?'));
   const auto slash = path.rfind('/');
   if (path.empty() || path[0] != '/' || slash == 0 || !is_plain(target)) {
-    throw BadMessage("bad path");
+    throw HttpError("bad path");
   }
   a.customer = parse_customer(path.substr(slash + 1));
   const auto& cls = named(settings.classes, path.substr(1, path.find('/', 1) - 1), "class");
   a.request_class = cls.name;
   check_method(r, cls);
-  out.outgoing.trace_id = plain_field(r, "X-Trace-Id", true);
-  out.outgoing.key =
+  out.forwarded.trace_id = plain_field(r, "X-Trace-Id", true);
+  out.forwarded.idempotency_key =
       plain_field(r, "Idempotency-Key", cls.idempotency == Idempotency::kIdempotencyKey);
-  out.outgoing.host = plain_field(r, "Host", true);
-  out.patience = parse_patience(field(r, "X-Expires-In", "X-Expires-In"), cls);
+  out.forwarded.host = plain_field(r, "Host", true);
+  out.timeout = parse_patience(field(r, "X-Expires-In", "X-Expires-In"), cls);
   a.plan = named(settings.plans, field(r, "Plan", "Plan"), "plan").name;
   parse_quota(field(r, "Quota-Info", "Quota-Info"), settings, a);
   a.is_client_retry = r["X-Second-Try"] == "1";
-  out.safe = cls.idempotency == Idempotency::kIdempotent;
-  out.outgoing.method = std::string(view(r.method_string()));
-  out.outgoing.target = std::string(target);
+  out.idempotent = cls.idempotency == Idempotency::kIdempotent;
+  out.forwarded.method = std::string(view(r.method_string()));
+  out.forwarded.target = std::string(target);
   return out;
 }
 
--- a/src/net/client/request_validator.hpp
+++ b/src/net/client/request_validator.hpp
@@ -4,21 +4,21 @@
 
 #include <boost/beast/http/message.hpp>
 
+#include "net/http/forwarded_request.hpp"
 #include "net/http/framing.hpp"
-#include "net/upstream/connection_pool.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
 struct ClientRequest {
-  RequestArrived arrived;  // `id` and `deadline` are the driver's to fill in
-  Micros patience = 0;     // how long the client waits
-  bool safe = false;       // it has no body
-  Outgoing outgoing;
+  RequestArrived arrived;   // `id` and `deadline` are the driver's to fill in
+  Micros timeout = 0;       // how long the client waits
+  bool idempotent = false;  // it has no body
+  ForwardedRequest forwarded;
 };
 
-// By its head alone; the body is still to come. Throws BadMessage.
-ClientRequest parse_request(const boost::beast::http::request<PieceBody>& request,
+// By its head alone; the body is still to come. Throws HttpError.
+ClientRequest parse_request(const boost::beast::http::request<IncrementalBody>& request,
                             const Settings& settings);
 
 }  // namespace quota_gateway::net
--- a/src/net/http/framing.cpp
+++ b/src/net/http/framing.cpp
@@ -1,35 +1,56 @@
 #include "net/http/framing.hpp"
 
+#include <array>
 #include <boost/beast/core/string.hpp>
-#include <cstdio>
-#include <string_view>
+#include <charconv>
 
 namespace quota_gateway::net {
+namespace {
 
 namespace http = boost::beast::http;
 
-std::string as_chunk(const std::string& piece) {
-  char size[24];
-  std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
-  return size + piece + "\r\n";
+constexpr int kHexadecimal = 16;
+constexpr std::size_t kMaxSizeDigits = 2 * sizeof(std::size_t);
+constexpr std::string_view kLineEnd = "\r\n";
+
+void check_content_length(boost::beast::string_view length) {
+  const bool only_digits =
+      length.find_first_not_of("0123456789") == boost::beast::string_view::npos;
+  if (length.empty() || !only_digits) {
+    throw HttpError("bad length");
+  }
+}
+
+void check_transfer_encoding(boost::beast::string_view encoding, bool is_http11) {
+  if (!is_http11 || !boost::beast::iequals(encoding, "chunked")) {
+    throw HttpError("unknown encoding");
+  }
+}
+
+}  // namespace
+
+std::string encode_chunk(std::string_view piece) {
+  std::array<char, kMaxSizeDigits> digits{};
+  const auto written =
+      std::to_chars(digits.data(), digits.data() + digits.size(), piece.size(), kHexadecimal);
+  const std::string_view size(digits.data(), std::size_t(written.ptr - digits.data()));
+  std::string chunk;
+  chunk.reserve(size.size() + piece.size() + 2 * kLineEnd.size());
+  chunk.append(size).append(kLineEnd).append(piece).append(kLineEnd);
+  return chunk;
 }
 
 void check_framing(const http::fields& head, bool is_http11) {
   const auto lengths = head.count(http::field::content_length);
   const auto encodings = head.count(http::field::transfer_encoding);
   if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0)) {
-    throw BadMessage("more than one length");
+    throw HttpError("more than one length");
   }
   if (lengths > 0) {
-    const auto length = head[http::field::content_length];
-    if (length.empty() ||
-        length.find_first_not_of("0123456789") != boost::beast::string_view::npos) {
-      throw BadMessage("bad length");
-    }
+    check_content_length(head[http::field::content_length]);
   }
-  if (encodings > 0 &&
-      (!is_http11 || !boost::beast::iequals(head[http::field::transfer_encoding], "chunked"))) {
-    throw BadMessage("unknown encoding");
+  if (encodings > 0) {
+    check_transfer_encoding(head[http::field::transfer_encoding], is_http11);
   }
 }
 
--- a/src/net/http/framing.hpp
+++ b/src/net/http/framing.hpp
@@ -1,56 +1,75 @@
-// What both sides ask of a message's head before they believe its length, and how its body is
-// taken.
+// HTTP/1.1 message framing shared by the client side, the upstream side and the admin server: the
+// limits of a body, the checks on a head before its length is believed, and chunked encoding.
+// Everything here is stateless.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/buffers_range.hpp>
 #include <boost/beast/http/fields.hpp>
 #include <boost/beast/http/message.hpp>
+#include <boost/beast/http/status.hpp>
 #include <boost/optional.hpp>
+#include <cstddef>
 #include <cstdint>
 #include <stdexcept>
 #include <string>
+#include <string_view>
 
 namespace quota_gateway::net {
 
-// A message that is not what the protocol knows, and the status that tells a client so.
-class BadMessage : public std::runtime_error {
+// A message that violates HTTP or this gateway's rules for requests. what() is the reason in plain
+// text, which is safe to send to the peer.
+class HttpError : public std::runtime_error {
  public:
-  explicit BadMessage(const std::string& what, int status = 400)
-      : std::runtime_error(what), status_(status) {}
-  int status() const { return status_; }
+  explicit HttpError(const std::string& reason,
+                     boost::beast::http::status status = boost::beast::http::status::bad_request)
+      : std::runtime_error(reason), status_(status) {}
+
+  // The status that rejects the message, where its sender is a client.
+  boost::beast::http::status status() const { return status_; }
 
  private:
-  int status_;
+  boost::beast::http::status status_;
 };
 
-// Bodies up to this are held whole; what is longer is relayed in pieces, and may be sent to a
-// server but once.
-constexpr std::size_t kMostWhole = 64 << 10;
+// Bodies up to this size are buffered completely. A longer one is streamed in pieces, and a request
+// with such a body can be attempted only once.
+inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} << 10;
+
+// Somewhat more than the largest body that clients and servers have. A message that announces a
+// longer one is rejected.
+inline constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{48} << 20;
 
-// Some more than the largest that clients and servers have; what claims to be longer is not
-// believed.
-constexpr std::uint64_t kMostBody = 48 << 20;
+// Ends a chunked body.
+inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// What has come of a body since it was last taken out. Danger: the library's string_body makes room
-// at once for the length that a head claims, 32 MB of it.
-struct PieceBody {
+// A Beast body type that holds only what was parsed since the value was last taken out. Without
+// this, Beast's string_body would reserve the announced length at once, up to 32 MB per message.
+struct IncrementalBody {
   using value_type = std::string;
-  class reader {
+
+  class reader {  // NOLINT(readability-identifier-naming): Beast's Body concept fixes the name
    public:
-    template <bool is_request, class Fields>
-    reader(boost::beast::http::header<is_request, Fields>&, value_type& body) : body_(body) {}
-    void init(const boost::optional<std::uint64_t>&, boost::system::error_code& ec) { ec = {}; }
+    template <bool IsRequest, class Fields>
+    reader(boost::beast::http::header<IsRequest, Fields>& /*head*/, value_type& body)
+        : body_(body) {}
+
+    void init(const boost::optional<std::uint64_t>& /*content_length*/,
+              boost::system::error_code& ec) {
+      ec = {};
+    }
+
     template <class Buffers>
     std::size_t put(const Buffers& buffers, boost::system::error_code& ec) {
       ec = {};
       std::size_t size = 0;
-      for (const boost::asio::const_buffer part : boost::beast::buffers_range_ref(buffers)) {
-        body_.append(static_cast<const char*>(part.data()), part.size());
-        size += part.size();
+      for (const boost::asio::const_buffer buffer : boost::beast::buffers_range_ref(buffers)) {
+        body_.append(static_cast<const char*>(buffer.data()), buffer.size());
+        size += buffer.size();
       }
       return size;
     }
+
     void finish(boost::system::error_code& ec) { ec = {}; }
 
    private:
@@ -58,11 +77,13 @@
   };
 };
 
-// A piece as a chunk; an empty one ends the body.
-std::string as_chunk(const std::string& piece);
+// `piece` as one chunk of a chunked body. `piece` must not be empty: an empty chunk ends the body,
+// see kLastChunk.
+std::string encode_chunk(std::string_view piece);
 
-// Danger: what two readers may take for messages of different lengths can hide another one in its
-// body. Throws BadMessage.
+// Checks that the head announces its body's length in exactly one way that every HTTP reader
+// understands alike. Without this, two readers could disagree where the message ends, and its body
+// could smuggle in another message. Throws HttpError.
 void check_framing(const boost::beast::http::fields& head, bool is_http11);
 
 }  // namespace quota_gateway::net
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -52,7 +52,7 @@
                  [this](AttemptKey key) { written(key); },
                  [this](AttemptKey key) {
                    if (const auto it = requests_.find(key.request); it != requests_.end()) {
-                     frontend_.pull(it->second.client);
+                     frontend_.request_body_piece(it->second.client);
                    }
                  },
                  [this](AttemptKey key, AttemptResult result, std::optional<std::uint64_t> length) {
@@ -60,7 +60,7 @@
                  },
                  [this](AttemptKey key, std::string piece) {
                    if (const auto it = requests_.find(key.request); it != requests_.end()) {
-                     frontend_.pass(it->second.client, std::move(piece));
+                     frontend_.send_body_piece(it->second.client, std::move(piece));
                    }
                  }}),
       discovery_at_(config.discovery_address),
@@ -93,7 +93,7 @@
   } else {
     frontend_.listen(config.listen_address);
   }
-  succession_.wait_for_successor(frontend_.listening());
+  succession_.wait_for_successor(frontend_.listening_socket());
   met();
   timers_.after(kTellWithin, [this] { believe_known(); });
   if (config.admin_address) {
@@ -105,22 +105,22 @@
 
 // ---- What happened
 // ------------------------------------------------------------------------------------
-std::uint64_t GatewayServer::took(std::uint64_t client, ClientRequest request) {
+std::optional<std::uint64_t> GatewayServer::took(std::uint64_t client, ClientRequest request) {
   // Danger: an id that is open belongs to somebody else; a server would take it for a second copy.
-  if (!open_ids_.insert(request.outgoing.trace_id).second) {
-    return 0;
+  if (!open_ids_.insert(request.forwarded.trace_id).second) {
+    return std::nullopt;
   }
   const std::uint64_t id = ++last_;
   const Micros now = clock_.now();
-  const Micros patience = request.patience;
+  const Micros patience = request.timeout;
   Request& r = requests_[id];
   r.client = client;
   r.replies = &replies_[request.arrived.request_class];
   ++concurrent_;
   r.patience = patience - std::min(kEarly, Micros(kEarlyShare * double(patience)));
   r.deadline = latest(now + r.patience);
-  r.whole = request.outgoing.whole;
-  r.outgoing = std::move(request.outgoing);
+  r.whole = request.forwarded.body_complete;
+  r.outgoing = std::move(request.forwarded);
   request.arrived.id = std::to_string(id);  // ours, since a client's may come twice
   request.arrived.deadline = r.deadline;
   request.arrived.body_pending = !r.whole;
@@ -217,7 +217,7 @@
     return;
   }
   if (result.outcome == Outcome::kOk) {
-    Answer served;
+    ClientResponse served;
     served.status = 200;
     served.body = std::move(result.body);
     answer(r, std::move(served));
@@ -288,7 +288,7 @@
   Request& r = it->second;
   r.streaming = true;
   settle(it, key, result);
-  frontend_.begin(r.client, length, std::move(result.body));
+  frontend_.begin_response(r.client, length, std::move(result.body));
 }
 
 // A long answer has ended, as it should or not.
@@ -297,7 +297,7 @@
   if (!close(r, ok ? &Replies::success : &Replies::error)) {
     return;
   }
-  ok ? frontend_.finish(r.client) : frontend_.cut(r.client);
+  ok ? frontend_.finish_response(r.client) : frontend_.abort_response(r.client);
   if (!ok) {
     push(ResponseAborted{r.attempts.at(std::size_t(key.attempt)).server});
   }
@@ -381,9 +381,11 @@
   if (it == requests_.end()) {
     return;
   }
-  Answer refused;
+  ClientResponse refused;
   refused.status = it->second.attempts.empty() ? 429 : 503;
-  refused.retry_after = a.retry_after;
+  if (a.retry_after > 0) {
+    refused.retry_after = a.retry_after;
+  }
   answer(it->second, std::move(refused));
   forget(it);
 }
@@ -393,7 +395,7 @@
   if (it == requests_.end()) {
     return;
   }
-  Answer failed;
+  ClientResponse failed;
   failed.status = it->second.late ? 504 : 502;
   answer(it->second, std::move(failed));
   forget(it);
@@ -422,7 +424,7 @@
   return requests_.find(number);
 }
 
-void GatewayServer::answer(Request& r, Answer answer) {
+void GatewayServer::answer(Request& r, ClientResponse answer) {
   const bool refused = answer.status == 429 || answer.status == 503;
   const auto end = answer.status == 200 ? &Replies::success
                    : refused            ? &Replies::overload
@@ -430,7 +432,7 @@
   if (!close(r, end)) {
     return;  // one final answer, and only one
   }
-  frontend_.answer(r.client, std::move(answer));
+  frontend_.respond(r.client, std::move(answer));
 }
 
 bool GatewayServer::close(Request& r, std::uint64_t Replies::*end) {
@@ -485,7 +487,7 @@
 // ---- For the operators
 // --------------------------------------------------------------------------------
 bool GatewayServer::ready() const {
-  return !drained_ && frontend_.is_open() && fit();
+  return !drained_ && frontend_.is_accepting() && fit();
 }
 
 // Servers are known, by discovery if it answers at all.
@@ -541,20 +543,20 @@
   // The limits are those of one gateway.
   upstream_.bound(std::max<std::size_t>(1, connections_ / std::size_t(1 + others)));
   if (succession_.taken()) {
-    frontend_.leave();
+    frontend_.hand_over_new_clients();
   } else if (succession_.predecessor()) {
     look_ready();
-  } else if (!frontend_.is_open()) {
-    frontend_.open();
+  } else if (!frontend_.is_accepting()) {
+    frontend_.start_accepting();
   }
 }
 
 // Until we are fit to serve, the old process goes on taking the new clients.
 void GatewayServer::look_ready() {
-  if (!succession_.predecessor() || frontend_.is_open() || succession_.taken() || !fit()) {
+  if (!succession_.predecessor() || frontend_.is_accepting() || succession_.taken() || !fit()) {
     return;
   }
-  frontend_.open();
+  frontend_.start_accepting();
   succession_.ready();
 }
 
@@ -604,14 +606,14 @@
   }
   for (const auto id : open) {
     const Request& r = requests_.at(id);
-    r.streaming ? frontend_.cut(r.client) : overdue(id);
+    r.streaming ? frontend_.abort_response(r.client) : overdue(id);
   }
 }
 
 void GatewayServer::look_drained() {
   const bool held = std::any_of(requests_.begin(), requests_.end(),
                                 [](const auto& entry) { return !entry.second.answered; });
-  if ((!held && frontend_.quiet()) || clock_.now() >= drain_until_ + kLastWords) {
+  if ((!held && frontend_.is_idle()) || clock_.now() >= drain_until_ + kLastWords) {
     return drained_();
   }
   timers_.after(kLookDrained, [this] { look_drained(); });
--- a/src/net/server/gateway_server.hpp
+++ b/src/net/server/gateway_server.hpp
@@ -65,12 +65,12 @@
     bool streaming = false;  // its answer has begun
     Micros patience = 0;     // of its client, from its last byte on
     int out = 0;
-    Outgoing outgoing;
+    ForwardedRequest outgoing;
     std::vector<Attempt> attempts;
   };
   using Requests = std::unordered_map<std::uint64_t, Request>;
 
-  std::uint64_t took(std::uint64_t client, ClientRequest request);
+  std::optional<std::uint64_t> took(std::uint64_t client, ClientRequest request);
   void gone(std::uint64_t id);
   void overdue(std::uint64_t id);
   void told(EndpointList list, EndpointListUpdate::Kind kind = EndpointListUpdate::Kind::kPartial);
@@ -99,7 +99,7 @@
   void act(const LogLine& a);
 
   Requests::iterator find(const std::string& id);
-  void answer(Request& request, Answer answer);
+  void answer(Request& request, ClientResponse answer);
   // Counts the request's end. False if it has ended before.
   bool close(Request& request, std::uint64_t Replies::*end);
   void forget(Requests::iterator it);
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -22,7 +22,7 @@
 namespace http = boost::beast::http;
 using asio::ip::tcp;
 using boost::system::error_code;
-using ResponseParser = http::response_parser<PieceBody>;
+using ResponseParser = http::response_parser<IncrementalBody>;
 
 constexpr Micros kReuseLeast = 100'000;  // us that a kept connection may rest, whatever was seen
 constexpr double kReuseCut = 0.5;        // of the rest after which one was reset
@@ -98,7 +98,7 @@
 
 // Never-ran only when the protocol proves it: a plain 503 or 504 may come from a server that did
 // the work.
-Outcome outcome_of(const http::response<PieceBody>& answer) {
+Outcome outcome_of(const http::response<IncrementalBody>& answer) {
   if (answer.result() == http::status::ok) {
     return Outcome::kOk;
   }
@@ -142,7 +142,7 @@
   void expect_answer() {
     parser.emplace();
     parser->header_limit(kMostHeader);
-    parser->body_limit(kMostBody);
+    parser->body_limit(kMaxBodyBytes);
   }
 
   // Takes in what has come. False if more is needed; throws on what is no answer.
@@ -171,7 +171,7 @@
     const auto& head = parser->get();
     check_framing(head, head.version() == 11);
     if (parser->need_eof() && !is_interim()) {
-      throw BadMessage("no length");
+      throw HttpError("no length");
     }
     parser->eager(true);
   }
@@ -236,7 +236,7 @@
   }
 }
 
-void ConnectionPool::send(AttemptKey key, const std::string& server, const Outgoing& what,
+void ConnectionPool::send(AttemptKey key, const std::string& server, const ForwardedRequest& what,
                           Micros until) {
   const auto found = catalog_.find(server);
   if (!found || !found->up) {
@@ -262,21 +262,21 @@
       .append(" HTTP/1.1\r\nHost: ")
       .append(what.host);
   c->out.append("\r\nX-Trace-Id: ").append(what.trace_id);
-  if (!what.key.empty()) {
-    c->out.append("\r\nIdempotency-Key: ").append(what.key);
+  if (!what.idempotency_key.empty()) {
+    c->out.append("\r\nIdempotency-Key: ").append(what.idempotency_key);
   }
   c->out.append("\r\nX-Expires-In: ")
       .append(std::to_string(std::max<Micros>(1, until - clock_.now())));
   c->out.append("u");
-  c->more = !what.whole;
-  c->chunked = c->more && !what.length;
-  const auto length = what.whole ? what.body.size() : what.length.value_or(0);
+  c->more = !what.body_complete;
+  c->chunked = c->more && !what.content_length;
+  const auto length = what.body_complete ? what.body.size() : what.content_length.value_or(0);
   if (c->chunked) {
     c->out.append("\r\nTransfer-Encoding: chunked");
   } else if (length > 0 || what.method != "GET") {
     c->out.append("\r\nContent-Length: ").append(std::to_string(length));
   }
-  c->out.append("\r\n\r\n").append(c->chunked ? as_chunk(what.body) : what.body);
+  c->out.append("\r\n\r\n").append(c->chunked ? encode_chunk(what.body) : what.body);
   attempts_.emplace(key, c);
   fresh ? connect(c) : write(c);
 }
@@ -441,9 +441,9 @@
   }
   const Held c = it->second;
   c->more = !last;
-  c->out = c->chunked && !piece.empty() ? as_chunk(piece) : piece;
+  c->out = c->chunked && !piece.empty() ? encode_chunk(piece) : piece;
   if (c->chunked && last) {
-    c->out += as_chunk("");
+    c->out += kLastChunk;
   }
   c->out.empty() ? left(c) : write_rest(c, 0);
 }
@@ -496,7 +496,7 @@
         return whole(c);
       }
       if (++c->interim > kMostInterim) {
-        throw BadMessage("1xx without end");
+        throw HttpError("1xx without end");
       }
       c->expect_answer();
       if (c->pending.empty()) {
@@ -522,7 +522,7 @@
   auto& answer = c->parser->get();
   const auto length = c->parser->content_length();
   if (!c->streaming &&
-      std::max<std::uint64_t>(answer.body().size(), length.value_or(0)) <= kMostWhole) {
+      std::max<std::uint64_t>(answer.body().size(), length.value_or(0)) <= kMaxBufferedBodyBytes) {
     return false;
   }
   if (outcome_of(answer) != Outcome::kOk) {  // nobody needs the rest of it
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -14,17 +14,11 @@
 #include "net/discovery/discovery_client.hpp"
 #include "net/discovery/endpoint_table.hpp"
 #include "net/event_loop/timers.hpp"
+#include "net/http/forwarded_request.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
-// What goes on to a server, the same for each attempt of a request.
-struct Outgoing {
-  std::string method, target, host, trace_id, key, body;
-  bool whole = true;                    // else more of the body follows, see Upstream::feed
-  std::optional<std::uint64_t> length;  // of all of it, where that is known
-};
-
 struct ConnectionPoolLimits {
   Micros idle = 15'000'000;  // a server closes what has idled for so long
   Micros dial_timeout = 250'000;
@@ -80,7 +74,7 @@
   // gone, told or not.
   std::vector<std::string> update(const EndpointList& list);
   // One result follows, never from within this call, unless the attempt is abandoned.
-  void send(AttemptKey key, const std::string& server, const Outgoing& what, Micros until);
+  void send(AttemptKey key, const std::string& server, const ForwardedRequest& what, Micros until);
   // More of the body of an attempt that wants it.
   void feed(AttemptKey key, const std::string& piece, bool last);
   // The piece of the answer that was told has been passed on.
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -23,7 +23,7 @@
   // An answer of whatever length.
   static std::optional<http::response<http::string_body>> receive(asio::io_context& io, Client& c) {
     http::response_parser<http::string_body> parser;
-    parser.body_limit(kMostBody);
+    parser.body_limit(kMaxBodyBytes);
     boost::beast::flat_buffer buffer;
     std::optional<error_code> done;
     http::async_read(c.socket, buffer, parser, [&](error_code ec, std::size_t) { done = ec; });
