--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -4,7 +4,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "simulator/wire_codec.hpp"
+#include "settings/settings_parser.hpp"
 
 namespace quota_gateway::net {
 namespace {
@@ -164,7 +164,7 @@
   if (!config.contains("settings")) {
     bad("no settings");
   }
-  out.settings = wire::parse_settings(config["settings"]);
+  out.settings = parse_settings(config["settings"]);
   check(out.settings);
   const json network = config["settings"].value("Limits", json::object());
   out.connection_idle_timeout = positive(network, "ConnIdleUs", out.connection_idle_timeout);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -242,7 +242,7 @@
   e.duration = (result.began > 0 ? result.began : clock_.now()) - a.sent;
   e.load = result.load;
   e.billed_units = result.billed_units;
-  e.quota_usage = result.quota_usage;
+  e.quota_usage_percent = result.quota_usage_percent;
   e.request_answered = r.answered || r.streaming;
   push(std::move(e));
   forget(it);
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -40,7 +40,7 @@
 // A name of a load report, the field that it fills and the most that an honest server says.
 struct LoadField {
   std::string_view name;
-  double LoadReport::*field;
+  std::optional<double> LoadReport::*field;
   double most;
 };
 constexpr std::array<LoadField, 12> kLoadFields{{{"inflight", &LoadReport::in_flight, 1e5},
@@ -89,11 +89,14 @@
 }
 
 // A figure that stands alone in a field; below 0 where there is none that an honest server says.
-double parse_figure(boost::beast::string_view text, double most) {
+std::optional<double> parse_figure(boost::beast::string_view text, double most) {
   double value = 0;
   const auto [stop, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
   const bool read = ec == std::errc() && stop == text.data() + text.size();
-  return read && value >= 0 && value <= most ? value : -1;
+  if (!read || !(value >= 0 && value <= most)) {
+    return std::nullopt;
+  }
+  return value;
 }
 
 // Never-ran only when the protocol proves it: a plain 503 or 504 may come from a server that did
@@ -626,9 +629,11 @@
   const auto load = answer["Endpoint-Load-Metrics"];
   result.load = parse_load({load.data(), load.size()});
   result.began = c.began;
-  result.quota_usage = 1 + int(parse_figure(answer["Usage-Percent"], kMostPercent));
+  if (const auto percent = parse_figure(answer["Usage-Percent"], kMostPercent)) {
+    result.quota_usage_percent = int(*percent);
+  }
   if (result.outcome == Outcome::kOk) {
-    result.billed_units = std::max(0.0, parse_figure(answer["Billed-Units"], kMostUnits));
+    result.billed_units = parse_figure(answer["Billed-Units"], kMostUnits);
     result.body = std::exchange(answer.body(), {});
   }
   return result;
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -40,10 +40,12 @@
 struct AttemptResult {
   Outcome outcome = Outcome::kReset;
   LoadReport load;
-  std::string body;         // of a kOk: all of it, or what there is yet
-  double billed_units = 0;  // of a kOk: the true units, where it told them
-  Micros began = 0;         // when its first byte came; 0: none did
-  int quota_usage = 0;      // 1 + percent of its quota that the customer used; 0: not said
+  std::string body;  // of a kOk: all of it, or what there is yet
+  // Of a kOk: the request's true units, where the server stated them.
+  std::optional<double> billed_units;
+  Micros began = 0;  // when its first byte came; 0: none did
+  // Percent of its quota that the customer has used, where the server stated it.
+  std::optional<int> quota_usage_percent;
 };
 
 // What becomes of attempts. But for `written`, none is told from within a call to Upstream.
--- a/src/policy/attempt_completion.cpp
+++ b/src/policy/attempt_completion.cpp
@@ -62,8 +62,8 @@
     request.request_class->latency.on_success(event.duration);
   }
   report_to_endpoint(context, request, attempt, event);
-  if (settings_.units_settled_later && event.billed_units > 0 && !request.over_quota) {
-    charge_slice(*request.customer, event.billed_units - request.units);
+  if (settings_.units_settled_later && event.billed_units > 0.0 && !request.over_quota) {
+    charge_slice(*request.customer, *event.billed_units - request.units);
   }
   if (event.request_answered) {
     finisher_.finish(context, request);
--- a/src/policy/endpoints/load_balancer.cpp
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -51,11 +51,11 @@
 }
 
 void apply_load_report(Micros now, Endpoint& endpoint, const LoadReport& load) {
-  if (load.in_flight >= 0) {
-    const double others = load.in_flight - endpoint.attempts_in_flight - 1;
+  if (load.in_flight >= 0.0) {
+    const double others = *load.in_flight - endpoint.attempts_in_flight - 1;
     endpoint.reported_load = {std::max(0.0, others), now};
-  } else if (load.queued >= 0) {
-    endpoint.reported_load = {load.queued, now};
+  } else if (load.queued >= 0.0) {
+    endpoint.reported_load = {*load.queued, now};
   }
 }
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,17 +1,18 @@
-// The loop around the codec: one line in, one line out, until the input ends.
+// quota_gateway_simulator_adapter: runs the decision module under the operators' simulator.
+// One line of JSON in, one line out, until the input ends.
 #include <exception>
 #include <iostream>
 #include <string>
 
-#include "simulator/wire_codec.hpp"
+#include "simulator/simulator_session.hpp"
 
 int main() {
   std::ios::sync_with_stdio(false);
-  quota_gateway::wire::Host host;
-  std::string line;
   try {
+    quota_gateway::simulator::SimulatorSession session;
+    std::string line;
     while (std::getline(std::cin, line)) {
-      if (auto reply = host.answer(line)) {
+      if (const auto reply = session.process_line(line)) {
         std::cout << *reply << '\n' << std::flush;
       }
     }
--- a/src/simulator/wire_codec.hpp
+++ b/src/simulator/wire_codec.hpp
@@ -1,43 +1,28 @@
-// Translates the JSON wire to the module's events and its actions back. No decisions here.
+// The simulator's wire format: JSON messages to the module's events, and its actions to JSON
+// messages. No state and no decisions; SimulatorSession is the caller.
 #pragma once
 
 #include <cstdint>
-#include <map>
 #include <nlohmann/json.hpp>
 #include <optional>
-#include <string>
+#include <unordered_map>
 #include <vector>
 
-#include "quota_gateway/gateway.hpp"
+#include "quota_gateway/actions.hpp"
+#include "quota_gateway/events.hpp"
 
-namespace quota_gateway::wire {
+namespace quota_gateway::simulator {
 
-using Json = nlohmann::json;
+// Endpoint lists by their number; a DirectoryUpdate names one of them.
+using EndpointLists = std::unordered_map<std::int64_t, std::vector<EndpointEntry>>;
 
-// Thrown on a message of the wrong shape.
-class WireError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
+// All of these throw JsonShapeError or nlohmann::json::exception on a message of the wrong shape.
 
-using Pools = std::map<std::int64_t, std::vector<EndpointEntry>>;
+std::vector<EndpointEntry> parse_endpoint_entries(const nlohmann::json& entries);
 
-Settings parse_settings(const Json& info);
-std::vector<EndpointEntry> parse_entries(const Json& entries);
-// No value: an event that means nothing to the module.
-std::optional<Event> parse_event(const Json& message, const Pools& pools);
-Json write_action(const Action& action);
+// Returns nothing for a message that means nothing to the module.
+std::optional<Event> parse_event(const nlohmann::json& message, const EndpointLists& lists);
 
-// All instances of one process, kept apart from each other.
-class Host {
- public:
-  // Answers one line of input. No value: the line asks for no reply.
-  std::optional<std::string> answer(const std::string& line);
+nlohmann::json write_action(const Action& action);
 
- private:
-  void take(const Json& message);
-  std::map<std::string, Gateway> gateways_;
-  Pools pools_;
-};
-
-}  // namespace quota_gateway::wire
+}  // namespace quota_gateway::simulator
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -61,10 +61,10 @@
   const auto r = result(1);
   EXPECT_EQ(r.outcome, Outcome::kOk);
   EXPECT_EQ(r.body, "body");
-  EXPECT_DOUBLE_EQ(r.load.in_flight, 7);
-  EXPECT_DOUBLE_EQ(r.load.queued, 2);
-  EXPECT_DOUBLE_EQ(r.load.cpu, 0.61);
-  EXPECT_LT(r.load.served_per_s, 0);
+  EXPECT_DOUBLE_EQ(r.load.in_flight.value(), 7);
+  EXPECT_DOUBLE_EQ(r.load.queued.value(), 2);
+  EXPECT_DOUBLE_EQ(r.load.cpu.value(), 0.61);
+  EXPECT_EQ(r.load.served_per_s, std::nullopt);
   const auto& seen = server.requests.at(0);
   EXPECT_EQ(seen.target(), "/intro-request/1?q");
   EXPECT_EQ(seen["X-Trace-Id"], "t1");
@@ -79,17 +79,17 @@
   make();
   headers = "Billed-Units: 3\r\nUsage-Percent: 86\r\n";
   auto r = result(1);
-  EXPECT_DOUBLE_EQ(r.billed_units, 3);
-  EXPECT_EQ(r.quota_usage, 87);
+  EXPECT_DOUBLE_EQ(r.billed_units.value(), 3);
+  EXPECT_EQ(r.quota_usage_percent, 86);
   headers = "Billed-Units: -3\r\nUsage-Percent: 1e99\r\n";  // no honest figures
   r = result(2);
   EXPECT_EQ(r.outcome, Outcome::kOk);
-  EXPECT_DOUBLE_EQ(r.billed_units, 0);
-  EXPECT_EQ(r.quota_usage, 0);
+  EXPECT_EQ(r.billed_units, std::nullopt);
+  EXPECT_EQ(r.quota_usage_percent, std::nullopt);
   headers = "";
   r = result(3);
-  EXPECT_DOUBLE_EQ(r.billed_units, 0);
-  EXPECT_EQ(r.quota_usage, 0);
+  EXPECT_EQ(r.billed_units, std::nullopt);
+  EXPECT_EQ(r.quota_usage_percent, std::nullopt);
 }
 
 TEST_F(UpstreamTest, AnErrorMayHaveRun) {
@@ -247,7 +247,7 @@
     make();
     const auto r = result(1);
     EXPECT_EQ(r.outcome, Outcome::kOk) << report;
-    EXPECT_LT(r.load.queued, 0) << report;
+    EXPECT_EQ(r.load.queued, std::nullopt) << report;
   }
 }
 
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -591,8 +591,8 @@
   const auto refused = all<Reject>(d.arrive(kMs, "r"));
   ASSERT_EQ(refused.size(),
             1U);  // our part, ten units a second, is empty at a start; the slice is full
-  EXPECT_NEAR(double(refused[0].retry_after), 100 * kMs, 2 * kMs);
-  EXPECT_EQ(all<SendAttempt>(d.arrive(2 * kMs + refused[0].retry_after, "r2")).size(), 1U);
+  EXPECT_NEAR(double(refused[0].retry_after.value()), 100 * kMs, 2 * kMs);
+  EXPECT_EQ(all<SendAttempt>(d.arrive(2 * kMs + refused[0].retry_after.value(), "r2")).size(), 1U);
 }
 
 TEST(Ceiling, HoldsWithADeadCounter) {
