--- /dev/null
+++ b/tests/policy/endpoints/concurrency_limit_test.cpp
@@ -0,0 +1,78 @@
+// How many attempts a gateway may have in flight at a server.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "support/gateway_harness.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+TEST(ConcurrencyLimit, RequestCountsOnlyOnceItsBodyHasBeenSent) {
+  Settings settings = basic_settings();  // two gateways and one server: one attempt in flight each
+  set_quota(settings, 1000, 1000);
+  GatewayHarness gateway(settings, make_endpoints({"a"}));
+  const auto forwarded = [&](Micros now, const std::string& id) {
+    return attempts(gateway.arrive(now, id)).size();
+  };
+  std::size_t with_pending_body = 0;
+  for (int i = 0; i < 5; ++i) {
+    RequestArrived request = make_request(numbered("long", i), kMillisecond);
+    request.body_pending = true;
+    with_pending_body += attempts(gateway.handle(kMillisecond, {request})).size();
+  }
+  EXPECT_EQ(with_pending_body, 5U);
+  EXPECT_EQ(forwarded(2 * kMillisecond, "short"), 1U);
+  gateway.complete(3 * kMillisecond, {.id = "short", .server = "a"});
+
+  for (int i = 0; i < 5; ++i) {
+    gateway.handle(4 * kMillisecond, {AttemptWritten{numbered("long", i), 0}});
+  }
+  EXPECT_EQ(forwarded(5 * kMillisecond, "next"), 0U);
+}
+
+TEST(ConcurrencyLimit, ServersAreNotSentMoreThanTheirCapacity) {
+  Settings settings = basic_settings();
+  set_quota(settings, 1000, 1000);
+  GatewayHarness gateway(settings);
+  std::size_t forwarded = 0;
+  for (int i = 0; i < 200; ++i) {
+    forwarded += attempts(gateway.arrive(kMillisecond, numbered("r", i))).size();
+  }
+  EXPECT_LE(forwarded, 8U);  // five a server over two gateways
+  // Requests behind more than can be forwarded in time are rejected at once, the others after they
+  // waited.
+  const std::size_t rejected_at_once = rejections(gateway.actions()).size();
+  EXPECT_GE(rejected_at_once, 150U);
+  EXPECT_LT(rejected_at_once + forwarded, 200U);
+  gateway.run_timers(2 * kSecond);
+  EXPECT_EQ(rejections(gateway.actions()).size() + forwarded, 200U);
+}
+
+TEST(ConcurrencyLimit, SlowAnswersToABurstLeaveTheGatewayItsEvenShare) {
+  GatewayHarness gateway;
+  std::vector<SendAttempt> sent;
+  for (int i = 0; i < 8; ++i) {
+    for (const SendAttempt& attempt : attempts(gateway.arrive(kMillisecond, numbered("r", i)))) {
+      sent.push_back(attempt);
+    }
+  }
+  ASSERT_GE(sent.size(), 6U);  // an even share is at least three of six
+  for (std::size_t i = 2; i < sent.size(); ++i) {
+    gateway.complete(450 * kMillisecond, sent[i], {.duration = 449 * kMillisecond});
+  }
+  EXPECT_EQ(attempts(gateway.arrive(451 * kMillisecond, "next")).size(), 1U);
+}
+
+TEST(ConcurrencyLimit, MoreGatewaysThanServersStillAllowTwoAttemptsInFlight) {
+  Settings settings = settings_with_unlimited_quota();
+  settings.gateway_count = 300;
+  GatewayHarness gateway(settings);
+  EXPECT_EQ(attempts(gateway.arrive(kSecond, "one")).size(), 1U);
+  EXPECT_EQ(attempts(gateway.arrive(kSecond, "two")).size(), 1U);
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
--- /dev/null
+++ b/tests/policy/endpoints/slow_start_test.cpp
@@ -0,0 +1,100 @@
+// Servers that have just started are warmed up with a growing part of their full load.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+
+#include "support/gateway_fleet.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+TEST(SlowStart, WarmingUpServerGetsOneRequestAWindowUntilOthersAreObserved) {
+  Settings settings = basic_settings();
+  settings.slow_start_min_fraction = 0.2;
+  settings.slow_start_duration = 15 * kSecond;
+  settings.slow_start_overload_factor = 2;
+  settings.slow_start_overload_window = kSecond;
+  auto endpoints = make_endpoints({"a"});
+  endpoints[0].started_at = 1;
+  GatewayHarness gateway(settings, endpoints);
+  gateway.admitted(kMillisecond, 5);
+  EXPECT_EQ(attempts(gateway.actions()).size(), 1U);
+}
+
+// Six in ten of sixty servers restart at once behind a hundred gateways, which together serve 500
+// requests a second.
+class SlowStartOfManyServers : public ::testing::Test {
+ protected:
+  static constexpr int kServers = 60;
+  static constexpr int kRestarted = 36;  // the first of them
+  static constexpr double kMinFraction = 0.26;
+  static constexpr double kDurationSeconds = 17;
+  static constexpr double kOverloadFactor = 2.5;
+  static constexpr int kRoundsASecond = 5;
+  static constexpr Micros kInterval = kSecond / kRoundsASecond;
+
+  SlowStartOfManyServers() {
+    fleet_.rounds(1, 50, kInterval, always_ok);
+    const Micros restarted_at = next_round_ * kInterval;
+    auto restarted =
+        make_endpoints({fleet_.endpoints().begin(), fleet_.endpoints().begin() + kRestarted});
+    for (EndpointEntry& endpoint : restarted) {
+      endpoint.started_at = restarted_at;
+    }
+    fleet_.handle_everywhere(restarted_at, partial_update(restarted));
+  }
+
+  void run_one_second() {
+    fleet_.reset_usage();
+    fleet_.rounds(next_round_, next_round_ + kRoundsASecond - 1, kInterval, always_ok);
+    next_round_ += kRoundsASecond;
+  }
+
+  int attempts_at(int server) const {
+    return fleet_.attempts_at(fleet_.endpoints()[std::size_t(server)]);
+  }
+
+ private:
+  static Settings slow_start_settings() {
+    Settings settings = basic_settings();
+    settings.slow_start_min_fraction = kMinFraction;
+    settings.slow_start_duration = Micros(kDurationSeconds) * kSecond;
+    settings.slow_start_overload_factor = kOverloadFactor;
+    settings.slow_start_overload_window = kSecond;
+    return settings;
+  }
+
+  GatewayFleet fleet_{100, kServers, slow_start_settings()};
+  int next_round_ = 51;
+};
+
+TEST_F(SlowStartOfManyServers, AllAreWarmedUpAndNoneIsOverloaded) {
+  // Without this, each gateway's share of a server's allowance would be less than one request and
+  // never be used, or all gateways would use theirs at once.
+  double to_warming_up = 0;  // attempts a server
+  double to_warm = 0;
+  for (int second = 0; second < 8; ++second) {
+    run_one_second();
+    int forwarded = 0;
+    for (int server = 0; server < kServers; ++server) {
+      const int received = attempts_at(server);
+      forwarded += received;
+      const bool warming_up = server < kRestarted;
+      // A warm server bears at least 13 a second: those of the quiet fleet, which are sent 8, do.
+      if (warming_up) {
+        EXPECT_LE(received, kOverloadFactor * 13 *
+                                (kMinFraction + (1 - kMinFraction) * second / kDurationSeconds));
+      }
+      if (second >= 4) {
+        (warming_up ? to_warming_up : to_warm) +=
+            double(received) / (warming_up ? kRestarted : kServers - kRestarted);
+      }
+    }
+    EXPECT_GE(forwarded, 475) << second;  // of 500
+  }
+  // Each of the fourteen gateways that share one waits longer than a second between its requests.
+  EXPECT_GT(to_warming_up, 0.2 * to_warm);
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
--- a/tests/support/gateway_harness.cpp
+++ b/tests/support/gateway_harness.cpp
@@ -173,6 +173,16 @@
   return handle(now, {complete_attempt(attempt, result)});
 }
 
+void GatewayHarness::serve(Micros now, const std::string& id, const Respond& respond) {
+  auto sent = attempts(arrive(now, id));
+  for (int attempt = 0; !sent.empty(); ++attempt) {
+    const ServerResponse response = respond(sent[0].server);
+    sent = attempts(
+        complete(now + response.completes_after, sent[0],
+                 {.outcome = response.outcome, .attempt = attempt, .duration = response.duration}));
+  }
+}
+
 int GatewayHarness::admitted(Micros now, int count, double units) {
   int forwarded = 0;
   for (int i = 0; i < count; ++i) {
--- a/tests/support/gateway_harness.hpp
+++ b/tests/support/gateway_harness.hpp
@@ -4,6 +4,7 @@
 #pragma once
 
 #include <cstdint>
+#include <functional>
 #include <map>
 #include <string>
 #include <variant>
@@ -90,6 +91,14 @@
 
 // ---- The harness
 
+// How a server answers one attempt.
+struct ServerResponse {
+  Outcome outcome = Outcome::kOk;
+  Micros duration = kMillisecond;         // as the gateway is told
+  Micros completes_after = kMillisecond;  // from the arrival of the request
+};
+using Respond = std::function<ServerResponse(const std::string& server)>;
+
 // One gateway, which has received its endpoint list at time 0.
 class GatewayHarness {
  public:
@@ -110,6 +119,10 @@
   std::vector<Action> complete(Micros now, const SendAttempt& attempt,
                                const AttemptResult& result = {});
 
+  // A request arrives at `now`; `respond` answers its attempts one after another until none
+  // follows.
+  void serve(Micros now, const std::string& id, const Respond& respond);
+
   // Sends `count` requests one by one and answers each that is forwarded at the same instant; how
   // many were forwarded.
   int admitted(Micros now, int count, double units = 1);
