--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -87,14 +87,16 @@
         known_(options.known),
         up_(options.servers),
         started_(steady_now()),
-        discovery_(
-            io, timers_, clock_, options.agents.at(position % options.agents.size()),
-            known_ ? known_->revision : 0,
-            [this](const net::EndpointList& list) {
-              told(list, list.complete ? EndpointListUpdate::Kind::kComplete
-                                       : EndpointListUpdate::Kind::kPartial);
-            },
-            random_(), 0, [this] { believe_known(); }) {
+        discovery_(io, timers_, clock_,
+                   {.agent = options.agents.at(position % options.agents.size()),
+                    .revision = known_ ? known_->revision : 0,
+                    .seed = random_()},
+                   {.on_update =
+                        [this](const net::EndpointList& list) {
+                          told(list, list.complete ? EndpointListUpdate::Kind::kComplete
+                                                   : EndpointListUpdate::Kind::kPartial);
+                        },
+                    .on_response = [this] { believe_known(); }}) {
     if (options.counter) {
       counter_ = std::make_shared<net::CounterClient>(
           io, timers_, clock_, *options.counter, options.settings.counter_timeout, 250'000,
@@ -121,7 +123,7 @@
   }
 
   void add_to(FleetState& s) const {
-    s.with_list += first_list_ > 0 && catalog_.up() > 0;
+    s.with_list += first_list_ > 0 && catalog_.up_count() > 0;
     s.right += right_at_ > 0;
     s.were_without += was_without_;
     s.least_revision = std::min(s.least_revision, revision_);
@@ -160,7 +162,7 @@
 
   void told(net::EndpointList list, EndpointListUpdate::Kind kind) {
     told_revision_ = list.revision;
-    catalog_.take(std::move(list));
+    catalog_.enqueue(std::move(list));
     if (!applying_) {
       apply(kind);
     }
@@ -178,7 +180,7 @@
       }
       up_[number] = e.state == EndpointState::kUp;
     }
-    applying_ = !catalog_.settled();
+    applying_ = !catalog_.is_idle();
     if (!update.entries.empty()) {
       push(std::move(update));
     } else if (!applying_) {
@@ -196,7 +198,7 @@
     }
     revision_ = told_revision_;
     in_force_at_ = steady_now();
-    const std::size_t up = catalog_.up();
+    const std::size_t up = catalog_.up_count();
     if (up > 0 && first_list_ == 0) {
       first_list_ = std::max<Micros>(1, in_force_at_ - started_);
     }
@@ -763,15 +765,15 @@
     if (s.phase == Phase::kRemoved) {
       continue;
     }
-    net::Member m;
+    net::ListedEndpoint m;
     m.entry.server = s.id;
     m.entry.zone = s.locality;
     m.entry.cell = s.cell;
     m.entry.state = s.phase == Phase::kUp ? EndpointState::kUp : EndpointState::kDraining;
     m.entry.weight = s.size;
     m.entry.started_at = s.up_since_ms * 1000;
-    m.address = net::parse_endpoint(s.host_port);
-    list->members.push_back(std::move(m));
+    m.address = net::parse_socket_address(s.host_port);
+    list->endpoints.push_back(std::move(m));
   }
   return list;
 }
--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -112,14 +112,14 @@
 ConfigLoader::ConfigLoader(std::istream& file, Known known)
     : file_(file),
       reader_({"known", "members"}, {},
-              known == Known::kKept ? EndpointListParser::Keep::kSamples
-                                    : EndpointListParser::Keep::kOnlySamples),
+              known == Known::kKept ? EndpointListParser::Retain::kEndpointsAndSamples
+                                    : EndpointListParser::Retain::kSamplesOnly),
       piece_(32 << 10, '\0') {}
 
 bool ConfigLoader::step() {
   file_.read(piece_.data(), std::streamsize(piece_.size()));
   const std::string_view came(piece_.data(), std::size_t(file_.gcount()));
-  const std::size_t used = reader_.take(came);
+  const std::size_t used = reader_.parse_chunk(came);
   if (came.find_first_not_of(" \t\r\n", used) != std::string_view::npos) {
     bad("more behind its end");
   }
@@ -127,13 +127,13 @@
 }
 
 ConfigFile ConfigLoader::finish() {
-  if (!reader_.done()) {
+  if (!reader_.is_done()) {
     bad("it breaks off");
   }
   ConfigFile out;
-  out.tree = reader_.rest();
+  out.tree = reader_.surrounding_json();
   if (out.tree.contains("known") && !out.tree["known"].is_null()) {
-    out.known = reader_.list(out.tree["known"]);
+    out.known = reader_.take_list(out.tree["known"]);
   }
   return out;
 }
@@ -144,13 +144,13 @@
   }
   GatewayConfig out;
   out.name = text(config, "name");
-  out.listen_address = parse_endpoint(text(config, "listen"));
-  out.discovery_address = parse_endpoint(text(config, "discovery"));
+  out.listen_address = parse_socket_address(text(config, "listen"));
+  out.discovery_address = parse_socket_address(text(config, "discovery"));
   if (config.contains("counter") && !config["counter"].is_null()) {
-    out.counter_address = parse_endpoint(text(config, "counter"));
+    out.counter_address = parse_socket_address(text(config, "counter"));
   }
   if (config.contains("mgmt") && !config["mgmt"].is_null()) {
-    out.admin_address = parse_endpoint(text(config, "mgmt"));
+    out.admin_address = parse_socket_address(text(config, "mgmt"));
   }
   if (config.contains("seed")) {
     out.seed = parse_seed(text(config, "seed"));
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -49,22 +49,21 @@
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, Timers& timers, const Clock& clock,
-                                 tcp::endpoint agent, std::int64_t revision, Told told,
-                                 std::uint64_t seed, Micros most_wait, std::function<void()> spoke,
-                                 ListLimits limits)
+                                 DiscoveryOptions options, DiscoveryCallbacks callbacks)
     : io_(io),
       timers_(timers),
       clock_(clock),
-      agent_(std::move(agent)),
-      pushed_(most_wait == 0),
-      revision_(revision),
-      told_(std::move(told)),
-      answers_(std::move(spoke)),
+      agent_(std::move(options.agent)),
+      pushed_(!options.max_rejection_backoff),
+      revision_(options.revision),
+      callbacks_(std::move(callbacks)),
       socket_(io),
-      limits_(limits),
-      tries_(limits, seed + 2),
-      backoff_(pushed_ ? kFirstPause : kFirstBackoff, pushed_ ? kMostPause : kMostBackoff, seed),
-      turned_away_(kTurnedAway, std::max(kTurnedAway, most_wait), seed + 1) {}
+      limits_(options.limits),
+      tries_(options.limits, options.seed + 2),
+      backoff_(pushed_ ? kFirstPause : kFirstBackoff, pushed_ ? kMostPause : kMostBackoff,
+               options.seed),
+      turned_away_(kTurnedAway, std::max(kTurnedAway, options.max_rejection_backoff.value_or(0)),
+                   options.seed + 1) {}
 
 void DiscoveryClient::start() {
   connect();
@@ -173,7 +172,7 @@
                             spoke_ = true;
                             try {
                               took(size);
-                            } catch (const TooLarge& e) {
+                            } catch (const EndpointListTooLarge& e) {
                               whole_ = true;
                               return lost(e.what(), ListRetryPolicy::Cause::kTooLarge);
                             } catch (const std::exception& e) {
@@ -216,7 +215,7 @@
     }
     throw std::runtime_error("status " + std::to_string(parser_->get().result_int()));
   }
-  answers_();
+  callbacks_.on_response();
   text(std::exchange(parser_->get().body(), {}));
   if (pending_.size() > kMostPending) {
     throw std::runtime_error("no HTTP");
@@ -246,8 +245,8 @@
       }
       begin_list();
     }
-    piece.remove_prefix(list_->take(piece));
-    if (list_->done()) {
+    piece.remove_prefix(list_->parse_chunk(piece));
+    if (list_->is_done()) {
       end_list();
     } else {
       judge();
@@ -257,7 +256,7 @@
 
 void DiscoveryClient::begin_list() {
   list_.emplace(std::vector<std::string>{"members"},
-                ReadLimits{limits_.memory, kTextForMemory * limits_.memory, kMostAround});
+                EndpointListLimits{limits_.memory, kTextForMemory * limits_.memory, kMostAround});
   ++begun_;
   came_ = 0;
   most_ = tries_.most(clock_.now());
@@ -270,7 +269,7 @@
   if (most_ == ListRetryPolicy::kAll) {
     return;
   }
-  if (const auto head = judged_ ? std::nullopt : list_->head()) {
+  if (const auto head = judged_ ? std::nullopt : list_->header()) {
     judged_ = true;
     // What does not say so before its members may be whole.
     const bool whole = head->complete.value_or(true);
@@ -282,17 +281,17 @@
       throw std::runtime_error("the list that failed");
     }
   }
-  if (list_->bytes() >= most_) {
+  if (list_->bytes_consumed() >= most_) {
     throw std::runtime_error("a whole list, so soon after one that failed");
   }
 }
 
 void DiscoveryClient::end_list() {
   heard();
-  EndpointList list = list_->list(list_->rest());
+  EndpointList list = list_->take_list(list_->surrounding_json());
   // Danger: a discovery that has lost its own list would take every server from all gateways at
   // once.
-  if (list.complete && list.members.empty()) {
+  if (list.complete && list.endpoints.empty()) {
     throw std::runtime_error("an empty list");
   }
   list_.reset();
@@ -306,7 +305,7 @@
     failed_.reset();
   }
   tries_.succeeded(list.complete);
-  told_(std::move(list));
+  callbacks_.on_update(std::move(list));
 }
 
 Micros DiscoveryClient::list_within() const {
@@ -355,11 +354,11 @@
 // Returns how long to wait before the next is asked for.
 Micros DiscoveryClient::give_up_list(const std::string& why, ListRetryPolicy::Cause cause) {
   const Micros now = clock_.now();
-  const std::size_t bytes = list_->bytes();
-  const std::size_t members = list_->members();
+  const std::size_t bytes = list_->bytes_consumed();
+  const std::size_t members = list_->endpoint_count();
   if (most_ > limits_.peek) {
     try {
-      failed_ = list_->head().value_or(EndpointListParser::Head{});
+      failed_ = list_->header().value_or(EndpointListParser::Header{});
     } catch (const std::exception&) {
       failed_.emplace();
     }
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -17,18 +17,33 @@
 
 namespace quota_gateway::net {
 
+struct DiscoveryOptions {
+  // The discovery agent.
+  boost::asio::ip::tcp::endpoint agent;
+  // Of the endpoint list that the gateway has already; the watch asks for what changed since.
+  std::int64_t revision = 0;
+  // Of the random draws of backoffs.
+  std::uint64_t seed = 0;
+  // None: lists are pushed by an agent beside this gateway, which answers at once and at no cost.
+  // Else lists are polled, and this is the longest backoff, in us, while discovery rejects
+  // requests.
+  std::optional<Micros> max_rejection_backoff = std::nullopt;
+  // What a list may take, and what rejected lists may cost.
+  ListLimits limits = {};
+};
+
+struct DiscoveryCallbacks {
+  // A list has come whole: a complete one, or changes to the one in force.
+  std::function<void(EndpointList)> on_update;
+  // The agent has sent some of an answer with status 200, whether it holds a list or not. Called
+  // for each piece, before an on_update from it.
+  std::function<void()> on_response = [] {};
+};
+
 class DiscoveryClient {
  public:
-  using Told = std::function<void(EndpointList)>;
-  // `spoke` comes first: the agent answers, whether it has news or not. `most_wait`: between two
-  // calls where lists are asked for and discovery turns us away; 0: lists are pushed, and an agent
-  // beside us answers at once and at no cost. `limits`: what a list may take, and what those that
-  // come to nothing may cost.
-  DiscoveryClient(
-      boost::asio::io_context& io, Timers& timers, const Clock& clock,
-      boost::asio::ip::tcp::endpoint agent, std::int64_t revision, Told told,
-      std::uint64_t seed = 0, Micros most_wait = 0, std::function<void()> spoke = [] {},
-      ListLimits limits = {});
+  DiscoveryClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
+                  DiscoveryOptions options, DiscoveryCallbacks callbacks);
   void start();
   // Watches another agent from now on; what the old one told stands until the new one has told its
   // list.
@@ -62,18 +77,17 @@
   std::int64_t revision_;
   bool whole_ = false;  // ask for the whole list next
   bool moved_ = false;  // the agent may not know our revision
-  Told told_;
-  std::function<void()> answers_;
+  const DiscoveryCallbacks callbacks_;
   boost::asio::ip::tcp::socket socket_;
   std::optional<Parser> parser_;
   std::array<char, 16384> chunk_;
   std::string pending_, request_;
   const ListLimits limits_;
   ListRetryPolicy tries_;
-  std::optional<EndpointListParser> list_;          // that is coming
-  std::size_t most_ = 0;                            // bytes of it that may be read
-  bool judged_ = false;                             // it is known what it is
-  std::optional<EndpointListParser::Head> failed_;  // of the last list that failed
+  std::optional<EndpointListParser> list_;            // that is coming
+  std::size_t most_ = 0;                              // bytes of it that may be read
+  bool judged_ = false;                               // it is known what it is
+  std::optional<EndpointListParser::Header> failed_;  // of the last list that failed
   Micros came_ = 0, pace_ = 0;  // when some of it last came; by when more of it must have come
   int begun_ = 0;               // lists, so far
   bool narrow_ = false;         // little of what this connection brings may be read
--- a/src/net/discovery/endpoint_list_parser.cpp
+++ b/src/net/discovery/endpoint_list_parser.cpp
@@ -55,17 +55,17 @@
   }
   // Of its keys and the kinds of its values.
   std::uint64_t shape() const { return shape_; }
-  const Member& member() {
+  const ListedEndpoint& member() {
     if (!has_id_ || !has_phase_) {
       throw std::runtime_error("a member without id or phase");
     }
-    MemberEntry& e = member_.entry;
+    CompactEndpointEntry& e = member_.entry;
     e.state = parse_state(phase_);
     if (e.state != EndpointState::kRemoved || has_address_) {
       if (!has_address_) {
         throw std::runtime_error("no address of '" + e.server + "'");
       }
-      member_.address = parse_endpoint(address_);
+      member_.address = parse_socket_address(address_);
     }
     return member_;
   }
@@ -185,12 +185,12 @@
   bool has_id_ = false, has_phase_ = false, has_address_ = false;
   Field field_ = Field::kOther;
   std::string phase_, address_;
-  Member member_;
+  ListedEndpoint member_;
 };
 
 }  // namespace
 
-tcp::endpoint parse_endpoint(const std::string& text) {
+tcp::endpoint parse_socket_address(const std::string& text) {
   const auto colon = text.rfind(':');
   unsigned port = 0;
   if (colon == std::string::npos) {
@@ -209,16 +209,16 @@
   return {address, static_cast<unsigned short>(port)};
 }
 
-EndpointList parse_members(const json& list) {
+EndpointList parse_endpoint_list(const json& list) {
   EndpointListParser reader({"members"});
-  reader.take(list.dump());
-  return reader.list(reader.rest());
+  reader.parse_chunk(list.dump());
+  return reader.take_list(reader.surrounding_json());
 }
 
-std::size_t memory(const Member& m) {
+std::size_t memory(const ListedEndpoint& m) {
   constexpr std::size_t kWithin = 15;
   constexpr std::size_t kBlock = 24;  // bytes of a text that lie in the string itself; of malloc
-  std::size_t out = sizeof(Member) + kBlock / 3;
+  std::size_t out = sizeof(ListedEndpoint) + kBlock / 3;
   for (const std::string* text : {&m.entry.server, &m.entry.zone}) {
     if (text->capacity() > kWithin) {
       out += text->capacity() + kBlock;
@@ -229,10 +229,11 @@
 
 // ---- From text
 // ----------------------------------------------------------------------------------------
-EndpointListParser::EndpointListParser(std::vector<std::string> path, ReadLimits limits, Keep keep)
+EndpointListParser::EndpointListParser(std::vector<std::string> path, EndpointListLimits limits,
+                                       Retain keep)
     : path_(std::move(path)), limits_(limits), keep_(keep), keys_(path_.size() + 1) {}
 
-std::size_t EndpointListParser::take(std::string_view piece) {
+std::size_t EndpointListParser::parse_chunk(std::string_view piece) {
   std::size_t at = 0;
   bytes_ += piece.size();
   while (at < piece.size() && !done_) {
@@ -245,8 +246,8 @@
     }
   }
   bytes_ -= piece.size() - at;
-  if (!done_ && bytes_ > limits_.bytes) {
-    throw TooLarge("it has no end");
+  if (!done_ && bytes_ > limits_.text_bytes) {
+    throw EndpointListTooLarge("it has no end");
   }
   return at;
 }
@@ -284,8 +285,8 @@
       done_ = --depth_ == 0;
     }
   }
-  if (rest_.size() > limits_.around) {
-    throw TooLarge("what is no member of it has no end");
+  if (rest_.size() > limits_.surrounding_bytes) {
+    throw EndpointListTooLarge("what is no member of it has no end");
   }
 }
 
@@ -351,7 +352,7 @@
   }
   member_ += piece;
   if (member_.size() > kMostMember) {
-    throw TooLarge("a member of it has no end");
+    throw EndpointListTooLarge("a member of it has no end");
   }
   return piece.size();
 }
@@ -360,30 +361,30 @@
   thread_local MemberHandler handler;
   handler.reset();
   json::sax_parse(text.begin(), text.end(), &handler);
-  const Member& member = handler.member();
+  const ListedEndpoint& member = handler.member();
   next_ = Next::kComma;
   ++count_;
-  if (keep_ != Keep::kOnlySamples) {
+  if (keep_ != Retain::kSamplesOnly) {
     members_.push_back(member);
     memory_ += memory(members_.back());
   }
-  if (keep_ != Keep::kMembers && shapes_.insert(handler.shape()).second) {
+  if (keep_ != Retain::kEndpoints && shapes_.insert(handler.shape()).second) {
     if (std::exchange(sampled_, true)) {
       rest_ += ',';
     }
     rest_ += text;
   }
-  if (memory_ > limits_.memory) {
-    throw TooLarge("its members take too much memory");
+  if (memory_ > limits_.memory_bytes) {
+    throw EndpointListTooLarge("its members take too much memory");
   }
 }
 
-std::optional<EndpointListParser::Head> EndpointListParser::head() const {
+std::optional<EndpointListParser::Header> EndpointListParser::header() const {
   if (!in_array_) {
     return std::nullopt;
   }
   const json before = json::parse(rest_ + ']' + std::string(path_.size(), '}'));
-  Head out;
+  Header out;
   if (before.contains("revision")) {
     out.revision = before["revision"].get<std::int64_t>();
   }
@@ -393,14 +394,14 @@
   return out;
 }
 
-EndpointList EndpointListParser::list(const json& around) {
+EndpointList EndpointListParser::take_list(const json& around) {
   EndpointList out;
   out.revision = around.at("revision").get<std::int64_t>();
   out.complete = around.value("complete", false);
   if (const json& members = around.at("members"); !members.is_array() && !members.is_null()) {
     throw std::runtime_error("members are no list");
   }
-  out.members = std::move(members_);
+  out.endpoints = std::move(members_);
   return out;
 }
 
--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -127,7 +127,7 @@
 
 // ---- Lists on their way
 // -------------------------------------------------------------------------------
-void EndpointTable::take(EndpointList list) {
+void EndpointTable::enqueue(EndpointList list) {
   if (list.complete) {
     pending_.clear();
     newer_.clear();
@@ -137,7 +137,7 @@
   pending_.back().sequence = ++sequence_;
 }
 
-Difference EndpointTable::apply() {
+EndpointChanges EndpointTable::apply() {
   looks_ = 0;
   while (!pending_.empty() && within_slice()) {
     advance(next());
@@ -160,7 +160,7 @@
 
 void EndpointTable::advance(Pending& p) {
   using Phase = Pending::Phase;
-  auto& members = p.list.members;
+  auto& members = p.list.endpoints;
   if (p.phase == Phase::kDone) {
     return end(p);
   }
@@ -198,7 +198,7 @@
 
 // Lets a list go that is in force, the first. Danger: all of a long one at once takes milliseconds.
 void EndpointTable::end(Pending& p) {
-  auto& members = p.list.members;
+  auto& members = p.list.endpoints;
   for (; !members.empty() && within_slice(); ++looks_) {
     members.pop_back();
   }
@@ -208,7 +208,7 @@
 }
 
 // Applies what must not wait. False if nothing else is to be done about the member.
-bool EndpointTable::look_urgent(const Member& m, const Pending& p) {
+bool EndpointTable::look_urgent(const ListedEndpoint& m, const Pending& p) {
   const auto slot = slot_of(m.entry.server);
   if (overtaken(m.entry.server, slot, p.sequence)) {
     return false;
@@ -236,7 +236,7 @@
 
 // Danger: what is meant for the one that was at an address would come to the new one there, which
 // may be cold. The last to start is the one that is there, and of equals the one told last.
-void EndpointTable::settle_address(const Member& m, const Pending& p) {
+void EndpointTable::settle_address(const ListedEndpoint& m, const Pending& p) {
   if (m.entry.state == EndpointState::kRemoved || m.address.port() == 0) {
     return;
   }
@@ -252,7 +252,7 @@
   }
 }
 
-bool EndpointTable::outranked(const Member& m, Sequence sequence) const {
+bool EndpointTable::outranked(const ListedEndpoint& m, Sequence sequence) const {
   return m.address.port() != 0 &&
          other_at(m, [&](const Record& r) {
            return std::tuple(r.started_at, r.told) > std::tuple(m.entry.started_at, sequence);
@@ -261,7 +261,7 @@
 
 // By now all that was in force before is as the list tells it, so others at the address are those
 // that stay.
-void EndpointTable::add(Member& m, const Pending& p) {
+void EndpointTable::add(ListedEndpoint& m, const Pending& p) {
   const auto slot = slot_of(m.entry.server);
   if (overtaken(m.entry.server, slot, p.sequence)) {
     return;
@@ -321,7 +321,8 @@
 }
 
 template <typename Is>
-std::optional<EndpointTable::Slot> EndpointTable::other_at(const Member& m, const Is& is) const {
+std::optional<EndpointTable::Slot> EndpointTable::other_at(const ListedEndpoint& m,
+                                                           const Is& is) const {
   const auto host = host_of(m.address.address());
   if (!host) {
     return std::nullopt;
@@ -357,7 +358,7 @@
   return r.port == address.port() && host_of(address.address()) == Host{r.host, r.named};
 }
 
-bool EndpointTable::same(const Record& r, const Member& m) const {
+bool EndpointTable::same(const Record& r, const ListedEndpoint& m) const {
   const auto& e = m.entry;
   const auto state = r.draining ? EndpointState::kDraining : EndpointState::kUp;
   return state == e.state && r.started_at == e.started_at && r.cell == e.cell &&
@@ -372,7 +373,7 @@
   return hash_address(r.host, r.named, r.port);
 }
 
-void EndpointTable::insert(Member& m, Sequence sequence) {
+void EndpointTable::insert(ListedEndpoint& m, Sequence sequence) {
   Slot slot = slots_;
   if (!free_.empty()) {
     slot = free_.back();
@@ -393,11 +394,11 @@
   difference_.entries.push_back(std::move(m.entry));
 }
 
-void EndpointTable::update(Slot slot, const Member& m, Sequence sequence) {
+void EndpointTable::update(Slot slot, const ListedEndpoint& m, Sequence sequence) {
   Record& r = at(slot);
   const bool moves = m.address.port() != 0 && !is_at(r, m.address);
   if (moves || r.started_at != m.entry.started_at) {
-    difference_.closed.push_back(r.id);
+    difference_.stale_connections.push_back(r.id);
   }
   if (moves) {
     drop_address(slot);
@@ -412,7 +413,7 @@
 }
 
 // What a list tells of a server, but for its names and its address, which are counted and indexed.
-void EndpointTable::set(Record& r, const Member& m, Sequence sequence) {
+void EndpointTable::set(Record& r, const ListedEndpoint& m, Sequence sequence) {
   r.cell = m.entry.cell;
   r.weight = m.entry.weight;
   r.started_at = m.entry.started_at;
@@ -432,7 +433,7 @@
   gone.weight = r.weight;
   gone.started_at = r.started_at;
   gone.state = EndpointState::kRemoved;
-  difference_.closed.push_back(r.id);
+  difference_.stale_connections.push_back(r.id);
   by_id_.erase(id_hash(slot), slot, [this](Slot s) { return id_hash(s); });
   drop_address(slot);
   names_.release(r.zone);
--- a/src/net/discovery/endpoint_table.hpp
+++ b/src/net/discovery/endpoint_table.hpp
@@ -56,17 +56,17 @@
 };
 
 // What a slice of a list has changed, in the order in which it happened.
-struct Difference {
+struct EndpointChanges {
   std::vector<EndpointEntry> entries;  // new, changed or, as kRemoved, gone
   std::vector<std::string>
-      closed;  // gone, moved or restarted: connections there mean nothing any more
+      stale_connections;  // gone, moved or restarted: connections there mean nothing any more
   std::vector<std::string> replaced;  // of these, gone since another one has their address now
 };
 
 class EndpointTable {
  public:
   // Changes of one slice. Danger: a slice and what the module makes of it hold up all requests.
-  static constexpr std::size_t kSlice = 512;
+  static constexpr std::size_t kMaxChangesPerSlice = 512;
 
   struct Server {
     bool up = false;
@@ -75,18 +75,18 @@
   };
 
   // Takes a list, whole or changes, behind those that are on their way. A whole one replaces these.
-  void take(EndpointList list);
+  void enqueue(EndpointList list);
   // The next slice of what was taken. What is gone, drains, has moved, restarted or been replaced
   // goes first, also of lists that came later; of a server that several lists tell of the newest
   // counts.
-  Difference apply();
+  EndpointChanges apply();
   // All that was taken is in force.
-  bool settled() const { return pending_.empty(); }
+  bool is_idle() const { return pending_.empty(); }
 
   std::optional<Server> find(const std::string& server) const;
   // Servers in force, and those of them that run.
   std::size_t size() const { return size_; }
-  std::size_t up() const { return up_; }
+  std::size_t up_count() const { return up_; }
 
  private:
   using Sequence = std::uint32_t;  // of lists
@@ -119,29 +119,31 @@
     std::size_t kept = 0;  // members that are left for the next phase
   };
 
-  bool within_slice() const { return difference_.entries.size() < kSlice && looks_ < kLooks; }
+  bool within_slice() const {
+    return difference_.entries.size() < kMaxChangesPerSlice && looks_ < kLooks;
+  }
   Pending& next();
   void advance(Pending& p);
   void end(Pending& p);
-  bool look_urgent(const Member& m, const Pending& p);
-  void settle_address(const Member& m, const Pending& p);
-  void add(Member& m, const Pending& p);
+  bool look_urgent(const ListedEndpoint& m, const Pending& p);
+  void settle_address(const ListedEndpoint& m, const Pending& p);
+  void add(ListedEndpoint& m, const Pending& p);
 
   bool overtaken(const std::string& id, std::optional<Slot> slot, Sequence sequence) const;
   void remember(const std::string& id, Sequence sequence);
-  bool outranked(const Member& m, Sequence sequence) const;
-  bool same(const Record& r, const Member& m) const;
+  bool outranked(const ListedEndpoint& m, Sequence sequence) const;
+  bool same(const Record& r, const ListedEndpoint& m) const;
   bool is_at(const Record& r, const boost::asio::ip::tcp::endpoint& address) const;
-  void insert(Member& m, Sequence sequence);
-  void update(Slot slot, const Member& m, Sequence sequence);
+  void insert(ListedEndpoint& m, Sequence sequence);
+  void update(Slot slot, const ListedEndpoint& m, Sequence sequence);
   void remove(Slot slot, Sequence sequence);
   void put_address(Slot slot, const boost::asio::ip::tcp::endpoint& address);
   void drop_address(Slot slot);
-  void set(Record& r, const Member& m, Sequence sequence);
+  void set(Record& r, const ListedEndpoint& m, Sequence sequence);
   std::optional<Slot> slot_of(const std::string& id) const;
   // The first other server at that address of which `is` holds.
   template <typename Is>
-  std::optional<Slot> other_at(const Member& m, const Is& is) const;
+  std::optional<Slot> other_at(const ListedEndpoint& m, const Is& is) const;
   std::optional<Host> host_of(const boost::asio::ip::address& address) const;
   boost::asio::ip::tcp::endpoint address_of(const Record& r) const;
   std::uint64_t id_hash(Slot slot) const;
@@ -149,7 +151,7 @@
 
   static constexpr std::size_t kChunk = 256;  // records that are allocated together
   static constexpr std::size_t kLooks =
-      4 * kSlice;  // members of a slice that may turn out to be unchanged
+      4 * kMaxChangesPerSlice;  // members of a slice that may turn out to be unchanged
   Record& at(Slot slot) { return chunks_[slot / kChunk][slot % kChunk]; }
   const Record& at(Slot slot) const { return chunks_[slot / kChunk][slot % kChunk]; }
 
@@ -164,7 +166,7 @@
   // bring back what they tell of them.
   std::unordered_map<std::string, Sequence> newer_;
   Sequence sequence_ = 0;
-  Difference difference_;
+  EndpointChanges difference_;
   std::size_t looks_ = 0;
 };
 
--- a/src/net/discovery/list_retry_policy.hpp
+++ b/src/net/discovery/list_retry_policy.hpp
@@ -25,7 +25,7 @@
 };
 
 // Part of the memory in the configuration's `limits`: while a list comes, the one in force stays.
-inline ListLimits lists_within(std::size_t memory_mb) {
+inline ListLimits list_limits_for_memory(std::size_t memory_mb) {
   ListLimits limits;
   limits.memory = (memory_mb << 20) / 6;
   return limits;
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -64,11 +64,16 @@
                    }
                  }}),
       discovery_at_(config.discovery_address),
-      discovery_(
-          io, timers_, clock_, config.discovery_address, known_->revision,
-          [this](EndpointList list) { told(std::move(list)); }, config.seed,
-          config.max_discovery_backoff, [this] { believe_known(); },
-          lists_within(config.memory_limit_mb)),
+      discovery_(io, timers_, clock_,
+                 {.agent = config.discovery_address,
+                  .revision = known_->revision,
+                  .seed = config.seed,
+                  .max_rejection_backoff = config.max_discovery_backoff > 0
+                                               ? std::optional(config.max_discovery_backoff)
+                                               : std::nullopt,
+                  .limits = list_limits_for_memory(config.memory_limit_mb)},
+                 {.on_update = [this](EndpointList list) { told(std::move(list)); },
+                  .on_response = [this] { believe_known(); }}),
       frontend_(
           io, timers_, clock_, settings_, most_clients(config),
           {[this](std::uint64_t client, ClientRequest r) { return took(client, std::move(r)); },
@@ -193,7 +198,8 @@
   return applying_ && !listed_;
 }
 bool GatewayServer::waits_for_list() const {
-  return partly_listed() || (known_ && known_->members.size() > EndpointTable::kSlice);
+  return partly_listed() ||
+         (known_ && known_->endpoints.size() > EndpointTable::kMaxChangesPerSlice);
 }
 
 void GatewayServer::release() {
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -40,7 +40,7 @@
     config.shared_directory = folder;
   }
   if (!config.admin_address && mgmt && *mgmt) {
-    config.admin_address = quota_gateway::net::parse_endpoint(mgmt);
+    config.admin_address = quota_gateway::net::parse_socket_address(mgmt);
   }
   return config;
 }
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -214,9 +214,9 @@
 }
 
 // Danger: connections to a process that is gone may stay open and silent.
-Difference ConnectionPool::apply() {
-  Difference difference = catalog_.apply();
-  for (const auto& server : difference.closed) {
+EndpointChanges ConnectionPool::apply() {
+  EndpointChanges difference = catalog_.apply();
+  for (const auto& server : difference.stale_connections) {
     forget(server);
   }
   return difference;
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -67,11 +67,11 @@
   ~ConnectionPool();
 
   // Takes a list, behind those that are on their way, for apply(); see Catalog.
-  void take(EndpointList list) { catalog_.take(std::move(list)); }
+  void take(EndpointList list) { catalog_.enqueue(std::move(list)); }
   // Puts the next slice of it in force and returns what has changed.
-  Difference apply();
+  EndpointChanges apply();
   // All that was taken is in force.
-  bool settled() const { return catalog_.settled(); }
+  bool settled() const { return catalog_.is_idle(); }
   // All of a list at once. Returns the servers whose address another one has now: what was there is
   // gone, told or not.
   std::vector<std::string> update(const EndpointList& list);
@@ -85,7 +85,7 @@
   bool abandon(AttemptKey key);
   // Servers that are listed, and those of them that run.
   std::size_t listed() const { return catalog_.size(); }
-  bool any_up() const { return catalog_.up() > 0; }
+  bool any_up() const { return catalog_.up_count() > 0; }
   // From now on so many connections at the most.
   void bound(std::size_t connections);
 
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -28,12 +28,12 @@
   const auto out = read(file(fleet(1000)));
   EXPECT_EQ(out.known.revision, 41);
   EXPECT_TRUE(out.known.complete);
-  EXPECT_EQ(out.known.members.size(), 1000U);
+  EXPECT_EQ(out.known.endpoints.size(), 1000U);
   EXPECT_EQ(out.tree["known"]["members"].size(), 1U);
   EXPECT_EQ(out.tree["settings"]["members"].size(), 1U);
   const auto checked = read(file(fleet(1000)), Known::kOnlyChecked);
   EXPECT_EQ(checked.tree, out.tree);
-  EXPECT_TRUE(checked.known.members.empty());
+  EXPECT_TRUE(checked.known.endpoints.empty());
   for (const char* none : {R"({"name":"n0"})", R"({"known":null})"}) {
     EXPECT_EQ(read(none).known.revision, 0);
   }
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -19,7 +19,11 @@
   FakeDiscovery fake{io};
   std::vector<EndpointList> told;
   DiscoveryClient discovery{
-      io, timers, clock, fake.address(), 41, [this](const EndpointList& l) { told.push_back(l); }};
+      io,
+      timers,
+      clock,
+      {.agent = fake.address(), .revision = 41},
+      {.on_update = [this](const EndpointList& list) { told.push_back(list); }}};
 };
 
 TEST_F(DiscoveryTest, WatchesFromWhatIsKnownAndTellsChanges) {
@@ -28,7 +32,7 @@
   EXPECT_EQ(fake.asked.at(0), "/catalog/members?watch=1&after=41");
   EXPECT_EQ(told[0].revision, 43);
   EXPECT_FALSE(told[0].complete);
-  const auto& m = told[0].members.at(0);
+  const auto& m = told[0].endpoints.at(0);
   EXPECT_EQ(m.entry.state, EndpointState::kDraining);
   EXPECT_EQ(m.entry.started_at, 1'500'000);
   EXPECT_EQ(m.entry.cell, 1);
@@ -56,8 +60,8 @@
   std::string odd = list(43, true, entry(R"(s}]\"{)", "127.0.0.1:9"));
   fake.first = indented(odd) + "\n" + indented(list(44, false, entry("s2", "127.0.0.1:9")));
   ASSERT_TRUE(until(io, [&] { return told.size() == 2; }));
-  EXPECT_EQ(told[0].members.at(0).entry.server, "s}]\"{");
-  EXPECT_EQ(told[1].members.at(0).entry.server, "s2");
+  EXPECT_EQ(told[0].endpoints.at(0).entry.server, "s}]\"{");
+  EXPECT_EQ(told[1].endpoints.at(0).entry.server, "s2");
   for (const char byte : indented(list(45, true, entry("s3", "127.0.0.1:9")))) {
     fake.tell(std::string(1, byte));
   }
@@ -118,13 +122,13 @@
   EXPECT_EQ(fake.peers.size(), 1U);
 }
 
-TEST(Members, WrongShapesThrow) {
+TEST(ListedEndpoints, WrongShapesThrow) {
   for (const char* text :
        {"[]", "{}", R"({"revision":1,"members":[{}]})", R"({"revision":1,"members":[1]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"127.0.0.1:99999"}]})",
         R"({"revision":1,"members":[{"id":"s","phase":"odd","host_port":"127.0.0.1:9"}]})"}) {
-    EXPECT_ANY_THROW(parse_members(nlohmann::json::parse(text))) << text;
+    EXPECT_ANY_THROW(parse_endpoint_list(nlohmann::json::parse(text))) << text;
   }
 }
 
@@ -147,8 +151,11 @@
   FakeDiscovery fake{io};
   std::vector<EndpointList> told;
   DiscoveryClient discovery{
-      io, timers,    clock, fake.address(), 41, [&](const EndpointList& l) { told.push_back(l); },
-      0,  16'000'000};
+      io,
+      timers,
+      clock,
+      {.agent = fake.address(), .revision = 41, .max_rejection_backoff = 16'000'000},
+      {.on_update = [&](const EndpointList& list) { told.push_back(list); }}};
   fake.refuse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
   discovery.start();
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -9,22 +9,22 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-EndpointList read(const std::vector<std::string_view>& pieces, ReadLimits limits = {}) {
+EndpointList read(const std::vector<std::string_view>& pieces, EndpointListLimits limits = {}) {
   EndpointListParser reader({"members"}, limits);
   for (const auto piece : pieces) {
-    if (reader.take(piece) != piece.size()) {
+    if (reader.parse_chunk(piece) != piece.size()) {
       throw std::runtime_error("ended early");
     }
   }
-  if (!reader.done()) {
+  if (!reader.is_done()) {
     throw std::runtime_error("not over");
   }
-  return reader.list(reader.rest());
+  return reader.take_list(reader.surrounding_json());
 }
 
 std::string text_of(const EndpointList& list) {
   std::string out = std::to_string(list.revision) + (list.complete ? " whole" : "");
-  for (const Member& m : list.members) {
+  for (const ListedEndpoint& m : list.endpoints) {
     out += '\n' + m.entry.server + ' ' + m.entry.zone + ' ' + std::to_string(m.entry.cell) + ' ' +
            std::to_string(int(m.entry.state)) + ' ' + std::to_string(m.entry.weight) + ' ' +
            std::to_string(m.entry.started_at) + ' ' + m.address.address().to_string() + ' ' +
@@ -62,8 +62,8 @@
 TEST(EndpointListParser, AKeyMayBeWrittenWithEscapes) {
   const auto list = read(
       {R"({"revision":1,"\u006dembers":[{"\u0069d":"s","phase":"up","host_port":"10.0.0.1:8"}]})"});
-  ASSERT_EQ(list.members.size(), 1U);
-  EXPECT_EQ(list.members[0].entry.server, "s");
+  ASSERT_EQ(list.endpoints.size(), 1U);
+  EXPECT_EQ(list.endpoints[0].entry.server, "s");
 }
 
 TEST(EndpointListParser, WhatIsMalformedThrowsWhereverItIs) {
@@ -71,7 +71,7 @@
   const auto with = [](const std::string& members) {
     return R"({"revision":1,"members":[)" + members + "]}";
   };
-  ASSERT_EQ(read({with(good + "," + good)}).members.size(), 2U);
+  ASSERT_EQ(read({with(good + "," + good)}).endpoints.size(), 2U);
   const auto edited = [&](const std::string& from, const std::string& to) {
     std::string text = good;
     return text.replace(text.find(from), from.size(), to);
@@ -113,10 +113,10 @@
 }
 
 TEST(EndpointListParser, WhatHasNoEndIsLeftWhicheverPartOfItGoesOn) {
-  ReadLimits limits;
-  limits.memory = 100'000;
-  limits.bytes = 200'000;
-  limits.around = 10'000;
+  EndpointListLimits limits;
+  limits.memory_bytes = 100'000;
+  limits.text_bytes = 200'000;
+  limits.surrounding_bytes = 10'000;
   const std::string begin = R"({"revision":1,"complete":true,"members":[)";
   const std::string member = R"({"id":"s","phase":"up","host_port":"10.0.0.1:8"})";
   const std::vector<std::pair<std::string, std::string>> endless = {
@@ -130,34 +130,35 @@
   };
   for (const auto& [first, then] : endless) {
     EndpointListParser reader({"members"}, limits);
-    reader.take(first);
+    reader.parse_chunk(first);
     bool left = false;
     for (std::size_t i = 0; i < 300'000 && !left; ++i) {
       try {
-        reader.take(then);
-      } catch (const TooLarge&) {
+        reader.parse_chunk(then);
+      } catch (const EndpointListTooLarge&) {
         left = true;
       }
     }
     EXPECT_TRUE(left) << first;
-    EXPECT_LE(reader.bytes(), limits.bytes + then.size()) << first;
+    EXPECT_LE(reader.bytes_consumed(), limits.text_bytes + then.size()) << first;
   }
 }
 
 TEST(EndpointListParser, KeepsAMemberOfEachShapeForWhoComparesThem) {
-  EndpointListParser reader({"known", "members"}, {}, EndpointListParser::Keep::kSamples);
+  EndpointListParser reader({"known", "members"}, {},
+                            EndpointListParser::Retain::kEndpointsAndSamples);
   std::string text = R"({"members":[1],"known":{"revision":3,"members":[)";
   for (int i = 0; i < 1000; ++i) {
     text += std::string(i ? "," : "") + R"({"id":"s)" + std::to_string(i) +
             R"(","phase":"up","host_port":"10.0.0.1:8")" + (i == 500 ? R"(,"cell":1})" : "}");
   }
   text += "]}}";
-  ASSERT_EQ(reader.take(text), text.size());
-  const auto rest = reader.rest();
+  ASSERT_EQ(reader.parse_chunk(text), text.size());
+  const auto rest = reader.surrounding_json();
   ASSERT_EQ(rest["known"]["members"].size(), 2U);
   EXPECT_EQ(rest["known"]["members"][1]["id"], "s500");
   EXPECT_EQ(rest["members"].size(), 1U);
-  EXPECT_EQ(reader.list(rest["known"]).members.size(), 1000U);
+  EXPECT_EQ(reader.take_list(rest["known"]).endpoints.size(), 1000U);
 }
 
 // One line a run, for those who look.
@@ -171,14 +172,14 @@
     const auto start = processor_time();
     EndpointListParser reader({"members"});
     for (std::size_t at = 0; at < bytes; at += 16384) {
-      reader.take(std::string_view(text).substr(at, 16384));
+      reader.parse_chunk(std::string_view(text).substr(at, 16384));
     }
-    const EndpointList list = reader.list(reader.rest());
+    const EndpointList list = reader.take_list(reader.surrounding_json());
     const auto spent = processor_time() - start;
-    EXPECT_EQ(list.members.size(), std::size_t(members));
+    EXPECT_EQ(list.endpoints.size(), std::size_t(members));
     const std::size_t grown = resident() - std::min(before, resident());
     std::cout << members << " members, " << bytes << " bytes: " << spent << " us, resident "
-              << grown / 1024 << " KiB more, " << sizeof(Member) << " bytes a member\n";
+              << grown / 1024 << " KiB more, " << sizeof(ListedEndpoint) << " bytes a member\n";
     return double(spent) / members;
   };
   cost(20'000);
--- a/tests/net/discovery/endpoint_lists_test.cpp
+++ b/tests/net/discovery/endpoint_lists_test.cpp
@@ -124,9 +124,11 @@
 class ListsTest : public ::testing::Test {
  protected:
   void start(ListLimits limits = {}) {
-    discovery.emplace(
-        io, timers, clock, agent.address(), 41,
-        [this](EndpointList l) { told.push_back(std::move(l)); }, 0, 0, [] {}, limits);
+    discovery.emplace(io, timers, clock,
+                      DiscoveryOptions{.agent = agent.address(), .revision = 41, .limits = limits},
+                      DiscoveryCallbacks{.on_update = [this](EndpointList list) {
+                        told.push_back(std::move(list));
+                      }});
     discovery->start();
   }
   void run(Micros time) {
@@ -160,7 +162,7 @@
   std::cout << "170000 members, " << text.size() << " bytes: " << processor_time() - start_time
             << " us with the agent's part, resident " << (resident() - before) / 1024
             << " KiB more, longest turn of the loop " << longest << " us\n";
-  EXPECT_EQ(told[0].members.size(), 170'000U);
+  EXPECT_EQ(told[0].endpoints.size(), 170'000U);
   EXPECT_EQ(told[0].revision, 50);
   agent.answer = [](const std::string&) { return once("\n"); };
   run(300'000);
@@ -180,7 +182,7 @@
   ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
   EXPECT_TRUE(told.empty());
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(told[0].members.size(), 60'000U);
+  EXPECT_EQ(told[0].endpoints.size(), 60'000U);
   EXPECT_EQ(agent.asked.size(), 2U);
   EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1");
 }
@@ -215,7 +217,7 @@
   run(500'000);
   agent.answer = [](const std::string&) { return once(list(51, true, fleet(200))); };
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(told[0].members.size(), 200U);
+  EXPECT_EQ(told[0].endpoints.size(), 200U);
   // And one of any size: of the same revision too, since what broke once may be whole now.
   told.clear();
   agent.answer = [](const std::string&) { return endless(52); };
@@ -223,7 +225,7 @@
   run(500'000);
   agent.answer = [](const std::string&) { return in_pieces(list(52, true, fleet(1'500)), 16384); };
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(told[0].members.size(), 1'500U);
+  EXPECT_EQ(told[0].endpoints.size(), 1'500U);
   // All is forgotten: what breaks now is asked for at once.
   agent.answer = [](const std::string&) { return once("\n"); };
   const auto asked = agent.asked.size();
@@ -252,7 +254,7 @@
   ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
   std::cout << "24000 changes taken after " << clock.now() - there << " us and "
             << agent.asked.size() - asked << " calls\n";
-  EXPECT_EQ(told[0].members.size(), 24'000U);
+  EXPECT_EQ(told[0].endpoints.size(), 24'000U);
   EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1&after=41");
   // Whole lists go on failing behind it.
   agent.answer = [](const std::string&) { return endless(52); };
--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -24,9 +24,9 @@
 #endif
 constexpr int kWorld = 170'000;  // servers, of which 24,000 are a zone
 
-Member at(const std::string& id, int place, Micros started_at = 0,
-          EndpointState state = EndpointState::kUp) {
-  Member m;
+ListedEndpoint at(const std::string& id, int place, Micros started_at = 0,
+                  EndpointState state = EndpointState::kUp) {
+  ListedEndpoint m;
   m.entry.server = id;
   m.entry.zone = "a";
   m.entry.started_at = started_at;
@@ -34,20 +34,20 @@
   m.address = {asio::ip::address_v4(std::uint32_t(0x0a000000 + place)), 8081};
   return m;
 }
-Member gone(const std::string& id) {
-  Member m;
+ListedEndpoint gone(const std::string& id) {
+  ListedEndpoint m;
   m.entry.server = id;
   m.entry.state = EndpointState::kRemoved;
   return m;
 }
-EndpointList changes(Members members) {
+EndpointList changes(ListedEndpoints members) {
   return {0, false, std::move(members)};
 }
-EndpointList whole(Members members) {
+EndpointList whole(ListedEndpoints members) {
   return {0, true, std::move(members)};
 }
-Members many(int count) {
-  Members out;
+ListedEndpoints many(int count) {
+  ListedEndpoints out;
   for (int i = 0; i < count; ++i) {
     out.push_back(at(label("s-", i), i, 1 + i));
   }
@@ -62,18 +62,19 @@
 using Briefs = std::vector<std::string>;
 
 // Applies all that was taken.
-Difference all_of(EndpointTable& catalog) {
-  Difference all;
-  while (!catalog.settled()) {
-    Difference d = catalog.apply();
+EndpointChanges all_of(EndpointTable& catalog) {
+  EndpointChanges all;
+  while (!catalog.is_idle()) {
+    EndpointChanges d = catalog.apply();
     std::move(d.entries.begin(), d.entries.end(), std::back_inserter(all.entries));
-    std::move(d.closed.begin(), d.closed.end(), std::back_inserter(all.closed));
+    std::move(d.stale_connections.begin(), d.stale_connections.end(),
+              std::back_inserter(all.stale_connections));
     std::move(d.replaced.begin(), d.replaced.end(), std::back_inserter(all.replaced));
   }
   return all;
 }
-Difference take(EndpointTable& catalog, EndpointList list) {
-  catalog.take(std::move(list));
+EndpointChanges take(EndpointTable& catalog, EndpointList list) {
+  catalog.enqueue(std::move(list));
   return all_of(catalog);
 }
 Briefs told(EndpointTable& catalog, EndpointList list) {
@@ -104,13 +105,13 @@
   EndpointTable c;
   EXPECT_EQ(told(c, whole({at("a", 1), at("b", 2), at("c", 3), at("d", 4)})),
             (Briefs{"+a", "+b", "+c", "+d"}));
-  Member heavier = at("b", 2);
+  ListedEndpoint heavier = at("b", 2);
   heavier.entry.weight = 2;
   EXPECT_EQ(
       told(c, whole({at("a", 1), heavier, at("e", 5), at("d", 4, 0, EndpointState::kDraining)})),
       (Briefs{"~d", "-c", "+b", "+e"}));
   EXPECT_EQ(c.size(), 4U);
-  EXPECT_EQ(c.up(), 3U);
+  EXPECT_EQ(c.up_count(), 3U);
   EXPECT_EQ(
       told(c, whole({at("d", 4, 0, EndpointState::kDraining), at("e", 5), heavier, at("a", 1)})),
       Briefs{});
@@ -122,13 +123,13 @@
 TEST(CatalogTest, EveryFieldThatChangesIsTold) {
   EndpointTable c;
   take(c, whole({at("a", 1)}));
-  std::vector<Member> changed(5, at("a", 1));
+  std::vector<ListedEndpoint> changed(5, at("a", 1));
   changed[0].entry.zone = "b";
   changed[1].entry.cell = 7;
   changed[2].entry.weight = 0.5;
   changed[3].entry.started_at = 9;
   changed[4].address.port(9);
-  for (const Member& m : changed) {
+  for (const ListedEndpoint& m : changed) {
     EXPECT_EQ(told(c, changes({m})), Briefs{"+a"});
     EXPECT_EQ(told(c, changes({m})), Briefs{});
     EXPECT_EQ(told(c, changes({at("a", 1)})), Briefs{"+a"});
@@ -140,7 +141,7 @@
   take(c, whole({at("a", 1), at("b", 2), at("c", 3), at("d", 4), at("e", 5)}));
   const auto d = take(
       c, changes({at("a", 11), at("b", 2, 5), gone("c"), at("d", 4, 0, EndpointState::kDraining)}));
-  EXPECT_EQ(std::set<std::string>(d.closed.begin(), d.closed.end()),
+  EXPECT_EQ(std::set<std::string>(d.stale_connections.begin(), d.stale_connections.end()),
             (std::set<std::string>{"a", "b", "c"}));
   EXPECT_TRUE(d.replaced.empty());
   EXPECT_EQ(c.find("a")->address, at("a", 11).address);
@@ -175,20 +176,20 @@
     EXPECT_EQ(d.entries.size(), 3U);
     EXPECT_EQ(c.find("a")->address, at("", 2).address);
     EXPECT_EQ(c.find("c")->address, at("", 1).address);
-    EXPECT_EQ(c.up(), 3U);
+    EXPECT_EQ(c.up_count(), 3U);
   }
 }
 
 TEST(CatalogTest, AddressesOfTheOtherKindAreServersToo) {
   EndpointTable c;
-  Member six = at("six", 1);
-  Member also = six;
+  ListedEndpoint six = at("six", 1);
+  ListedEndpoint also = six;
   six.address.address(asio::ip::make_address("fd00::1"));
   also.address.address(asio::ip::make_address("fd00::2"));
   EXPECT_EQ(told(c, whole({six})), Briefs{"+six"});
   EXPECT_EQ(told(c, whole({six})), Briefs{});
   EXPECT_EQ(c.find("six")->address, six.address);
-  EXPECT_EQ(take(c, changes({also})).closed, Briefs{"six"});
+  EXPECT_EQ(take(c, changes({also})).stale_connections, Briefs{"six"});
   also.entry.server = "other";
   EXPECT_EQ(take(c, changes({also})).replaced, Briefs{"six"});
 }
@@ -214,29 +215,29 @@
   std::reverse(next.begin(), next.end());
   std::set<std::string> urgent;
   for (int i = 0; i < 100; ++i) {
-    Member& drains = next[std::size_t(2 * n - 1 - i)];
+    ListedEndpoint& drains = next[std::size_t(2 * n - 1 - i)];
     drains.entry.state = EndpointState::kDraining;
     urgent.insert("~" + drains.entry.server);
-    Member& restarted = next[std::size_t(2 * n - 1'000 - i)];
+    ListedEndpoint& restarted = next[std::size_t(2 * n - 1'000 - i)];
     restarted.entry.started_at += 100'000'000;
     urgent.insert("+" + restarted.entry.server);
-    Member& replaced = next[std::size_t(n + i)];  // another one has its address
+    ListedEndpoint& replaced = next[std::size_t(n + i)];  // another one has its address
     urgent.insert("-" + replaced.entry.server);
     replaced.entry.server.insert(0, "new-");
     replaced.entry.started_at += 100'000'000;
   }
-  c.take(whole(next));
+  c.enqueue(whole(next));
   std::size_t seen = 0;
   std::size_t slices = 0;
-  for (; !c.settled(); ++slices) {
+  for (; !c.is_idle(); ++slices) {
     const auto d = c.apply();
-    EXPECT_LE(d.entries.size(), EndpointTable::kSlice + 1);
+    EXPECT_LE(d.entries.size(), EndpointTable::kMaxChangesPerSlice + 1);
     for (const auto& e : d.entries) {
       EXPECT_TRUE(++seen > urgent.size() || urgent.count(brief(e)) == 1) << brief(e);
     }
   }
   EXPECT_EQ(seen, urgent.size() + std::size_t(n) + 100);
-  EXPECT_GE(slices, std::size_t(n) / EndpointTable::kSlice);
+  EXPECT_GE(slices, std::size_t(n) / EndpointTable::kMaxChangesPerSlice);
   EXPECT_EQ(c.size(), std::size_t(2 * n));
 }
 
@@ -248,16 +249,16 @@
   take(c, whole({at("there", -1)}));
   auto first = many(n);
   first.push_back(at("there", -1));
-  c.take(whole(first));
+  c.enqueue(whole(first));
   while (c.apply().entries.empty()) {  // until the additions have begun
   }
-  ASSERT_FALSE(c.settled());
+  ASSERT_FALSE(c.is_idle());
   const std::string drains = label("s-", n - 1);
   const std::string removed = label("s-", n - 2);
   const std::string moved = label("s-", n - 3);
   const std::string replaced = label("s-", n - 4);
-  Member drained = at(drains, n - 1, n, EndpointState::kDraining);
-  c.take(changes(
+  ListedEndpoint drained = at(drains, n - 1, n, EndpointState::kDraining);
+  c.enqueue(changes(
       {drained, gone(removed), at(moved, 2 * n, n), at("new", n - 4, 2 * n), gone("there")}));
   Briefs next;
   for (const auto& e : c.apply().entries) {
@@ -280,9 +281,9 @@
 
 TEST(CatalogTest, AWholeListTakesThePlaceOfThoseThatWait) {
   EndpointTable c;
-  c.take(whole(many(5'000)));
+  c.enqueue(whole(many(5'000)));
   c.apply();
-  c.take(changes({at("between", -1)}));
+  c.enqueue(changes({at("between", -1)}));
   take(c, whole({at("s-0", 0, 1), at("last", -2)}));
   EXPECT_EQ(c.size(), 2U);
   EXPECT_TRUE(c.find("s-0"));
@@ -295,7 +296,7 @@
   std::mt19937 random(5);
   const auto pick = [&](int n) { return int(random() % unsigned(n)); };
   EndpointTable c;
-  std::map<std::string, Member> plain;
+  std::map<std::string, ListedEndpoint> plain;
   std::map<std::string, EndpointEntry> module;  // as the differences tell it
   for (int round = 0; round < 300; ++round) {
     EndpointList list;
@@ -306,8 +307,8 @@
       ids.insert(pick(6'000));
     }
     for (const int id : ids) {
-      Member m = at(label("s-", id), id + 10'000 * pick(2),
-                    1 + pick(2));  // each has two places of its own
+      ListedEndpoint m = at(label("s-", id), id + 10'000 * pick(2),
+                            1 + pick(2));  // each has two places of its own
       m.entry.zone = label("z", pick(5));
       const int state = pick(10);
       if (state == 0) {
@@ -316,21 +317,21 @@
       if (state == 1 && !list.complete) {
         m = gone(m.entry.server);
       }
-      list.members.push_back(m);
+      list.endpoints.push_back(m);
     }
     if (list.complete) {
       plain.clear();
     }
-    for (const Member& m : list.members) {
+    for (const ListedEndpoint& m : list.endpoints) {
       if (m.entry.state == EndpointState::kRemoved) {
         plain.erase(m.entry.server);
       } else {
         plain[m.entry.server] = m;
       }
     }
-    c.take(std::move(list));
+    c.enqueue(std::move(list));
     const bool rest = round % 7 == 0;  // else some slices wait when the next list comes
-    for (int slices = pick(4); (rest || slices-- > 0) && !c.settled();) {
+    for (int slices = pick(4); (rest || slices-- > 0) && !c.is_idle();) {
       for (const auto& e : c.apply().entries) {
         if (e.state == EndpointState::kRemoved) {
           module.erase(e.server);
@@ -339,7 +340,7 @@
         }
       }
     }
-    if (!c.settled()) {
+    if (!c.is_idle()) {
       continue;
     }
     ASSERT_EQ(c.size(), plain.size()) << round;
@@ -388,9 +389,9 @@
   for (int run = 0; run < 3; ++run) {
     EndpointTable c;
     const auto slices = [&](const char* what, EndpointList list) {
-      c.take(std::move(list));
+      c.enqueue(std::move(list));
       std::vector<double>& of = least[what];
-      for (std::size_t i = 0; !c.settled(); ++i) {
+      for (std::size_t i = 0; !c.is_idle(); ++i) {
         const double began = cpu_us();
         c.apply();
         const double took = cpu_us() - began;
@@ -403,7 +404,7 @@
     slices("first", whole(many(kWorld)));
     slices("same", whole(many(kWorld)));
     auto zone = changes(many(24'000));
-    for (Member& m : zone.members) {
+    for (ListedEndpoint& m : zone.endpoints) {
       m.entry.started_at += 1'000'000'000;
     }
     slices("zone", zone);
@@ -427,7 +428,7 @@
   // Nothing is left of what comes and goes.
   for (int round = 1; round <= 5; ++round) {
     auto list = many(kWorld / 10);
-    for (Member& m : list) {
+    for (ListedEndpoint& m : list) {
       m.entry.server += char('a' + round);
       m.entry.started_at += round * kWorld;
       m.entry.zone = label("z", round);
--- a/tests/net/server/gateway_server_test.cpp
+++ b/tests/net/server/gateway_server_test.cpp
@@ -566,8 +566,8 @@
   tcp::endpoint at(int place) const {
     return {asio::ip::address_v4(std::uint32_t(0x7f010000 + place)), address().port()};
   }
-  Member member(const std::string& id, int place) const {
-    Member m = testing::member(id, *this);
+  ListedEndpoint member(const std::string& id, int place) const {
+    ListedEndpoint m = testing::member(id, *this);
     m.address = at(place);
     return m;
   }
@@ -612,7 +612,8 @@
     }
     return ready;
   }));
-  EXPECT_GE(turns, std::size_t(n) / EndpointTable::kSlice);  // the loop ran between slices
+  EXPECT_GE(turns,
+            std::size_t(n) / EndpointTable::kMaxChangesPerSlice);  // the loop ran between slices
   EXPECT_EQ(status(c), 200);
   EXPECT_EQ(servers.requests.size(), 1U);  // nothing for who has left
 }
@@ -637,7 +638,7 @@
     EXPECT_TRUE(servers.requests.empty());
     return false;
   }));
-  EXPECT_GE(turns, std::size_t(n) / EndpointTable::kSlice - 1);
+  EXPECT_GE(turns, std::size_t(n) / EndpointTable::kMaxChangesPerSlice - 1);
   ASSERT_TRUE(c);
   EXPECT_EQ(status(*c), 200);
 }
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -19,7 +19,7 @@
     };
     upstream.emplace(io, timers, clock, limits, std::move(events));
     list.complete = true;
-    list.members = {member("s", server)};
+    list.endpoints = {member("s", server)};
     upstream->update(list);
   }
   void send(std::uint64_t request) {
@@ -122,7 +122,7 @@
     fillers.back().async_connect(full.local_endpoint(), [](error_code) {});
   }
   make({15'000'000, 50'000, 10});
-  list.members[0].address = full.local_endpoint();
+  list.endpoints[0].address = full.local_endpoint();
   upstream->update(list);
   EXPECT_EQ(result(1).outcome, Outcome::kConnectFailed);
   // What comes up after that carries nothing.
@@ -155,7 +155,7 @@
     });
   });
   make();
-  list.members[0].address = acceptor.local_endpoint();
+  list.endpoints[0].address = acceptor.local_endpoint();
   upstream->update(list);
   EXPECT_EQ(result(1).outcome, Outcome::kConnectFailed);
 }
@@ -256,9 +256,9 @@
   // a new owner.
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
-  list.members[0] = member("new", server);
+  list.endpoints[0] = member("new", server);
   list.complete = false;
-  list.members[0].entry.started_at = 5;
+  list.endpoints[0].entry.started_at = 5;
   EXPECT_EQ(upstream->update(list), std::vector<std::string>{"s"});
   EXPECT_TRUE(until(io, [&] { return server.peers[0]->over; }));
   EXPECT_EQ(result(2).outcome, Outcome::kNotSent);
@@ -266,7 +266,7 @@
   ASSERT_TRUE(until(io, [&] { return results.size() == 3; }));
   EXPECT_EQ(results[2].second.outcome, Outcome::kOk);
   list.complete = true;
-  list.members.clear();
+  list.endpoints.clear();
   EXPECT_TRUE(upstream->update(list).empty());
   EXPECT_TRUE(until(io, [&] { return server.peers[1]->over; }));
 }
@@ -338,7 +338,7 @@
   make();
   send(1);
   list.complete = false;
-  list.members[0].entry.state = EndpointState::kDraining;
+  list.endpoints[0].entry.state = EndpointState::kDraining;
   upstream->update(list);
   ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
@@ -356,10 +356,10 @@
     send(1);
     list.complete = false;
     if (moves) {
-      list.members[0].address = moved.address();
+      list.endpoints[0].address = moved.address();
     }
     if (!moves) {
-      list.members[0].entry.started_at = clock.now();
+      list.endpoints[0].entry.started_at = clock.now();
     }
     upstream->update(list);
     ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
@@ -371,7 +371,7 @@
 
 TEST_F(UpstreamTest, AServerThatDrainsOrIsUnknownIsSentNothing) {
   make();
-  list.members[0].entry.state = EndpointState::kRemoved;
+  list.endpoints[0].entry.state = EndpointState::kRemoved;
   upstream->update(list);
   EXPECT_EQ(result(1).outcome, Outcome::kNotSent);
   upstream->send({2, 0}, "nobody", outgoing, clock.now() + 1'000'000);
@@ -384,11 +384,11 @@
   FakeServer moved(io);
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
-  list.members[0].entry.started_at = clock.now();
+  list.endpoints[0].entry.started_at = clock.now();
   upstream->update(list);
   ASSERT_EQ(result(2).outcome, Outcome::kOk);
   EXPECT_EQ(server.peers.size(), 2U);
-  list.members[0].address = moved.address();
+  list.endpoints[0].address = moved.address();
   upstream->update(list);
   ASSERT_EQ(result(3).outcome, Outcome::kOk);
   EXPECT_EQ(moved.requests.size(), 1U);
@@ -413,17 +413,17 @@
   const auto change_us = [&](int servers) {
     make();
     for (int i = 1; i < servers; ++i) {
-      list.members.push_back(list.members[0]);
-      list.members.back().entry.server = label("other", i);
-      list.members.back().address.address(asio::ip::address_v4(std::uint32_t(0x0a000000 + i)));
+      list.endpoints.push_back(list.endpoints[0]);
+      list.endpoints.back().entry.server = label("other", i);
+      list.endpoints.back().address.address(asio::ip::address_v4(std::uint32_t(0x0a000000 + i)));
     }
     upstream->update(list);
     EXPECT_EQ(upstream->listed(), std::size_t(servers));
     EXPECT_EQ(result(std::uint64_t(servers)).outcome, Outcome::kOk);
-    EndpointList one{0, false, {list.members.back()}};
+    EndpointList one{0, false, {list.endpoints.back()}};
     double least = 1e9;
     for (int run = 0; run < 20; ++run) {
-      one.members[0].entry.started_at = 1 + run;
+      one.endpoints[0].entry.started_at = 1 + run;
       const double began = cpu_us();
       upstream->update(one);
       least = std::min(least, cpu_us() - began);
@@ -440,11 +440,11 @@
   make();
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   FakeServer other(io);
-  list.members.push_back(member("other", other));
+  list.endpoints.push_back(member("other", other));
   upstream->update(list);
   list.complete = false;
-  list.members = {member("third", other)};
-  list.members[0].entry.started_at = 5;
+  list.endpoints = {member("third", other)};
+  list.endpoints[0].entry.started_at = 5;
   EXPECT_EQ(upstream->update(list), std::vector<std::string>{"other"});
   ASSERT_EQ(result(2).outcome, Outcome::kOk);
   EXPECT_EQ(server.peers.size(), 1U);
@@ -455,18 +455,18 @@
   ASSERT_EQ(result(1).outcome, Outcome::kOk);
   EndpointList many;
   for (int i = 0; i < 3'000; ++i) {
-    many.members.push_back(member(label("n", i), server));
-    many.members.back().address.address(asio::ip::address_v4(std::uint32_t(0x0a000000 + i)));
+    many.endpoints.push_back(member(label("n", i), server));
+    many.endpoints.back().address.address(asio::ip::address_v4(std::uint32_t(0x0a000000 + i)));
   }
-  many.members.push_back(list.members[0]);
-  many.members.back().entry.state = EndpointState::kDraining;
+  many.endpoints.push_back(list.endpoints[0]);
+  many.endpoints.back().entry.state = EndpointState::kDraining;
   upstream->take(std::move(many));
-  Difference first;
+  EndpointChanges first;
   while (first.entries.empty() && !upstream->settled()) {
     first = upstream->apply();
   }
   EXPECT_EQ(first.entries.at(0).server, "s");
-  EXPECT_LE(first.entries.size(), EndpointTable::kSlice);
+  EXPECT_LE(first.entries.size(), EndpointTable::kMaxChangesPerSlice);
   EXPECT_FALSE(upstream->settled());
   EXPECT_EQ(result(2).outcome, Outcome::kNotSent);
   while (!upstream->settled()) {
--- a/tests/scale/world_test.cpp
+++ b/tests/scale/world_test.cpp
@@ -58,8 +58,9 @@
   }
   void watch(std::int64_t after) {
     clients.push_back(std::make_unique<net::DiscoveryClient>(
-        io, timers, clock, agent->address(), after,
-        [this](const net::EndpointList& l) { told.push_back(l); }));
+        io, timers, clock, net::DiscoveryOptions{.agent = agent->address(), .revision = after},
+        net::DiscoveryCallbacks{
+            .on_update = [this](const net::EndpointList& list) { told.push_back(list); }}));
     clients.back()->start();
   }
   bool comes(std::size_t lists) {
@@ -79,19 +80,19 @@
   ASSERT_TRUE(comes(1));
   EXPECT_TRUE(told[0].complete);
   EXPECT_EQ(told[0].revision, 41);
-  ASSERT_EQ(told[0].members.size(), 50U);
-  EXPECT_EQ(told[0].members[9].entry.server, server_id(9));
-  EXPECT_EQ(told[0].members[9].entry.zone, "c");
-  EXPECT_EQ(told[0].members[9].address.port(), 1009);
+  ASSERT_EQ(told[0].endpoints.size(), 50U);
+  EXPECT_EQ(told[0].endpoints[9].entry.server, server_id(9));
+  EXPECT_EQ(told[0].endpoints[9].entry.zone, "c");
+  EXPECT_EQ(told[0].endpoints[9].address.port(), 1009);
   agent->change({changed(agent->servers()[3], Phase::kDraining)});
   agent->change(
       {changed(agent->servers()[3], Phase::kRemoved), changed(agent->servers()[4], Phase::kUp)});
   ASSERT_TRUE(comes(3));
   EXPECT_FALSE(told[1].complete);
   EXPECT_EQ(told[1].revision, 42);
-  EXPECT_EQ(told[1].members.at(0).entry.state, EndpointState::kDraining);
-  EXPECT_EQ(told[2].members.size(), 2U);
-  EXPECT_EQ(told[2].members[0].entry.state, EndpointState::kRemoved);
+  EXPECT_EQ(told[1].endpoints.at(0).entry.state, EndpointState::kDraining);
+  EXPECT_EQ(told[2].endpoints.size(), 2U);
+  EXPECT_EQ(told[2].endpoints[0].entry.state, EndpointState::kRemoved);
   EXPECT_EQ(agent->counts().changes, 2U);
   EXPECT_EQ(agent->counts().lists, 1U);
 }
@@ -105,8 +106,8 @@
   ASSERT_TRUE(comes(1));
   EXPECT_FALSE(told[0].complete);
   EXPECT_EQ(told[0].revision, 43);
-  ASSERT_EQ(told[0].members.size(), 2U);  // each server once, as it is now
-  EXPECT_EQ(told[0].members[0].entry.state, EndpointState::kRemoved);
+  ASSERT_EQ(told[0].endpoints.size(), 2U);  // each server once, as it is now
+  EXPECT_EQ(told[0].endpoints[0].entry.state, EndpointState::kRemoved);
   agent->change(
       {changed(servers[5], Phase::kDraining)});  // a fourth entry: the oldest difference is lost
   ASSERT_TRUE(comes(2));
@@ -114,7 +115,7 @@
   watch(41);
   ASSERT_TRUE(comes(1));
   EXPECT_TRUE(told[0].complete);
-  EXPECT_EQ(told[0].members.size(), 49U);
+  EXPECT_EQ(told[0].endpoints.size(), 49U);
 }
 
 TEST_F(AgentTest, AWholeListThatWasEncodedBeforeComesWithWhatChangedSince) {
@@ -129,7 +130,7 @@
   EXPECT_EQ(told[0].revision, 41);
   EXPECT_TRUE(told[0].complete);
   EXPECT_EQ(told[1].revision, 42);
-  EXPECT_EQ(told[1].members.at(0).entry.state, EndpointState::kDraining);
+  EXPECT_EQ(told[1].endpoints.at(0).entry.state, EndpointState::kDraining);
 }
 
 TEST_F(AgentTest, SilentItSaysNothingAndThenWhatWasMissed) {
@@ -189,8 +190,8 @@
                          [&](auto, auto) { done = true; });
   ASSERT_TRUE(until(io, [&] { return done; }));
   const auto list =
-      net::parse_members(nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4)));
-  EXPECT_EQ(list.members.size(), 50U);
+      net::parse_endpoint_list(nlohmann::json::parse(answer.substr(answer.find("\r\n\r\n") + 4)));
+  EXPECT_EQ(list.endpoints.size(), 50U);
   EXPECT_TRUE(list.complete);
 }
 
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -290,8 +290,8 @@
          "\r\nContent-Length: 5\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\nhello";
 }
 
-inline Member member(const std::string& id, const Listener& at, std::int64_t cell = 0) {
-  Member m;
+inline ListedEndpoint member(const std::string& id, const Listener& at, std::int64_t cell = 0) {
+  ListedEndpoint m;
   m.entry.server = id;
   m.entry.zone = "a";
   m.entry.cell = cell;
@@ -342,11 +342,11 @@
     config.persisted_endpoints.complete = true;
     config.persisted_endpoints.revision = 41;
   }
-  void know(const Member& m) { config.persisted_endpoints.members.push_back(m); }
+  void know(const ListedEndpoint& m) { config.persisted_endpoints.endpoints.push_back(m); }
   // Returns once the list that it knows is in force, unless its agent is mute.
   GatewayServer& start() {
     driver.emplace(io, config);
-    if (!config.persisted_endpoints.members.empty() && !discovery.mute) {
+    if (!config.persisted_endpoints.endpoints.empty() && !discovery.mute) {
       EXPECT_TRUE(
           until([&] { return driver->figures().find("app.targets=0\n") == std::string::npos; }));
     }
