--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -59,7 +59,7 @@
       callbacks_(std::move(callbacks)),
       socket_(io),
       limits_(options.limits),
-      tries_(options.limits, options.seed + 2),
+      retry_policy_(options.limits, options.seed + 2),
       backoff_(pushed_ ? kFirstPause : kFirstBackoff, pushed_ ? kMostPause : kMostBackoff,
                options.seed),
       turned_away_(kTurnedAway, std::max(kTurnedAway, options.max_rejection_backoff.value_or(0)),
@@ -76,7 +76,7 @@
   whole_ = moved_ = true;
   list_.reset();  // what is left of it says nothing of the new agent
   failed_.reset();
-  tries_.succeeded(true);
+  retry_policy_.reset();
   backoff_.reset();
   turned_away_.reset();
   lost("moves to another agent");
@@ -120,9 +120,11 @@
   if (failed) {
     return lost(failed.message());
   }
-  const std::size_t most = tries_.most(heard_);
+  const ListReadScope scope = retry_policy_.read_scope(heard_);
   narrow_ = false;
-  narrow(most == ListRetryPolicy::kAll ? 0 : most <= limits_.peek ? kPeekBuffer : kSmallBuffer);
+  narrow(scope == ListReadScope::kUnlimited ? 0
+         : scope == ListReadScope::kProbe   ? kPeekBuffer
+                                            : kSmallBuffer);
   socket_.async_connect(agent_, [this, life](error_code ec) {
     if (life != life_) {
       return;
@@ -159,7 +161,7 @@
 }
 
 void DiscoveryClient::read(int life) {
-  const std::size_t most = narrow_ ? std::min(limits_.peek, chunk_.size()) : chunk_.size();
+  const std::size_t most = narrow_ ? std::min(limits_.probe_bytes, chunk_.size()) : chunk_.size();
   socket_.async_read_some(asio::buffer(chunk_, most),
                           [this, life](error_code ec, std::size_t size) {
                             if (life != life_) {
@@ -174,7 +176,7 @@
                               took(size);
                             } catch (const EndpointListTooLarge& e) {
                               whole_ = true;
-                              return lost(e.what(), ListRetryPolicy::Cause::kTooLarge);
+                              return lost(e.what(), ListFailure::kTooLarge);
                             } catch (const std::exception& e) {
                               // Danger: what was not understood is a gap; only the whole list
                               // closes it.
@@ -255,18 +257,19 @@
 }
 
 void DiscoveryClient::begin_list() {
-  list_.emplace(std::vector<std::string>{"members"},
-                EndpointListLimits{limits_.memory, kTextForMemory * limits_.memory, kMostAround});
+  list_.emplace(
+      std::vector<std::string>{"members"},
+      EndpointListLimits{limits_.memory_bytes, kTextForMemory * limits_.memory_bytes, kMostAround});
   ++begun_;
   came_ = 0;
-  most_ = tries_.most(clock_.now());
+  scope_ = retry_policy_.read_scope(clock_.now());
   judged_ = false;
 }
 
 // Danger: a list that fails again and again is left as soon as it can be told from one that would
 // not.
 void DiscoveryClient::judge() {
-  if (most_ == ListRetryPolicy::kAll) {
+  if (scope_ == ListReadScope::kUnlimited) {
     return;
   }
   if (const auto head = judged_ ? std::nullopt : list_->header()) {
@@ -274,14 +277,15 @@
     // What does not say so before its members may be whole.
     const bool whole = head->complete.value_or(true);
     if (!whole && (!failed_ || failed_->complete.value_or(true))) {
-      most_ = ListRetryPolicy::kAll;
+      scope_ = ListReadScope::kUnlimited;
       return narrow(0);
     }
-    if (whole && most_ <= limits_.peek && failed_ && failed_->revision == head->revision) {
+    if (whole && scope_ == ListReadScope::kProbe && failed_ &&
+        failed_->revision == head->revision) {
       throw std::runtime_error("the list that failed");
     }
   }
-  if (list_->bytes_consumed() >= most_) {
+  if (list_->bytes_consumed() >= retry_policy_.max_bytes(scope_)) {
     throw std::runtime_error("a whole list, so soon after one that failed");
   }
 }
@@ -304,7 +308,11 @@
   if (list.complete || (failed_ && !failed_->complete.value_or(true))) {
     failed_.reset();
   }
-  tries_.succeeded(list.complete);
+  if (list.complete) {
+    retry_policy_.reset();
+  } else {
+    retry_policy_.on_partial_list();
+  }
   callbacks_.on_update(std::move(list));
 }
 
@@ -337,7 +345,7 @@
   const Micros next = std::min(came_ + list_within(), pace_);
   if (now >= next) {
     whole_ = true;
-    return lost("a list does not end", ListRetryPolicy::Cause::kUnended);
+    return lost("a list does not end", ListFailure::kUnfinished);
   }
   timers_.at(next, [this, life, begun, next] { watch_list(life, begun, next); });
 }
@@ -352,11 +360,11 @@
 }
 
 // Returns how long to wait before the next is asked for.
-Micros DiscoveryClient::give_up_list(const std::string& why, ListRetryPolicy::Cause cause) {
+Micros DiscoveryClient::give_up_list(const std::string& why, ListFailure cause) {
   const Micros now = clock_.now();
   const std::size_t bytes = list_->bytes_consumed();
   const std::size_t members = list_->endpoint_count();
-  if (most_ > limits_.peek) {
+  if (scope_ != ListReadScope::kProbe) {
     try {
       failed_ = list_->header().value_or(EndpointListParser::Header{});
     } catch (const std::exception&) {
@@ -364,9 +372,10 @@
     }
   }
   list_.reset();
-  tries_.failed(bytes, most_, cause, now);
-  const Micros wait = tries_.faulty() ? tries_.wait(now) : backoff_.next();
-  if (most_ > limits_.peek && tries_.faulty()) {
+  retry_policy_.on_failure(scope_, bytes, cause, now);
+  const Micros wait =
+      retry_policy_.is_restricted() ? retry_policy_.next_wait(now) : backoff_.next();
+  if (scope_ != ListReadScope::kProbe && retry_policy_.is_restricted()) {
     logged_ = now;
     std::cerr << "discovery: a list is given up after " << bytes << " bytes and " << members
               << " members: " << why << "; the list of revision " << revision_
@@ -375,7 +384,7 @@
   return wait;
 }
 
-void DiscoveryClient::lost(const std::string& why, ListRetryPolicy::Cause cause) {
+void DiscoveryClient::lost(const std::string& why, ListFailure cause) {
   error_code ignored;
   socket_.close(ignored);
   const int life = ++life_;
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -64,8 +64,8 @@
   Micros list_within() const;
   void watch_list(int life, int begun, Micros due);
   void narrow(int buffer);
-  void lost(const std::string& why, ListRetryPolicy::Cause cause = ListRetryPolicy::Cause::kBroken);
-  Micros give_up_list(const std::string& why, ListRetryPolicy::Cause cause);
+  void lost(const std::string& why, ListFailure cause = ListFailure::kMalformed);
+  Micros give_up_list(const std::string& why, ListFailure cause);
   Micros patience() const;
   void watch_quiet(int life, Micros due);
 
@@ -83,9 +83,9 @@
   std::array<char, 16384> chunk_;
   std::string pending_, request_;
   const ListLimits limits_;
-  ListRetryPolicy tries_;
+  ListRetryPolicy retry_policy_;
   std::optional<EndpointListParser> list_;            // that is coming
-  std::size_t most_ = 0;                              // bytes of it that may be read
+  ListReadScope scope_ = ListReadScope::kUnlimited;   // how much of it may be read
   bool judged_ = false;                               // it is known what it is
   std::optional<EndpointListParser::Header> failed_;  // of the last list that failed
   Micros came_ = 0, pace_ = 0;  // when some of it last came; by when more of it must have come
--- a/src/net/discovery/list_retry_policy.hpp
+++ b/src/net/discovery/list_retry_policy.hpp
@@ -1,5 +1,5 @@
-// What lists that come to nothing may cost: how much of the next one may be read, and when to ask
-// for it.
+// Limits what rejected endpoint lists may cost: how many bytes of the next list may be read, and
+// when to ask for it. Owned by DiscoveryClient, which reports each list that it rejects or accepts.
 #pragma once
 
 #include <cstddef>
@@ -11,107 +11,96 @@
 
 namespace quota_gateway::net {
 
-// Memory in bytes, times in us. Together a lasting fault costs under 2 KB a second once waits have
-// grown: two times `rate`, and a call with its answer's first bytes each 2 to 4 s.
+// Together these keep a lasting fault under 2 KB a second once the waits have grown: two times
+// `bytes_per_second`, and a request with the first bytes of its response each 2 to 4 s.
 struct ListLimits {
-  std::size_t memory = 32 << 20;  // that the members of one list may take
-  std::size_t free =
-      4 << 20;        // bytes of failed lists that change nothing; they come back at `rate`
-  int unended = 8;    // lists on end that stop or trickle and change nothing
-  double rate = 400;  // bytes a second
-  Micros first_wait = 4'000'000, most_between = 4'000'000;
-  std::size_t peek = 1024;       // bytes of a list: enough to see what it is
-  std::size_t small = 64 << 10;  // of one of some hundred servers
+  // Memory that the endpoints of one list may use.
+  std::size_t memory_bytes = 32 << 20;
+  // Bytes of rejected lists that restrict nothing yet; replenished at `bytes_per_second`.
+  std::size_t unrestricted_bytes = 4 << 20;
+  // Consecutive lists that stop or trickle and restrict nothing yet.
+  int max_unfinished_lists = 8;
+  // What rejected lists may cost in the long run.
+  double bytes_per_second = 400;
+  // The first wait for a further complete list after one that was too large, us.
+  Micros initial_wait = 4'000'000;
+  // The longest wait between two requests while restricted, us.
+  Micros max_request_interval = 4'000'000;
+  // Bytes of a list that show what it is.
+  std::size_t probe_bytes = 1024;
+  // Bytes of a list of some hundred endpoints.
+  std::size_t small_list_bytes = 64 << 10;
 };
 
-// Part of the memory in the configuration's `limits`: while a list comes, the one in force stays.
-inline ListLimits list_limits_for_memory(std::size_t memory_mb) {
-  ListLimits limits;
-  limits.memory = (memory_mb << 20) / 6;
-  return limits;
-}
-
-// While the fault lasts, three kinds of tries go on. Often: what changed since the list in force,
-// of which only so much is read that a whole list shows itself as one. Seldom, with waits that
-// double up to what `rate` gives: a small list, and one of any size. So a change that comes as one
-// counts as ever, and a fault that is over is seen after no more than about the time that it took,
-// of a small list within minutes.
+// For a gateway whose configuration allows `memory_mb`. A list gets a sixth of it: while a list
+// arrives, the one in force stays.
+ListLimits list_limits_for_memory(std::size_t memory_mb);
+
+// How much of the next complete list may be read.
+enum class ListReadScope {
+  kProbe,      // enough to see what the list is
+  kSmallList,  // a list of some hundred endpoints
+  kUnlimited,
+};
+
+// Why a list was rejected.
+enum class ListFailure {
+  kMalformed,   // it could not be parsed, or its connection broke
+  kUnfinished,  // it stopped or trickled
+  kTooLarge,
+};
+
+// While the fault lasts, three kinds of attempts go on. Often: what changed since the list in
+// force, of which only so much is read that a complete list shows itself as one. Seldom, with waits
+// that double up to what `bytes_per_second` allows: a small list, and one of any size. So a change
+// that arrives as one is accepted as ever, and the end of a fault is noticed after no more than
+// about the time that it lasted, for a small list within minutes.
 class ListRetryPolicy {
  public:
-  static constexpr std::size_t kAll = std::numeric_limits<std::size_t>::max();
-  enum class Cause { kBroken, kUnended, kTooLarge };
-
-  ListRetryPolicy(const ListLimits& limits, std::uint64_t seed) : limits_(limits), random_(seed) {
-    succeeded(true);
-  }
-
-  bool faulty() const { return wasted_ > double(limits_.free) || unended_ >= limits_.unended; }
-  // Bytes of a whole list that may be read now.
-  std::size_t most(Micros now) const {
-    if (!faulty() || now >= all_.next) {
-      return kAll;
-    }
-    return now >= small_.next ? limits_.small : limits_.peek;
-  }
-  // `most`: what it was for this list.
-  void failed(std::size_t bytes, std::size_t most, Cause cause, Micros now) {
-    const double cost = double(std::max(bytes, kLeast));
-    if (most > limits_.peek) {
-      wasted_ = std::max(0.0, wasted_ - double(now - failed_at_) / 1e6 * limits_.rate) + cost;
-      failed_at_ = now;
-      unended_ = cause == Cause::kUnended ? unended_ + 1 : 0;
-    }
-    // What broke off may be whole the next moment; what is too large will be so again.
-    const Micros first = cause == Cause::kTooLarge ? limits_.first_wait : kSoon;
-    // One that failed within what may be read of a small one would have failed in any case.
-    if (most == kAll || (most > limits_.peek && bytes < most)) {
-      put_off(all_, first, cost, now);
-    }
-    if (most > limits_.peek) {
-      put_off(small_, first, std::min(cost, double(limits_.small)), now);
-    }
-    // Small ones have tries of their own only once those of any size are further apart.
-    if (all_.wait <= small_.wait) {
-      small_.next = all_.next;
-    }
-  }
-  void succeeded(bool whole) {
-    unended_ = 0;
-    if (!whole) {
-      return;
-    }
-    wasted_ = 0;
-    between_ = kSoon;
-    all_ = small_ = {};
-  }
-  // Until the next call. Danger: many may have the same fault; the waits are drawn, so that they
-  // don't call together.
-  Micros wait(Micros now) {
-    between_ = std::min(2 * between_, limits_.most_between);
-    return std::min(drawn(between_), std::max<Micros>(0, std::min(all_.next, small_.next) - now));
-  }
+  // `seed`: of the random draws that spread the waits.
+  ListRetryPolicy(const ListLimits& limits, std::uint64_t seed);
+
+  // Whether so many lists were rejected that only part of the next one may be read.
+  bool is_restricted() const;
+
+  // How much of a complete list that arrives now may be read.
+  ListReadScope read_scope(Micros now) const;
+  // The same in bytes.
+  std::size_t max_bytes(ListReadScope scope) const;
+
+  // A list was rejected after `bytes_read`; `scope` is what applied to it.
+  void on_failure(ListReadScope scope, std::size_t bytes_read, ListFailure failure, Micros now);
+  // A list of changes was accepted.
+  void on_partial_list();
+  // A complete list was accepted, or the lists come from another agent now: forgets all failures.
+  void reset();
+
+  // Time until the next request while restricted, us. Each call lengthens the next ones.
+  Micros next_wait(Micros now);
 
  private:
-  struct Kind {
-    Micros wait = 0, next = 0;
+  // When lists of one size may be read again.
+  struct Schedule {
+    Micros wait = 0;
+    Micros next_at = 0;
   };
-  static constexpr Micros kSoon = 60'000;
-  static constexpr std::size_t kLeast = 1600;  // bytes of a call and the first of its answer
 
-  Micros drawn(Micros most) {
-    return std::uniform_int_distribution<Micros>(most / 2, most)(random_);
-  }
-  void put_off(Kind& kind, Micros first, double cost, Micros now) {
-    kind.wait = std::min(std::max(first, 2 * kind.wait), Micros(cost / limits_.rate * 1e6));
-    kind.next = now + kind.wait + drawn(kind.wait) / 2;
-  }
+  static constexpr Micros kInitialInterval = 60'000;  // us
+  // Bytes of a request and the first of its response, which each attempt costs at the least.
+  static constexpr std::size_t kMinCost = 1600;
+
+  Micros draw_wait(Micros max_wait);
+  void postpone(Schedule& schedule, Micros initial_wait, double cost, Micros now);
 
   const ListLimits limits_;
   std::mt19937_64 random_;
-  double wasted_ = 0;  // bytes
-  Micros failed_at_ = 0, between_ = 0;
-  int unended_ = 0;
-  Kind all_, small_;
+  // Bytes of rejected lists, less what was replenished up to `failed_at_`.
+  double wasted_bytes_ = 0;
+  Micros failed_at_ = 0;
+  Micros request_interval_ = kInitialInterval;
+  int unfinished_lists_ = 0;
+  Schedule any_size_;
+  Schedule small_lists_;
 };
 
 }  // namespace quota_gateway::net
--- a/tests/net/discovery/endpoint_lists_test.cpp
+++ b/tests/net/discovery/endpoint_lists_test.cpp
@@ -112,12 +112,12 @@
 constexpr int kFaster = 300;
 ListLimits faster() {
   ListLimits limits;
-  limits.memory = 256 << 10;
-  limits.free = 64 << 10;
-  limits.small = 32 << 10;
-  limits.rate *= kFaster;
-  limits.first_wait /= kFaster;
-  limits.most_between /= kFaster;
+  limits.memory_bytes = 256 << 10;
+  limits.unrestricted_bytes = 64 << 10;
+  limits.small_list_bytes = 32 << 10;
+  limits.bytes_per_second *= kFaster;
+  limits.initial_wait /= kFaster;
+  limits.max_request_interval /= kFaster;
   return limits;
 }
 
@@ -239,7 +239,7 @@
   // Guards against a list that is old for as long as the fault lasts: many at once, and one by one.
   agent.answer = [](const std::string&) { return endless(50); };
   ListLimits limits = faster();
-  limits.memory = 4 << 20;
+  limits.memory_bytes = 4 << 20;
   start(limits);
   run(500'000);
   ASSERT_TRUE(told.empty());
@@ -314,7 +314,7 @@
   agent.answer = [](const std::string&) { return in_pieces(list(50, true, fleet(100)), 1); };
   agent.pause = 5'000;
   ListLimits limits;
-  limits.unended = 3;
+  limits.max_unfinished_lists = 3;
   start(limits);
   ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
   EXPECT_LT(agent.asked_at[1] - agent.asked_at[0], 2'000'000);
