--- /dev/null
+++ b/tests/policy/quota/counter_call_rate_test.cpp
@@ -0,0 +1,230 @@
+// How often gateways call the counter that they share: as often as it can answer all of them, less
+// when it is overloaded or silent, and soon as before when it is back.
+// counter_rate_limiter_test.cpp tests the class itself.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <array>
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "support/gateway_harness.hpp"
+#include "support/quota_share_trial.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+// A customer's first request, for which the gateway wants a total: its calls to the counter.
+std::vector<AddToCounter> calls_for_new_customer(GatewayHarness& gateway, Micros now, int number) {
+  RequestArrived request = make_request(numbered("x", number), now);
+  request.customer = numbered("c", number);
+  return counter_calls(gateway.handle(now, {request}));
+}
+
+TEST(CounterRateLimiter, CounterThatNeverAnswersIsCalledLess) {
+  const std::size_t calls_unanswered =
+      run_quota_share_trial({.elsewhere_rate = 36, .counter_fault = CounterOutcome::kUnknown})
+          .counter_calls;
+  const std::size_t calls_answered = run_quota_share_trial({.elsewhere_rate = 36}).counter_calls;
+  EXPECT_LT(calls_unanswered, calls_answered * 2);
+
+  GatewayHarness gateway(settings_with_counter());
+  std::size_t early_calls = 0;
+  std::size_t late_calls = 0;
+  for (int i = 0; i < 4000; ++i) {
+    const Micros now = i * 5 * kMillisecond;
+    for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
+      ++(i < 2000 ? early_calls : late_calls);
+      gateway.handle(now, {counter_unanswered(call, 0)});
+    }
+  }
+  EXPECT_GT(late_calls, 5U);  // it is still called, to notice its return
+  EXPECT_LT(late_calls, 25U);
+  EXPECT_GT(early_calls, late_calls);
+}
+
+// How many calls a gateway makes in 20 s when one in five gets no reply and is known to be lost
+// after `lost_after`.
+std::size_t calls_with_losses(Micros lost_after) {
+  GatewayHarness gateway(settings_with_counter());
+  std::size_t calls = 0;
+  for (int i = 0; i < 4000; ++i) {
+    const Micros now = i * 5 * kMillisecond;
+    for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
+      const bool lost = ++calls % 5 == 0;
+      gateway.handle(now + kMillisecond, {lost ? counter_unanswered(call, lost_after)
+                                               : counter_total(call, call.amount)});
+    }
+  }
+  return calls;
+}
+
+TEST(CounterRateLimiter, CallsLostWithTheirConnectionDoNotSlowTheOthers) {
+  // A connection reset under one call in five says nothing of the load on the counter; one call in
+  // five that times out does.
+  EXPECT_GT(calls_with_losses(kMillisecond), 2000U);
+  EXPECT_LT(calls_with_losses(settings_with_counter().counter_timeout), 400U);
+}
+
+// How many calls a gateway that has just started makes for its first twenty customers.
+std::size_t first_calls(int gateway_count) {
+  Settings settings = settings_with_counter();
+  settings.gateway_count = gateway_count;
+  GatewayHarness gateway(settings);
+  for (int i = 0; i < 20; ++i) {
+    calls_for_new_customer(gateway, (i + 1) * kMillisecond, i);
+  }
+  return counter_calls(gateway.actions()).size();
+}
+
+TEST(CounterRateLimiter, FirstCustomersAfterAStartAllGetATotalInASmallFleet) {
+  EXPECT_EQ(first_calls(4), 20U);
+  EXPECT_LE(first_calls(100), 4U);  // a hundred gateways would overload the counter
+}
+
+TEST(CounterRateLimiter, LateRepliesAfterAStartDoNotLowerTheRateForLong) {
+  // Without this, gateways that overload the counter in their first second would call it once a
+  // second from then on.
+  Settings settings = settings_with_counter();
+  settings.gateway_count = 100;
+  GatewayHarness gateway(settings);
+  std::size_t calls = 0;
+  for (int i = 0; i < 80; ++i) {
+    const Micros now = (i + 1) * 100 * kMillisecond;
+    const bool overloaded = now < kSecond;
+    for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
+      if (now > 3 * kSecond) {
+        ++calls;
+      }
+      const CounterReply reply = overloaded ? counter_unanswered(call, settings.counter_timeout)
+                                            : counter_total(call, call.amount);
+      gateway.handle(now + reply.duration, {reply});
+    }
+  }
+  EXPECT_GE(calls, 15U);  // in 5 s
+}
+
+// Gateways that see 2,000 new customers a second together, and a counter that serves 400 calls a
+// second, one after another.
+class OverloadedCounter {
+ public:
+  struct Calls {
+    int total = 0;
+    int timed_out = 0;
+  };
+
+  explicit OverloadedCounter(int gateway_count) {
+    settings_.gateway_count = gateway_count;
+    settings_.counter_timeout = 30 * kMillisecond;
+    for (int i = 0; i < gateway_count; ++i) {
+      gateways_.emplace_back(settings_, make_endpoints({"a", "b", "c"}), std::uint64_t(i + 1));
+    }
+  }
+
+  // The calls of the second half of 12 s.
+  Calls run() {
+    for (int i = 0; i < 24'000; ++i) {
+      const Micros now = (i + 1) * 500;
+      deliver_replies(now);
+      const std::size_t gateway = (std::size_t(i) * 7919) % gateways_.size();
+      for (const AddToCounter& call : calls_for_new_customer(gateways_[gateway], now, i)) {
+        serve(gateway, now, call);
+      }
+    }
+    return calls_;
+  }
+
+ private:
+  static constexpr Micros kServiceTime = 2'500;
+
+  void deliver_replies(Micros now) {
+    while (!replies_.empty() && replies_.begin()->first <= now) {
+      const auto& [gateway, reply] = replies_.begin()->second;
+      gateways_[gateway].handle(now, {reply});
+      replies_.erase(replies_.begin());
+    }
+  }
+
+  void serve(std::size_t gateway, Micros now, const AddToCounter& call) {
+    idle_at_ = std::max(idle_at_, now) + kServiceTime;
+    const Micros duration = std::min(idle_at_ - now + kMillisecond, settings_.counter_timeout);
+    const bool in_time = duration < settings_.counter_timeout;
+    const CounterReply reply =
+        in_time ? counter_total(call, call.amount, duration) : counter_unanswered(call, duration);
+    replies_.emplace(now + duration, std::pair(gateway, reply));
+    if (now > 6 * kSecond) {
+      ++calls_.total;
+      calls_.timed_out += in_time ? 0 : 1;
+    }
+  }
+
+  Settings settings_ = settings_with_counter();
+  std::vector<GatewayHarness> gateways_;
+  std::multimap<Micros, std::pair<std::size_t, CounterReply>> replies_;  // by their instant
+  Micros idle_at_ = 0;  // when the counter will have served all calls
+  Calls calls_;
+};
+
+TEST(CounterRateLimiter, CallsOfAllGatewaysStayWithinTheCountersCapacity) {
+  for (const int gateway_count : {4, 20, 100}) {
+    const OverloadedCounter::Calls calls = OverloadedCounter(gateway_count).run();
+    EXPECT_GE(calls.total, 6 * 80) << gateway_count;  // it is used
+    EXPECT_LE(calls.total, 6 * 420) << gateway_count;
+    EXPECT_LE(calls.timed_out, calls.total / 2) << gateway_count;
+  }
+}
+
+TEST(CounterRateLimiter, RateThatIsNotUsedDoesNotGrow) {
+  GatewayHarness gateway(settings_with_counter());
+  const auto calls_for = [&](Micros now, const std::string& customer) {
+    RequestArrived request = make_request(std::string("r").append(customer), now);
+    request.customer = customer;
+    return counter_calls(gateway.handle(now, {request}));
+  };
+  for (int i = 0; i < 600; ++i) {
+    const Micros now = (i + 1) * 100 * kMillisecond;
+    for (const AddToCounter& call : calls_for(now, numbered("quiet", i))) {
+      gateway.handle(now + kMillisecond, {counter_total(call, call.amount)});
+    }
+  }
+  std::size_t calls = 0;
+  for (int i = 0; i < 1000; ++i) {
+    calls += calls_for(61 * kSecond, numbered("crowd", i)).size();
+  }
+  EXPECT_LE(calls, 100U);  // half of what all gateways may call at first; there are two
+  EXPECT_GE(calls, 20U);
+}
+
+TEST(CounterRateLimiter, RateAfterASilenceIsNotThatOfAStart) {
+  // The connection goes silent under dozens of calls; then the counter replies as before.
+  enum Phase { kBefore, kSilent, kAfter, kPhases };
+  const auto phase_of = [](int i) {
+    if (i < 1200) {
+      return kBefore;
+    }
+    return i < 1800 ? kSilent : kAfter;
+  };
+  const Micros timeout = settings_with_counter().counter_timeout;
+  GatewayHarness gateway(settings_with_counter());
+  std::array<std::size_t, kPhases> calls{};
+  for (int i = 0; i < 2400; ++i) {
+    const Micros now = i * 5 * kMillisecond;
+    const Phase phase = phase_of(i);
+    for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
+      ++calls[phase];
+      const CounterReply reply =
+          phase == kSilent ? counter_unanswered(call, timeout) : counter_total(call, call.amount);
+      gateway.handle(now + reply.duration, {reply});
+    }
+  }
+  EXPECT_GT(calls[kBefore], 200U);
+  EXPECT_LT(calls[kSilent], 400U);
+  EXPECT_GT(calls[kAfter], 100U);  // in the last 3 s
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
--- /dev/null
+++ b/tests/policy/quota/counter_totals_test.cpp
@@ -0,0 +1,95 @@
+// How a gateway keeps in step with the counter that all gateways share: when it calls, how it uses
+// a customer's total, and what it does without one.
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "support/gateway_harness.hpp"
+#include "support/quota_share_trial.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+double forwarded_share(const QuotaLoad& load) {
+  return run_quota_share_trial(load).forwarded_share;
+}
+
+TEST(QuotaAllocator, QuotaIsSharedByDemandOnceTheTotalReachesIt) {
+  // A quarter of ten units a second, of twelve requested.
+  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36}), 10.0 / 48, 0.06);
+  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 0}), 10.0 / 12, 0.06);
+}
+
+TEST(QuotaAllocator, GatewayWithAHundredthOfTheQuotaForwardsThatAndNotNothing) {
+  // One request in five seconds here, of a customer that requests four times its quota through a
+  // hundred gateways.
+  EXPECT_NEAR(forwarded_share({.own_rate = 5, .elsewhere_rate = 40, .gateway_count = 100}),
+              10.0 / 45, 0.08);
+  // And all of it while the customer is within its quota.
+  EXPECT_GT(forwarded_share({.own_rate = 2, .elsewhere_rate = 2, .gateway_count = 100}), 0.95);
+}
+
+TEST(CounterSync, LastTotalsHoldWhileTheCounterFails) {
+  for (const CounterOutcome fault : {CounterOutcome::kUnknown, CounterOutcome::kNotAdded}) {
+    EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36, .counter_fault = fault, .fault_from = 8}),
+                10.0 / 48, 0.08);
+  }
+}
+
+TEST(CounterSync, WithNoTotalEverTheShareIsEven) {
+  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36, .counter_fault = CounterOutcome::kNotAdded}),
+              5.0 / 12, 0.1);
+  EXPECT_LT(
+      forwarded_share(
+          {.elsewhere_rate = 36, .gateway_count = 100, .counter_fault = CounterOutcome::kNotAdded}),
+      0.05);
+}
+
+TEST(CounterSync, TotalOfACounterThatForgotIsIgnored) {
+  // A total of less than was added here proves a loss; used, it would give us the whole quota.
+  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36, .counter_forgets = true}), 10.0 / 48, 0.08);
+}
+
+TEST(CounterSync, NoCallsAreMadeWithoutRequests) {
+  GatewayHarness gateway(settings_with_counter());
+  gateway.run_timers(5 * kSecond);
+  EXPECT_TRUE(counter_calls(gateway.actions()).empty());
+}
+
+TEST(CounterSync, FirstRequestOfACustomerWaitsForItsTotalNoLongerThanTheTimeout) {
+  GatewayHarness gateway(settings_with_counter());
+  const auto actions = gateway.arrive(100 * kMillisecond, "r");
+  const auto calls = counter_calls(actions);
+  ASSERT_EQ(calls.size(), 1U);
+  EXPECT_EQ(calls[0].amount, 1);
+  EXPECT_LE(calls[0].forget_after, 60 * kSecond);
+  EXPECT_TRUE(attempts(actions).empty());
+  // The counter has not replied.
+  EXPECT_EQ(attempts(gateway.run_timers(160 * kMillisecond)).size(), 1U);
+}
+
+TEST(CounterSync, GatewaysUseTheSameNames) {
+  GatewayHarness one(settings_with_counter(), make_endpoints({"a"}), 1);
+  GatewayHarness two(settings_with_counter(), make_endpoints({"a"}), 2);
+  const auto calls_of_one = counter_calls(one.arrive(kSecond, "r"));
+  const auto calls_of_two = counter_calls(two.arrive(1050 * kMillisecond, "r"));
+  ASSERT_EQ(calls_of_one.size(), 1U);
+  ASSERT_EQ(calls_of_two.size(), 1U);
+  EXPECT_EQ(calls_of_one[0].name, calls_of_two[0].name);
+}
+
+TEST(CounterSync, FastSpendingIsReportedSooner) {
+  GatewayHarness gateway(settings_with_counter());
+  int calls = 0;
+  const Micros start = 1000 * kSecond;
+  for (Micros now = start; now < start + kSecond; now += 50 * kMillisecond) {
+    for (const AddToCounter& call : counter_calls(gateway.arrive(now, numbered("r", now)))) {
+      ++calls;
+      gateway.handle(now + kMillisecond, {counter_total(call, calls)});
+    }
+  }
+  EXPECT_GE(calls, 4);
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
--- /dev/null
+++ b/tests/policy/quota/quota_enforcement_test.cpp
@@ -0,0 +1,138 @@
+// A customer's quota as one gateway enforces it: rejections beyond it, large requests, units billed
+// later, and bursts that reach other gateways at the same time.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <vector>
+
+#include "support/gateway_harness.hpp"
+#include "support/shared_counter_fleet.hpp"
+
+namespace quota_gateway::testing {
+namespace {
+
+TEST(QuotaAllocator, RejectsBeyondTheQuotaShareAtOnceWithAShortRetryAfter) {
+  // A burst of 20 over two gateways, with no counter: the gateway's even share and one more.
+  GatewayHarness gateway;
+  int forwarded = 0;
+  int rejected = 0;
+  for (int i = 0; i < 25; ++i) {
+    const auto actions = gateway.arrive(kMillisecond, numbered("r", i));
+    for (const SendAttempt& attempt : attempts(actions)) {
+      ++forwarded;
+      gateway.complete(kMillisecond, attempt);
+    }
+    for (const Reject& rejection : rejections(actions)) {
+      ++rejected;
+      EXPECT_GT(rejection.retry_after, 0);
+      EXPECT_LE(rejection.retry_after, 165 * kMillisecond);  // a third of the latency objective
+    }
+  }
+  EXPECT_EQ(forwarded, 20);
+  EXPECT_EQ(rejected, 5);
+}
+
+TEST(QuotaAllocator, TotalThatShowsABurstElsewhereLowersTheStore) {
+  // Without this, as with a decaying mean of that total, the whole burst would be spent a second
+  // time here.
+  GatewayHarness gateway(settings_with_counter());
+  // Answers the first call of `actions`, if there is one: `elsewhere` units at other gateways.
+  const auto reply_total = [&](Micros now, const std::vector<Action>& actions, double elsewhere) {
+    const auto calls = counter_calls(actions);
+    if (!calls.empty()) {
+      gateway.handle(now, {counter_total(calls[0], calls[0].amount + elsewhere)});
+    }
+    return !calls.empty();
+  };
+  const Micros start = 1000 * kSecond;
+  ASSERT_TRUE(reply_total(start, gateway.arrive(start, "a"), 0));
+  const Micros second_total = start + 1100 * kMillisecond;
+  const auto second = gateway.arrive(second_total, "b");
+  // A whole burst, and twice what a second brings.
+  ASSERT_TRUE(reply_total(second_total, second, 41));
+  int forwarded = 0;
+  for (int i = 0; i < 10; ++i) {
+    forwarded +=
+        int(attempts(gateway.arrive(start + 1101 * kMillisecond, numbered("c", i))).size());
+  }
+  EXPECT_LE(forwarded, 5);  // this gateway's share of present demand
+}
+
+TEST(QuotaAllocator, LargeRequestsGetNoMoreThanTheQuotaShare) {
+  // Eight units every two seconds here, 12 a second elsewhere: the share is a quarter of the quota,
+  // 5 of each 8.
+  GatewayHarness gateway(settings_with_counter());
+  struct Total {
+    Micros started_at = 0;
+    double added_here = 0;
+  };
+  std::map<std::int64_t, Total> totals;
+  int forwarded = 0;
+  for (int i = 0; i < 400; ++i) {
+    const Micros now = 1001 * kSecond + i * 2 * kSecond;
+    const auto actions = gateway.arrive(now, numbered("r", i), 8);
+    if (i >= 100) {
+      forwarded += int(attempts(actions).size());
+    }
+    for (const SendAttempt& attempt : attempts(actions)) {
+      gateway.complete(now, attempt);
+    }
+    for (const AddToCounter& call : counter_calls(actions)) {
+      Total& total = totals.try_emplace(call.name, Total{now - kSecond, 0}).first->second;
+      total.added_here += call.amount;
+      const double elsewhere = 12.0 * double(now - total.started_at) / double(kSecond);
+      gateway.handle(now, {counter_total(call, total.added_here + elsewhere)});
+    }
+  }
+  EXPECT_NEAR(forwarded, 300 * 5 / 8, 10);
+}
+
+TEST(QuotaAllocator, RequestLargerThanTheLocalStoreIsAdmittedIntoDebt) {
+  // Without this, such a request would be rejected for ever.
+  Settings settings = basic_settings();
+  set_quota(settings, 10, 10);
+  settings.gateway_count = 10;
+  GatewayHarness gateway(settings);
+  RequestArrived request = make_request("r", kMillisecond, 9);
+  request.gateway_subset_size = 10;
+  // An even share and one more hold two units.
+  EXPECT_EQ(attempts(gateway.handle(kMillisecond, {request})).size(), 1U);
+  request.id = "s";
+  request.units = 1;
+  EXPECT_EQ(attempts(gateway.handle(2 * kMillisecond, {request})).size(), 0U);
+}
+
+TEST(QuotaAllocator, BilledUnitsAreChargedOnceTheyAreKnown) {
+  Settings settings = basic_settings();
+  settings.units_settled_later = true;
+  GatewayHarness gateway(settings);
+  const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
+  AttemptCompleted completed = complete_attempt(sent.at(0), {.duration = 0});
+  completed.billed_units = 11;  // estimated as one
+  gateway.handle(2 * kMillisecond, {completed});
+  EXPECT_EQ(gateway.admitted(3 * kMillisecond, 12), 9);  // of the twenty
+}
+
+TEST(QuotaAllocator, BurstThroughAllGatewaysDoesNotSpendTheStoreOnceInEach) {
+  Settings settings = settings_with_counter();
+  set_quota(settings, 40, 80);
+  SharedCounterFleet fleet(settings, 4);
+  for (Micros now = 100 * kMillisecond; now < 3 * kSecond; now += 200 * kMillisecond) {
+    for (std::size_t i = 0; i < 4; ++i) {
+      fleet.send_requests(i, now, 1);  // half of the quota, evenly
+    }
+  }
+  EXPECT_EQ(fleet.forwarded(), fleet.requested());
+  fleet.counter_replies = false;
+  const int before = fleet.forwarded();
+  for (std::size_t i = 0; i < 4; ++i) {
+    fleet.send_requests(i, 3 * kSecond, 100);
+  }
+  EXPECT_LE(fleet.forwarded() - before, 100);  // of eighty
+  EXPECT_GE(fleet.forwarded() - before, 60);
+}
+
+}  // namespace
+}  // namespace quota_gateway::testing
