--- a/tests/policy/endpoints/outlier_detector_test.cpp
+++ b/tests/policy/endpoints/outlier_detector_test.cpp
@@ -9,13 +9,13 @@
 namespace quota_gateway::testing {
 namespace {
 
-// Serves request number `i` of a steady 50 requests a second; `outcome_of(server)` ends its
-// attempts, each after 10 to 30 ms.
+// Serves one request of a steady 50 a second; `outcome_of(server)` ends its attempts, each after 10
+// to 30 ms.
 template <typename OutcomeOf>
-void serve_steadily(GatewayHarness& gateway, int i, const OutcomeOf& outcome_of) {
-  gateway.serve(i * 20 * kMillisecond, numbered("r", i), [&](const std::string& server) {
-    return ServerResponse{.outcome = outcome_of(server),
-                          .duration = (10 + i * 7 % 21) * kMillisecond};
+void serve_steadily(GatewayHarness& gateway, int number, const OutcomeOf& outcome_of) {
+  const Micros duration = (10 + number * 7 % 21) * kMillisecond;
+  gateway.serve(number * 20 * kMillisecond, numbered("r", number), [&](const std::string& server) {
+    return ServerResponse{.outcome = outcome_of(server), .duration = duration};
   });
 }
 
@@ -98,7 +98,7 @@
                             .completes_after = 1};
     });
   }
-  EXPECT_FALSE(used_later.count("a"));
+  EXPECT_FALSE(used_later.contains("a"));
 }
 
 }  // namespace
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -79,7 +79,8 @@
     forwarded.insert(attempt.id);
   }
   for (int i = 0; i < 1000; ++i) {
-    EXPECT_TRUE(answers.count(numbered("r", i)) || forwarded.count(numbered("r", i))) << i;
+    const std::string id = numbered("r", i);
+    EXPECT_TRUE(answers.contains(id) || forwarded.contains(id)) << i;
   }
 }
 
--- a/tests/policy/quota/counter_call_rate_test.cpp
+++ b/tests/policy/quota/counter_call_rate_test.cpp
@@ -202,11 +202,11 @@
 TEST(CounterRateLimiter, RateAfterASilenceIsNotThatOfAStart) {
   // The connection goes silent under dozens of calls; then the counter replies as before.
   enum Phase { kBefore, kSilent, kAfter, kPhases };
-  const auto phase_of = [](int i) {
-    if (i < 1200) {
+  const auto phase_of = [](int request) {
+    if (request < 1200) {
       return kBefore;
     }
-    return i < 1800 ? kSilent : kAfter;
+    return request < 1800 ? kSilent : kAfter;
   };
   const Micros timeout = settings_with_counter().counter_timeout;
   GatewayHarness gateway(settings_with_counter());
--- a/tests/policy/quota/quota_enforcement_test.cpp
+++ b/tests/policy/quota/quota_enforcement_test.cpp
@@ -86,7 +86,8 @@
       gateway.handle(now, {counter_total(call, total.added_here + elsewhere)});
     }
   }
-  EXPECT_NEAR(forwarded, 300 * 5 / 8, 10);
+  const int expected = 300 * 5 / 8;
+  EXPECT_NEAR(forwarded, expected, 10);
 }
 
 TEST(QuotaAllocator, RequestLargerThanTheLocalStoreIsAdmittedIntoDebt) {
--- a/tests/support/quota_share_trial.cpp
+++ b/tests/support/quota_share_trial.cpp
@@ -36,9 +36,9 @@
     return settings;
   }
 
-  void send_request(int i) {
-    const Micros now = kStart + Micros(double(i) / load_.own_rate * double(kSecond));
-    RequestArrived request = make_request(numbered("p", i), now);
+  void send_request(int number) {
+    const Micros now = kStart + Micros(double(number) / load_.own_rate * double(kSecond));
+    RequestArrived request = make_request(numbered("p", number), now);
     request.gateway_subset_size = load_.gateway_count;
     auto actions = gateway_.handle(now, {request});
     append(actions, gateway_.run_timers(now + 1));
