--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -1,6 +1,7 @@
 #include "policy/admission.hpp"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 #include "policy/endpoints/load_balancer.hpp"
@@ -9,7 +10,6 @@
 #include "policy/quota/quota_allocator.hpp"
 #include "policy/quota/quota_capacity.hpp"
 #include "policy/quota/rate_ceiling.hpp"
-#include "policy/rejection_stats.hpp"
 #include "policy/timer_table.hpp"
 
 namespace quota_gateway::policy {
@@ -24,17 +24,18 @@
 constexpr double kQuotaOverdraftSeconds = 0;
 constexpr double kCeilingOverdraftSeconds = 1;
 
-RejectionReason reason(const CustomerState& customer, bool within_quota, bool under_ceiling) {
-  if (!under_ceiling) {
-    return within_quota ? RejectionReason::kOverCeilingWithinQuota : RejectionReason::kOverCeiling;
-  }
+bool is_within_concurrency_limit(const CustomerState& customer) {
+  const int limit = customer.plan->max_concurrent_attempts;
+  return limit <= 0 || customer.attempts_in_progress < limit;
+}
+
+RejectionReason over_quota_reason(const CustomerState& customer) {
   if (!customer.total.trusted_at) {
     return RejectionReason::kOverQuotaTotalUnknown;
   }
-  const bool demand_within_quota =
-      customer.demand.own + customer.demand.others < customer.quota_rate;
-  return demand_within_quota ? RejectionReason::kOverQuotaDemandWithinQuota
-                             : RejectionReason::kOverQuota;
+  const double demand = customer.demand.own + customer.demand.others;
+  return demand < customer.quota_rate ? RejectionReason::kOverQuotaDemandWithinQuota
+                                      : RejectionReason::kOverQuota;
 }
 
 }  // namespace
@@ -49,9 +50,9 @@
       rejections_(rejections),
       pools_(quota.counter_limiter()) {}
 
-// Without this, gateways that see a customer seldom would never know a total in time: its first
-// request waits for one. If the ceiling does not admit the request, the call is left for a draw on
-// the ceiling's pool instead.
+// Without this, a gateway that sees a customer seldom would never know a total in time. If the
+// ceiling does not admit the request, the call is left for a reservation from the ceiling's pool:
+// there may be only one to spare.
 bool Admission::waits_for_first_total(EventContext& context, Request& request) {
   CustomerState& customer = *request.customer;
   if (!rate_ceiling_.admits(context.now, customer, request.units)) {
@@ -68,25 +69,24 @@
 AdmissionDecision Admission::decide(EventContext& context, Request& request) {
   const Micros now = context.now;
   CustomerState& customer = *request.customer;
-  const PlanSettings& plan = *customer.plan;
   request.waiting_for_counter = false;
   advance_estimates(now, customer);
-  const bool excess_admitted = is_excess_admitted(now, plan);
+  const bool excess_admitted = is_excess_admitted(now, *customer.plan);
   const QuotaCheck quota = check_quota(context, request, excess_admitted);
   if (quota == QuotaCheck::kWaitForCounter) {
     return wait(context, request, customer.quota_reservation.waiting);
   }
-  const bool within_concurrency_limit =
-      plan.max_concurrent_attempts <= 0 ||
-      customer.attempts_in_progress < plan.max_concurrent_attempts;
-  const bool within_quota = quota != QuotaCheck::kBeyond && within_concurrency_limit;
+  const bool within_quota = quota != QuotaCheck::kBeyond && is_within_concurrency_limit(customer);
   const bool under_ceiling = rate_ceiling_.admits(now, customer, request.units);
   const bool passes_quota = within_quota || excess_admitted;
   if (passes_quota && !under_ceiling && reserves_from_ceiling_pool(context, request)) {
     return wait(context, request, customer.ceiling_reservation.waiting);
   }
-  if (!passes_quota || !under_ceiling) {
-    return reject(context, request, within_quota, under_ceiling);
+  if (!under_ceiling) {
+    return reject_over_ceiling(context, request, within_quota);
+  }
+  if (!passes_quota) {
+    return reject(context, request, over_quota_reason(customer), 0);
   }
   request.over_quota = !within_quota;
   if (within_quota) {
@@ -160,7 +160,7 @@
          load_balancer_.utilization(now) < kMaxUtilizationForExcess;
 }
 
-// Whether a reply is pending that may let the request pass the ceiling.
+// Whether a reservation is in flight that may let the request pass the ceiling.
 bool Admission::reserves_from_ceiling_pool(EventContext& context, const Request& request) {
   const Micros now = context.now;
   if (!may_wait(now, request) || !settings_.has_counter) {
@@ -189,17 +189,23 @@
   return AdmissionDecision::kWaitForCounter;
 }
 
-AdmissionDecision Admission::reject(EventContext& context, const Request& request,
-                                    bool within_quota, bool under_ceiling) {
-  const CustomerState& customer = *request.customer;
-  rejections_.on_rejected(reason(customer, within_quota, under_ceiling));
+AdmissionDecision Admission::reject_over_ceiling(EventContext& context, const Request& request,
+                                                 bool within_quota) {
   // Without this, a client whose quota is not spent would be advised to return at once, and the
-  // ceiling would reject it at once.
-  const Micros ceiling_wait =
-      under_ceiling ? 0 : rate_ceiling_.time_until_available(context.now, customer, request.units);
+  // ceiling would reject it again.
+  const Micros min_retry_after =
+      rate_ceiling_.time_until_available(context.now, *request.customer, request.units);
+  const RejectionReason reason =
+      within_quota ? RejectionReason::kOverCeilingWithinQuota : RejectionReason::kOverCeiling;
+  return reject(context, request, reason, min_retry_after);
+}
+
+AdmissionDecision Admission::reject(EventContext& context, const Request& request,
+                                    RejectionReason reason, Micros min_retry_after) {
+  rejections_.on_rejected(reason);
   const Micros retry_after =
-      quota_.retry_after(customer, request.quota_units,
-                         request.request_class->settings.latency_objective, ceiling_wait);
+      quota_.retry_after(*request.customer, request.quota_units,
+                         request.request_class->settings.latency_objective, min_retry_after);
   context.emit(Reject{request.id, retry_after});
   return AdmissionDecision::kRejected;
 }
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -3,12 +3,12 @@
 // briefly. Owned by the gateway, which acts on the decisions.
 #pragma once
 
-#include <optional>
 #include <string>
 #include <vector>
 
 #include "policy/event_context.hpp"
 #include "policy/quota/shared_pool.hpp"
+#include "policy/rejection_stats.hpp"
 #include "policy/request.hpp"
 #include "quota_gateway/gateway.hpp"
 
@@ -17,7 +17,6 @@
 class LoadBalancer;
 class QuotaAllocator;
 class RateCeiling;
-class RejectionCounts;
 class TimerTable;
 
 enum class AdmissionDecision {
@@ -36,6 +35,8 @@
   // customer's demand to the counter if that is due.
   bool waits_for_first_total(EventContext& context, Request& request);
 
+  // Decides about a request that has no decision yet, by what is known now. Estimates and shares of
+  // its customer are brought up to date.
   AdmissionDecision decide(EventContext& context, Request& request);
 
   // The counter replied. Returns the ids of the requests to decide now; some may be closed, or wait
@@ -58,8 +59,10 @@
   bool may_wait(Micros now, const Request& request) const;
   AdmissionDecision wait(EventContext& context, Request& request,
                          std::vector<std::string>& waiting_ids);
-  AdmissionDecision reject(EventContext& context, const Request& request, bool within_quota,
-                           bool under_ceiling);
+  AdmissionDecision reject_over_ceiling(EventContext& context, const Request& request,
+                                        bool within_quota);
+  AdmissionDecision reject(EventContext& context, const Request& request, RejectionReason reason,
+                           Micros min_retry_after);
 
   const Settings& settings_;
   QuotaAllocator& quota_;
--- a/src/policy/attempt_completion.cpp
+++ b/src/policy/attempt_completion.cpp
@@ -81,7 +81,7 @@
   const Micros objective = std::max<Micros>(1, request_class.settings.latency_objective);
   // The duration that the event states counts, not the clock: a gateway that was suspended finds
   // completions that are old.
-  const double duration = double(event.duration);
+  const auto duration = double(event.duration);
   const AttemptResult result{
       .outcome = event.outcome,
       .cancelled_as_stalled = attempt.cancelled_as_stalled,
--- a/src/policy/hold_queue.cpp
+++ b/src/policy/hold_queue.cpp
@@ -85,7 +85,7 @@
   const Micros time_left =
       std::max(settings_.clock_tick, Micros(kMinTimeLeft * request.expected_response_time));
   const Micros objective = request.request_class->settings.latency_objective;
-  const Micros max_hold = Micros(kMaxHoldFraction * double(objective));
+  const auto max_hold = Micros(kMaxHoldFraction * double(objective));
   const Micros held_since = request.is_first_attempt() ? request.arrived_at : now;
   return std::min(request.give_up_at - time_left, held_since + max_hold);
 }
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -35,6 +35,7 @@
 };
 
 struct Request {
+  // Whether the next attempt is the first.
   bool is_first_attempt() const { return attempts.empty(); }
 
   std::string id;
@@ -43,8 +44,8 @@
   int max_attempts = 1;
 
   double units = 1;
-  double quota_units = 1;  // charged to the quota: units, or attempt-seconds under a limit on
-                           // concurrent attempts
+  // Charged to the quota: units, or attempt-seconds under a limit on concurrent attempts.
+  double quota_units = 1;
   double expected_response_time = 0;  // us
   double priority = 1;                // value per us of expected work; the highest is sent first
 
--- a/src/policy/request_finisher.cpp
+++ b/src/policy/request_finisher.cpp
@@ -19,7 +19,7 @@
   }
   if (RetryPolicy::may_reject(request)) {
     rejections_.on_rejected(RejectionReason::kNoEndpointCapacity);
-    const Micros retry_after = Micros(request.request_class->latency.mean());
+    const auto retry_after = Micros(request.request_class->latency.mean());
     context.emit(Reject{request.id, retry_after});
   } else {
     context.emit(Fail{request.id});
--- a/src/policy/timer_table.cpp
+++ b/src/policy/timer_table.cpp
@@ -5,10 +5,10 @@
 namespace quota_gateway::policy {
 
 void TimerTable::arm(EventContext& context, const Request& request, TimerPurpose purpose,
-                     Micros at) {
+                     Micros fire_at) {
   ++last_token_;
   timers_[last_token_] = Timer{request.id, purpose};
-  context.emit(SetTimer{at, last_token_});
+  context.emit(SetTimer{fire_at, last_token_});
 }
 
 std::optional<TimerTable::Timer> TimerTable::extract(std::int64_t token) {
--- a/src/policy/timer_table.hpp
+++ b/src/policy/timer_table.hpp
@@ -35,8 +35,8 @@
     TimerPurpose purpose;
   };
 
-  // Emits the timer; it fires at the instant `at`, us.
-  void arm(EventContext& context, const Request& request, TimerPurpose purpose, Micros at);
+  // Emits the timer; it fires at the instant `fire_at`, us.
+  void arm(EventContext& context, const Request& request, TimerPurpose purpose, Micros fire_at);
 
   // Takes out the timer that fired; nothing if the token belongs to none.
   std::optional<Timer> extract(std::int64_t token);
