--- a/src/policy/attempt_completion.cpp
+++ b/src/policy/attempt_completion.cpp
@@ -95,7 +95,8 @@
   const bool ejected =
       load_balancer_.on_attempt_complete(context.now, *attempt.endpoint, result, event.load);
   if (ejected) {
-    log_.log(context, LogKind::kServer, attempt.endpoint->entry.server + " ejected: it fails");
+    log_.log(context, LogKind::kEndpoint,
+             attempt.endpoint->entry.server + " ejected as an outlier");
   }
 }
 
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -151,7 +151,7 @@
 
 void Gateway::Impl::on(EventContext& context, const ResponseAborted& event) {
   if (load_balancer_.on_response_aborted(context.now, event.server)) {
-    log_.log(context, LogKind::kServer, event.server + " ejected: it fails");
+    log_.log(context, LogKind::kEndpoint, event.server + " ejected as an outlier");
   }
 }
 
@@ -187,7 +187,7 @@
     }
   }
   if (event.outcome != CounterOutcome::kOk) {
-    log_.log(context, LogKind::kCounter, "no answer or refused; totals are held");
+    log_.log(context, LogKind::kCounter, "a call failed; cached totals are used");
   }
 }
 
@@ -247,7 +247,7 @@
   const auto counts = rejection_stats_.take_if_due(context.now);
   if (counts && counts->any()) {
     log_.log(context, LogKind::kRejections,
-             join(counts->text(), format_quota_stats(quota_.take_stats(context.now)), "; ",
+             join(counts->text(), "; ", format_quota_stats(quota_.take_stats(context.now)), "; ",
                   load_balancer_.describe_state(context.now)));
   }
 }
--- a/src/policy/hold_queue.cpp
+++ b/src/policy/hold_queue.cpp
@@ -50,7 +50,7 @@
                                            return priority > requests_.at(id).priority;
                                          });
   request_ids_.insert(position, request.id);
-  log_.log(context, LogKind::kFull, "servers are full; requests wait or are refused");
+  log_.log(context, LogKind::kCapacity, "no endpoint has capacity; requests are held or rejected");
   request.hold_until = hold_until(context.now, request);
   timers_.arm(context, request, HoldTimeout{}, request.hold_until);
 }
--- a/src/policy/log_limiter.cpp
+++ b/src/policy/log_limiter.cpp
@@ -7,14 +7,14 @@
 
 std::string_view prefix(LogKind kind) {
   switch (kind) {
-    case LogKind::kServer:
-      return "server: ";
+    case LogKind::kEndpoint:
+      return "endpoint: ";
     case LogKind::kCounter:
       return "counter: ";
-    case LogKind::kFull:
-      return "full: ";
+    case LogKind::kCapacity:
+      return "capacity: ";
     case LogKind::kRejections:
-      return "refused: ";
+      return "rejected: ";
   }
   return "";
 }
--- a/src/policy/log_limiter.hpp
+++ b/src/policy/log_limiter.hpp
@@ -12,7 +12,7 @@
 namespace quota_gateway::policy {
 
 // The first word of a log line.
-enum class LogKind { kServer, kCounter, kFull, kRejections };
+enum class LogKind { kEndpoint, kCounter, kCapacity, kRejections };
 
 class LogLimiter {
  public:
--- a/src/policy/rejection_stats.cpp
+++ b/src/policy/rejection_stats.cpp
@@ -12,11 +12,12 @@
 }
 
 std::string RejectionCounts::text() const {
-  return join("slice ", over_quota(), " (no total ", count(RejectionReason::kOverQuotaTotalUnknown),
-              ", demand within quota ", count(RejectionReason::kOverQuotaDemandWithinQuota),
-              "), ceiling ", over_ceiling(), " (slice had it ",
-              count(RejectionReason::kOverCeilingWithinQuota), "), servers ",
-              count(RejectionReason::kNoEndpointCapacity), " of ", requests_, "; ");
+  return join("over slice ", over_quota(), " (total unknown ",
+              count(RejectionReason::kOverQuotaTotalUnknown), ", demand within quota ",
+              count(RejectionReason::kOverQuotaDemandWithinQuota), "), over ceiling ",
+              over_ceiling(), " (within quota ", count(RejectionReason::kOverCeilingWithinQuota),
+              "), no capacity ", count(RejectionReason::kNoEndpointCapacity), " of ", requests_,
+              " requests");
 }
 
 int RejectionCounts::over_quota() const {
--- a/src/policy/request_table.cpp
+++ b/src/policy/request_table.cpp
@@ -1,6 +1,6 @@
 #include "policy/request_table.hpp"
 
-#include "policy/endpoints/load_balancer.hpp"
+#include "policy/endpoints/endpoint.hpp"
 
 namespace quota_gateway::policy {
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "policy/endpoints/load_balancer.hpp"
+#include "policy/endpoints/endpoint.hpp"
 
 namespace quota_gateway::policy {
 namespace {
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -99,13 +99,13 @@
   gateway.run_timers(12 * kSecond);
   std::string logged;
   for (const LogLine& line : actions_of<LogLine>(gateway.actions())) {
-    if (line.text.rfind("refused: ", 0) == 0) {
+    if (line.text.rfind("rejected: ", 0) == 0) {
       logged += line.text;
     }
   }
-  EXPECT_NE(logged.find("slice 5 "), std::string::npos) << logged;
-  EXPECT_NE(logged.find("ceiling 0 "), std::string::npos) << logged;
-  EXPECT_NE(logged.find("of 25;"), std::string::npos) << logged;
+  EXPECT_NE(logged.find("over slice 5 "), std::string::npos) << logged;
+  EXPECT_NE(logged.find("over ceiling 0 "), std::string::npos) << logged;
+  EXPECT_NE(logged.find("of 25 requests;"), std::string::npos) << logged;
 }
 
 TEST(Gateway, SameEventsGiveTheSameActions) {
