--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -53,7 +53,7 @@
 
   QuotaCheck check_quota(EventContext& context, Request& request, bool excess_admitted);
   QuotaCheck check_shared_pool(EventContext& context, Request& request, bool excess_admitted);
-  void charge(Request& request, QuotaCheck quota);
+  static void charge(Request& request, QuotaCheck quota);
   bool is_excess_admitted(Micros now, const PlanSettings& plan);
   bool reserves_from_ceiling_pool(EventContext& context, const Request& request);
   bool may_wait(Micros now, const Request& request) const;
--- a/src/policy/request_finisher.cpp
+++ b/src/policy/request_finisher.cpp
@@ -27,7 +27,7 @@
   finish(context, request);
 }
 
-void RequestFinisher::finish(EventContext& context, Request& request) {
+void RequestFinisher::finish(EventContext& context, Request& request) const {
   request.done = true;
   // A request that was never sent used nothing. Without this, the units of all requests that were
   // held in vain would be lost to their customers.
--- a/src/policy/request_finisher.hpp
+++ b/src/policy/request_finisher.hpp
@@ -22,7 +22,7 @@
 
   // The request has its final reply, or its client is gone. Cancels its attempts where that is
   // allowed, and leaves it in the table.
-  void finish(EventContext& context, Request& request);
+  void finish(EventContext& context, Request& request) const;
 
   // The same, and erases it from the table unless an attempt or the hold queue still needs it.
   void finish_and_erase(EventContext& context, Request& request);
