--- a/tests/policy/quota/quota_enforcement_test.cpp
+++ b/tests/policy/quota/quota_enforcement_test.cpp
@@ -96,13 +96,13 @@
   set_quota(settings, 10, 10);
   settings.gateway_count = 10;
   GatewayHarness gateway(settings);
-  RequestArrived request = make_request("r", kMillisecond, 9);
-  request.gateway_subset_size = 10;
+  RequestArrived large = make_request("r", kMillisecond, 9);
+  large.gateway_subset_size = 10;
   // An even share and one more hold two units.
-  EXPECT_EQ(attempts(gateway.handle(kMillisecond, {request})).size(), 1U);
-  request.id = "s";
-  request.units = 1;
-  EXPECT_EQ(attempts(gateway.handle(2 * kMillisecond, {request})).size(), 0U);
+  EXPECT_EQ(attempts(gateway.handle(kMillisecond, {large})).size(), 1U);
+  RequestArrived small = make_request("s", kMillisecond, 1);
+  small.gateway_subset_size = 10;
+  EXPECT_EQ(attempts(gateway.handle(2 * kMillisecond, {small})).size(), 0U);
 }
 
 TEST(QuotaAllocator, BilledUnitsAreChargedOnceTheyAreKnown) {
