--- a/tests/policy/endpoints/outlier_detector_test.cpp
+++ b/tests/policy/endpoints/outlier_detector_test.cpp
@@ -1,14 +1,24 @@
 // Servers that fail more than the others are ejected.
+#include "policy/endpoints/outlier_detector.hpp"
+
 #include <gtest/gtest.h>
 
+#include <algorithm>
 #include <set>
 #include <string>
+#include <variant>
+#include <vector>
 
+#include "quota_gateway/gateway.hpp"
+#include "support/endpoint_lists.hpp"
 #include "support/gateway_harness.hpp"
 
 namespace quota_gateway::testing {
 namespace {
 
+using policy::Endpoint;
+using policy::OutlierDetector;
+
 // Serves one request of a steady 50 a second; `outcome_of(server)` ends its attempts, each after 10
 // to 30 ms.
 template <typename OutcomeOf>
@@ -101,5 +111,67 @@
   EXPECT_FALSE(used_later.contains("a"));
 }
 
+TEST(OutlierDetector, AnEjectionEndsInATrialAndATrialInASuccess) {
+  OutlierDetector detector;
+  Endpoint endpoint;
+  endpoint.is_up = true;
+  EXPECT_FALSE(detector.on_failure(0, endpoint));
+  EXPECT_TRUE(detector.on_failure(0, endpoint));  // the second, where failures are rare
+  EXPECT_TRUE(endpoint.outlier.ejected);
+  EXPECT_EQ(detector.ejected_count(), 1);
+  EXPECT_EQ(detector.on_trial_count(), 1);
+  EXPECT_FALSE(detector.end_expired_ejections(2'999 * kMillisecond));
+  EXPECT_TRUE(detector.end_expired_ejections(3 * kSecond));
+  EXPECT_FALSE(endpoint.outlier.ejected);
+  EXPECT_TRUE(endpoint.outlier.on_trial);
+  EXPECT_EQ(detector.ejected_count(), 0);
+  EXPECT_EQ(detector.on_trial_count(), 1);
+  EXPECT_TRUE(detector.on_success(endpoint));
+  EXPECT_FALSE(detector.on_success(endpoint));
+  EXPECT_EQ(detector.on_trial_count(), 0);
+}
+
+TEST(OutlierDetector, ARestartVoidsAnEjectionAndItsEvidence) {
+  OutlierDetector detector;
+  Endpoint endpoint;
+  endpoint.is_up = true;
+  while (!detector.on_failure(0, endpoint)) {
+  }
+  detector.on_restart(endpoint);
+  EXPECT_EQ(detector.ejected_count(), 0);
+  EXPECT_EQ(detector.on_trial_count(), 0);
+  EXPECT_EQ(endpoint.outlier.log_odds_faulty, 0);
+  EXPECT_FALSE(detector.end_expired_ejections(4 * kSecond));
+}
+
+// Guards against an ejection that ends when the state of its endpoint is gone, which the sanitized
+// build would see: the endpoint was last used a minute before.
+TEST(OutlierDetector, AnEndpointThatIsEjectedLateIsKeptUntilTheEjectionEnds) {
+  Gateway gateway(fleet_settings(1), 1);
+  std::vector<Action> actions;
+  gateway.handle(0, {complete_list(fleet_endpoints(0, 3))}, actions);
+  const std::string server = fleet_endpoint(0).server;
+  EndpointEntry removed;
+  removed.server = server;
+  removed.state = EndpointState::kRemoved;
+  gateway.handle(2 * kMillisecond, {TimerFired{0}}, actions);  // so that all three are in use
+  gateway.handle(3 * kMillisecond, {partial_update({removed})}, actions);
+  for (int second = 1; second < 64; ++second) {
+    gateway.handle(second * kSecond, {TimerFired{0}}, actions);
+  }
+  actions.clear();
+  gateway.handle(63 * kSecond + 500 * kMillisecond,
+                 {ResponseAborted{server}, ResponseAborted{server}, ResponseAborted{server}},
+                 actions);
+  const auto lines = actions_of<LogLine>(actions);
+  ASSERT_TRUE(std::any_of(lines.begin(), lines.end(), [](const LogLine& line) {
+    return line.text.find("ejected") != std::string::npos;
+  }));
+  for (int second = 64; second < 70; ++second) {
+    gateway.handle(second * kSecond, {TimerFired{0}}, actions);
+  }
+  EXPECT_EQ(gateway.unavailable_endpoints(), 0);
+}
+
 }  // namespace
 }  // namespace quota_gateway::testing
--- a/tests/policy/endpoints/slow_start_test.cpp
+++ b/tests/policy/endpoints/slow_start_test.cpp
@@ -1,13 +1,23 @@
 // Servers that have just started are warmed up with a growing part of their full load.
+#include "policy/endpoints/slow_start.hpp"
+
 #include <gtest/gtest.h>
 
 #include <cstddef>
 
+#include "policy/endpoints/load_balancer.hpp"
+#include "quota_gateway/gateway.hpp"
+#include "support/endpoint_lists.hpp"
 #include "support/gateway_fleet.hpp"
+#include "support/gateway_harness.hpp"
 
 namespace quota_gateway::testing {
 namespace {
 
+using policy::Endpoint;
+using policy::LoadBalancer;
+using policy::SlowStart;
+
 TEST(SlowStart, WarmingUpServerGetsOneRequestAWindowUntilOthersAreObserved) {
   Settings settings = basic_settings();
   settings.slow_start_min_fraction = 0.2;
@@ -96,5 +106,48 @@
   EXPECT_GT(to_warming_up, 0.2 * to_warm);
 }
 
+TEST(SlowStart, CapacityGrowsWithAgeFromItsLeastFraction) {
+  const Settings settings = fleet_settings(1);  // from 0.2, in 60 s
+  const SlowStart slow_start(settings);
+  Endpoint endpoint;
+  EXPECT_EQ(slow_start.warmup_fraction(kSecond, endpoint), 1);  // started long ago
+  endpoint.entry.started_at = 100 * kSecond;
+  EXPECT_EQ(slow_start.warmup_fraction(100 * kSecond, endpoint), 0.2);
+  EXPECT_DOUBLE_EQ(slow_start.warmup_fraction(130 * kSecond, endpoint), 0.6);
+  EXPECT_EQ(slow_start.warmup_fraction(160 * kSecond, endpoint), 1);
+  EXPECT_EQ(slow_start.warmup_fraction(200 * kSecond, endpoint), 1);
+  EXPECT_EQ(slow_start.warmup_fraction(99 * kSecond, endpoint), 0.2);  // a clock that differs
+}
+
+TEST(SlowStart, WorkOfAWarmingEndpointIsRememberedWhileItIsOutsideTheSubset) {
+  Settings settings = fleet_settings(1'000);
+  settings.slow_start_duration = 400 * kSecond;
+  // Sixty gateways share an endpoint, so that each may send it one request in 600 s.
+  settings.slow_start_overload_window = 10 * kSecond;
+  LoadBalancer load_balancer(settings, 1);
+  load_balancer.update_endpoints(0, complete_list(fleet_endpoints(0, 100)));
+  EndpointEntry warming = load_balancer.subset(0).front()->entry;
+  warming.started_at = kSecond;
+  load_balancer.update_endpoints(kSecond, partial_update({warming}));
+  Endpoint* endpoint = load_balancer.subset(kSecond).front();
+  ASSERT_EQ(endpoint->entry.server, warming.server);
+  ASSERT_TRUE(load_balancer.slow_start_admits(kSecond, *endpoint, 0.02));
+  load_balancer.on_attempt_sent(kSecond, *endpoint, 0.02);
+  --endpoint->open_references;
+  settings.gateway_index += 300;
+  load_balancer.settings_changed();
+  for (int second = 2; second < 200; ++second) {
+    load_balancer.on_period(second * kSecond);
+    for (const Endpoint* other : load_balancer.subset(second * kSecond)) {
+      ASSERT_NE(other->entry.server, warming.server);
+    }
+  }
+  settings.gateway_index -= 300;
+  load_balancer.settings_changed();
+  endpoint = load_balancer.subset(200 * kSecond).front();
+  ASSERT_EQ(endpoint->entry.server, warming.server);
+  EXPECT_FALSE(load_balancer.slow_start_admits(200 * kSecond, *endpoint, 0.02));
+}
+
 }  // namespace
 }  // namespace quota_gateway::testing
