--- /dev/null
+++ b/src/net/server/action_executor.hpp
@@ -0,0 +1,41 @@
+// Carries out the actions of the decision module, one at a time: those on requests through the
+// RequestDispatcher, the others itself. Owned by GatewayServer and called by EventBatcher.
+#pragma once
+
+#include <memory>
+
+#include "net/counter/counter_client.hpp"
+#include "net/server/event_batcher.hpp"
+#include "net/server/event_loop.hpp"
+#include "net/server/request_dispatcher.hpp"
+#include "quota_gateway/gateway.hpp"
+
+namespace quota_gateway::net {
+
+class ActionExecutor {
+ public:
+  ActionExecutor(EventLoop loop, EventBatcher& events, RequestDispatcher& dispatcher);
+
+  void execute(const Action& action);
+
+  // From now on additions go to this counter; null: there is none, and each addition is reported as
+  // not made. The counter before it finishes its calls and closes.
+  void use_counter(std::shared_ptr<CounterClient> counter);
+
+ private:
+  void perform(const SendAttempt& action);
+  void perform(const CancelAttempt& action);
+  void perform(const Reject& action);
+  void perform(const Fail& action);
+  void perform(const SetTimer& action);
+  void perform(const SendHealthCheck& action);
+  void perform(const AddToCounter& action);
+  void perform(const LogLine& action);
+
+  EventLoop loop_;
+  EventBatcher& events_;
+  RequestDispatcher& dispatcher_;
+  std::shared_ptr<CounterClient> counter_;
+};
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/config_reloader.cpp
@@ -0,0 +1,71 @@
+#include "net/server/config_reloader.hpp"
+
+#include <boost/asio/post.hpp>
+#include <exception>
+#include <iostream>
+#include <utility>
+
+#include "net/server/config_source.hpp"
+
+namespace quota_gateway::net {
+
+ConfigReloader::ConfigReloader(boost::asio::io_context& io, GatewayServer& server,
+                               std::string gateway_name, nlohmann::json applied_tree)
+    : io_(io),
+      server_(server),
+      gateway_name_(std::move(gateway_name)),
+      applied_tree_(std::move(applied_tree)) {}
+
+void ConfigReloader::start() {
+  run_step([this] {
+    loader_.reset();
+    file_ = open_config_file();
+    loader_.emplace(file_, ConfigLoader::Known::kOnlyChecked);
+    if (!chunk_posted_) {
+      post_next_chunk();
+    }
+  });
+}
+
+// One chunk a turn of the loop: a file with 170,000 endpoints takes half a second, and requests go
+// on meanwhile.
+void ConfigReloader::post_next_chunk() {
+  chunk_posted_ = true;
+  boost::asio::post(io_, [this] {
+    chunk_posted_ = false;
+    if (loader_) {
+      run_step([this] { read_chunk(); });
+    }
+  });
+}
+
+void ConfigReloader::read_chunk() {
+  if (loader_->step()) {
+    post_next_chunk();
+  } else {
+    apply();
+  }
+}
+
+void ConfigReloader::apply() {
+  ConfigFile file = loader_->finish();
+  loader_.reset();
+  check_complete(applied_tree_, file.tree);
+  server_.reload(make_config(file.tree));
+  applied_tree_ = std::move(file.tree);
+  std::cerr << gateway_name_ << ": configuration reloaded\n";
+}
+
+// Any error ends the reload.
+template <typename Step>
+void ConfigReloader::run_step(const Step& step) {
+  try {
+    step();
+  } catch (const std::exception& e) {
+    loader_.reset();
+    server_.on_reload_rejected();
+    std::cerr << gateway_name_ << ": configuration kept: " << e.what() << '\n';
+  }
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/gateway_stats.cpp
@@ -0,0 +1,66 @@
+#include "net/server/gateway_stats.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+void append_line(std::string& text, const std::string& name, std::uint64_t value) {
+  text.append("app.").append(name).append("=").append(std::to_string(value)).append("\n");
+}
+
+}  // namespace
+
+void GatewayStats::add_classes(const std::vector<ClassSettings>& classes) {
+  for (const ClassSettings& settings : classes) {
+    responses_by_class_.try_emplace(settings.name);
+  }
+}
+
+ResponseCounts& GatewayStats::on_request_started(const std::string& request_class) {
+  ++requests_in_progress_;
+  return responses_by_class_[request_class];
+}
+
+void GatewayStats::on_request_finished(ResponseCounts& counts, RequestOutcome outcome) {
+  --requests_in_progress_;
+  switch (outcome) {
+    case RequestOutcome::kSuccess:
+      ++counts.success;
+      return;
+    case RequestOutcome::kOverload:
+      ++counts.overload;
+      return;
+    case RequestOutcome::kError:
+      ++counts.error;
+      return;
+  }
+}
+
+void GatewayStats::on_attempt_written() {
+  ++attempts_written_;
+}
+
+void GatewayStats::on_reload(ReloadResult result) {
+  if (result == ReloadResult::kApplied) {
+    ++reloads_applied_;
+  } else {
+    ++reloads_rejected_;
+  }
+}
+
+std::string GatewayStats::render(const EndpointCounts& endpoints) const {
+  std::string text;
+  for (const auto& [request_class, counts] : responses_by_class_) {
+    append_line(text, "replies." + request_class + ".success", counts.success);
+    append_line(text, "replies." + request_class + ".overload", counts.overload);
+    append_line(text, "replies." + request_class + ".error", counts.error);
+  }
+  append_line(text, "dispatches", attempts_written_);
+  append_line(text, "concurrent", requests_in_progress_);
+  append_line(text, "targets", endpoints.listed);
+  append_line(text, "targets_disabled", endpoints.unavailable);
+  append_line(text, "reload_success", reloads_applied_);
+  append_line(text, "reload_failure", reloads_rejected_);
+  return text;
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/handover_coordinator.cpp
@@ -0,0 +1,57 @@
+#include "net/server/handover_coordinator.hpp"
+
+#include <algorithm>
+#include <iostream>
+
+namespace quota_gateway::net {
+
+HandoverCoordinator::HandoverCoordinator(EventLoop loop, const GatewayConfig& config,
+                                         Collaborators collaborators, std::size_t max_connections)
+    : pool_(collaborators.pool),
+      clients_(collaborators.clients),
+      events_(collaborators.events),
+      endpoint_lists_(collaborators.endpoint_lists),
+      listen_address_(config.listen_address),
+      max_connections_(max_connections),
+      hot_restart_(loop.io, loop.timers, config.shared_directory, config.name,
+                   config.listen_address, [this] { on_processes_changed(); }) {}
+
+void HandoverCoordinator::start() {
+  if (hot_restart_.predecessor()) {
+    clients_.adopt(listen_address_, hot_restart_.take_listening());
+  } else {
+    clients_.listen(listen_address_);
+  }
+  hot_restart_.wait_for_successor(clients_.listening_socket());
+  on_processes_changed();
+}
+
+void HandoverCoordinator::on_processes_changed() {
+  const int peer_count = int(hot_restart_.predecessor()) + int(hot_restart_.successor());
+  if (peer_count != peer_count_) {
+    peer_count_ = peer_count;
+    std::cerr << "hot restart: " << peer_count << " other processes\n";
+    events_.push(PeerProcessesChanged{peer_count});
+  }
+  // The limits are those of one gateway, however many processes it has.
+  pool_.bound(std::max<std::size_t>(1, max_connections_ / std::size_t(1 + peer_count)));
+  if (hot_restart_.taken()) {
+    clients_.hand_over_new_clients();
+  } else if (hot_restart_.predecessor()) {
+    open_if_ready();
+  } else if (!clients_.is_accepting()) {
+    clients_.start_accepting();
+  }
+}
+
+// Until this process is ready, the parent goes on accepting the new clients.
+void HandoverCoordinator::open_if_ready() {
+  if (!hot_restart_.predecessor() || clients_.is_accepting() || hot_restart_.taken() ||
+      !endpoint_lists_.is_ready()) {
+    return;
+  }
+  clients_.start_accepting();
+  hot_restart_.ready();
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/handover_coordinator.hpp
@@ -0,0 +1,50 @@
+// Hot restart: decides, as the processes of this gateway come and go, which of them lets new
+// clients in, and splits the connection limit between them. Owned by GatewayServer; HotRestart
+// carries the messages between the processes.
+#pragma once
+
+#include <cstddef>
+
+#include "net/client/client_listener.hpp"
+#include "net/config/gateway_config.hpp"
+#include "net/hot_restart/hot_restart.hpp"
+#include "net/server/endpoint_list_applier.hpp"
+#include "net/server/event_batcher.hpp"
+#include "net/server/event_loop.hpp"
+#include "net/upstream/connection_pool.hpp"
+
+namespace quota_gateway::net {
+
+class HandoverCoordinator {
+ public:
+  // The modules that depend on which processes there are.
+  struct Collaborators {
+    ConnectionPool& pool;
+    ClientListener& clients;
+    EventBatcher& events;
+    const EndpointListApplier& endpoint_lists;
+  };
+  // `max_connections`: to servers, of all processes of this gateway together.
+  HandoverCoordinator(EventLoop loop, const GatewayConfig& config, Collaborators collaborators,
+                      std::size_t max_connections);
+
+  // Listens for clients, on the parent process's socket if there is one. Throws std::exception if
+  // the address can't be used.
+  void start();
+  // Lets clients in, in place of the parent process, once the endpoint list allows it.
+  void open_if_ready();
+
+ private:
+  void on_processes_changed();
+
+  ConnectionPool& pool_;
+  ClientListener& clients_;
+  EventBatcher& events_;
+  const EndpointListApplier& endpoint_lists_;
+  const boost::asio::ip::tcp::endpoint listen_address_;
+  const std::size_t max_connections_;
+  HotRestart hot_restart_;
+  int peer_count_ = 0;  // as the decision module knows it
+};
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/request_table.cpp
@@ -0,0 +1,36 @@
+#include "net/server/request_table.hpp"
+
+#include <algorithm>
+#include <charconv>
+
+namespace quota_gateway::net {
+
+std::optional<RequestTable::Added> RequestTable::add(const std::string& trace_id) {
+  // A server would take a second request of an open trace id for a duplicate of the first.
+  if (!open_trace_ids_.insert(trace_id).second) {
+    return std::nullopt;
+  }
+  const std::uint64_t id = ++last_id_;
+  return Added{id, requests_[id]};
+}
+
+RequestTable::Iterator RequestTable::find(const std::string& decimal_id) {
+  std::uint64_t id = 0;
+  std::from_chars(decimal_id.data(), decimal_id.data() + decimal_id.size(), id);
+  return requests_.find(id);
+}
+
+void RequestTable::remove_if_done(Iterator request) {
+  if (!request->second.finished || request->second.attempts_in_flight > 0) {
+    return;
+  }
+  open_trace_ids_.erase(request->second.forwarded.trace_id);
+  requests_.erase(request);
+}
+
+bool RequestTable::all_finished() const {
+  return std::all_of(requests_.begin(), requests_.end(),
+                     [](const auto& entry) { return entry.second.finished; });
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/request_table.hpp
@@ -0,0 +1,81 @@
+// The client requests that this gateway has accepted and not finished, with their attempts. Owned
+// by RequestDispatcher, which alone changes them.
+#pragma once
+
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <unordered_map>
+#include <unordered_set>
+#include <vector>
+
+#include "net/client/client_listener.hpp"
+#include "net/http/forwarded_request.hpp"
+#include "net/server/gateway_stats.hpp"
+#include "quota_gateway/gateway.hpp"
+
+namespace quota_gateway::net {
+
+struct Attempt {
+  std::string endpoint;
+  Micros sent_at = 0;
+  Micros time_limit = 0;
+  Micros deadline = 0;
+  bool in_flight = true;
+};
+
+struct Request {
+  ClientId client = 0;
+  // Of the request's class, in which its end is counted.
+  ResponseCounts* response_counts = nullptr;
+  // Time from the last byte of the request to its answer.
+  Micros time_limit = 0;
+  Micros deadline = 0;
+  // Its end has been counted: it was answered, broken off or abandoned by its client.
+  bool finished = false;
+  bool last_attempt_timed_out = false;
+  // All of its body has come.
+  bool body_complete = true;
+  // Part of its body went to a server and was not kept, so there can be no other attempt.
+  bool body_forwarded = false;
+  // A long response has begun, and passes piece by piece.
+  bool response_started = false;
+  int attempts_in_flight = 0;
+  ForwardedRequest forwarded;
+  std::vector<Attempt> attempts;
+
+  int latest_attempt() const { return int(attempts.size()) - 1; }
+  Attempt& attempt(int index) { return attempts.at(std::size_t(index)); }
+};
+
+class RequestTable {
+ public:
+  using Requests = std::unordered_map<std::uint64_t, Request>;
+  using Iterator = Requests::iterator;
+
+  struct Added {
+    std::uint64_t id;
+    Request& request;
+  };
+  // Adds a request under an id of our own. None: a request with this trace id is open.
+  std::optional<Added> add(const std::string& trace_id);
+
+  Iterator find(std::uint64_t id) { return requests_.find(id); }
+  // By the decimal id that the decision module knows.
+  Iterator find(const std::string& decimal_id);
+  // Removes the request if it is finished and none of its attempts is in flight. Invalidates the
+  // iterator then.
+  void remove_if_done(Iterator request);
+
+  bool contains(std::uint64_t id) const { return requests_.contains(id); }
+  Iterator begin() { return requests_.begin(); }
+  Iterator end() { return requests_.end(); }
+  bool all_finished() const;
+
+ private:
+  Requests requests_;
+  std::unordered_set<std::string> open_trace_ids_;
+  std::uint64_t last_id_ = 0;
+};
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/signal_handler.cpp
@@ -0,0 +1,29 @@
+#include "net/server/signal_handler.hpp"
+
+#include <csignal>
+#include <utility>
+
+namespace quota_gateway::net {
+
+SignalHandler::SignalHandler(boost::asio::io_context& io) : signals_(io, SIGTERM, SIGINT, SIGHUP) {}
+
+void SignalHandler::start(Callbacks callbacks) {
+  callbacks_ = std::move(callbacks);
+  wait();
+}
+
+void SignalHandler::wait() {
+  signals_.async_wait([this](const boost::system::error_code& error, int signal) {
+    if (error) {
+      return;
+    }
+    wait();
+    if (signal == SIGHUP) {
+      callbacks_.on_hang_up();
+    } else {
+      callbacks_.on_terminate();
+    }
+  });
+}
+
+}  // namespace quota_gateway::net
--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -13,7 +13,7 @@
 class OperatorsTest : public ::testing::Test {
  protected:
   OperatorsTest() { rig.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0); }
-  Client caller() { return {rig.io, *rig.driver->operators_address()}; }
+  Client caller() { return {rig.io, *rig.driver->admin_address()}; }
   // The status of a call, and its body.
   std::pair<int, std::string> call(const std::string& text) {
     Client c = caller();
@@ -40,7 +40,7 @@
 TEST_F(OperatorsTest, NothingListensWhereNoPlaceIsNamed) {
   rig.config.admin_address.reset();
   rig.start();
-  EXPECT_FALSE(rig.driver->operators_address());
+  EXPECT_FALSE(rig.driver->admin_address());
 }
 
 TEST_F(OperatorsTest, APlaceThatCannotBeHadKeepsNobodyFromServing) {
@@ -107,7 +107,7 @@
   rig.start();
   std::list<Client> slow;
   for (std::size_t i = 0; i < 3 * kMostCallers; ++i) {
-    slow.emplace_back(rig.io, *rig.driver->operators_address()).send("GET /ops/sta");
+    slow.emplace_back(rig.io, *rig.driver->admin_address()).send("GET /ops/sta");
     EXPECT_GE(figure("targets"), 1);
   }
   EXPECT_TRUE(slow.front().ended());
@@ -215,8 +215,8 @@
 TEST_F(OperatorsTest, FilesTakenAndTurnedDownAreCounted) {
   rig.start();
   rig.driver->reload(rig.config);
-  rig.driver->reload_failed();
-  rig.driver->reload_failed();
+  rig.driver->on_reload_rejected();
+  rig.driver->on_reload_rejected();
   EXPECT_EQ(figure("reload_success"), 1);
   EXPECT_EQ(figure("reload_failure"), 2);
 }
--- a/tests/net/discovery/endpoint_lists_test.cpp
+++ b/tests/net/discovery/endpoint_lists_test.cpp
@@ -296,7 +296,7 @@
     ::testing::internal::CaptureStderr();
     GatewayServer& driver = rig.start();
     const auto taken = [&] {
-      return driver.figures().find("app.targets=2000\n") != std::string::npos;
+      return driver.render_stats().find("app.targets=2000\n") != std::string::npos;
     };
     const auto failed = [&] { return rig.discovery.asked.size() > 3; };
     ASSERT_TRUE(rig.until([&] { return taken() || failed(); }));
@@ -304,7 +304,7 @@
     EXPECT_EQ(taken(), memory_mb == 32) << log;
     EXPECT_EQ(failed(), memory_mb == 1) << log;
     if (failed()) {
-      EXPECT_NE(driver.figures().find("app.targets=1\n"), std::string::npos);
+      EXPECT_NE(driver.render_stats().find("app.targets=1\n"), std::string::npos);
     }
   }
 }
--- a/tests/net/server/gateway_server_test.cpp
+++ b/tests/net/server/gateway_server_test.cpp
@@ -580,7 +580,7 @@
 class ManyServersTest : public DriverTest {
  protected:
   std::uint64_t figure(const std::string& name) {
-    const std::string all = rig.driver->figures();
+    const std::string all = rig.driver->render_stats();
     const std::string key = "app." + name + "=";
     return std::stoull(all.substr(all.find(key) + key.size()));
   }
@@ -605,7 +605,7 @@
   ASSERT_TRUE(rig.until([&] {
     const auto listed = figure("targets");
     turns += listed > 0 && listed < std::uint64_t(n);
-    const bool ready = rig.driver->ready();
+    const bool ready = rig.driver->is_ready();
     if (listed < std::uint64_t(n)) {
       EXPECT_FALSE(ready);
       EXPECT_TRUE(servers.requests.empty());
@@ -631,10 +631,10 @@
   ASSERT_TRUE(rig.until([&] {
     const auto listed = figure("targets");
     if (listed == 0 || listed == std::uint64_t(n))
-      return rig.driver->ready();
+      return rig.driver->is_ready();
     if (turns++ == 0)
       c.emplace(rig.client()).send(get("a"));
-    EXPECT_FALSE(rig.driver->ready());
+    EXPECT_FALSE(rig.driver->is_ready());
     EXPECT_TRUE(servers.requests.empty());
     return false;
   }));
@@ -649,7 +649,7 @@
     rig.know(servers.member(label("n", i), i));
   }
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.driver->ready() && rig.discovery.asked.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.driver->is_ready() && rig.discovery.asked.size() == 1; }));
   std::string entries;
   for (int i = 100; i < n; ++i) {
     entries += (i > 100 ? "," : "") + servers.entry(label("n", i), i, "draining");
@@ -698,7 +698,7 @@
   }
   rig.config.settings.gateway_count = 7'400;
   rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.driver->ready() && rig.discovery.asked.size() == 1; }));
+  ASSERT_TRUE(rig.until([&] { return rig.driver->is_ready() && rig.discovery.asked.size() == 1; }));
   std::string entries;
   for (int i = 0; i < zone; ++i) {
     entries += (i > 0 ? "," : "") + servers.entry(label("n", i), i, "draining");
@@ -750,8 +750,8 @@
     }
     many.start();
     const bool up =
-        many.until([&] { return many.driver->ready() && !many.discovery.asked.empty(); });
-    ASSERT_TRUE(up) << many.driver->ready() << " ready, asks " << many.discovery.asked.size();
+        many.until([&] { return many.driver->is_ready() && !many.discovery.asked.empty(); });
+    ASSERT_TRUE(up) << many.driver->is_ready() << " ready, asks " << many.discovery.asked.size();
     us[n] = 1e9;
     for (int run = 0, drained = 0; run < 19; ++run) {
       const double began = cpu_us();
@@ -759,8 +759,8 @@
         const int i = drained++;
         many.discovery.tell(list(42 + drained, false, servers.entry(label("n", i), i, "draining")));
         const std::string want = label("app.targets_disabled=", drained) + "\n";
-        ASSERT_TRUE(
-            many.until([&] { return many.driver->figures().find(want) != std::string::npos; }));
+        ASSERT_TRUE(many.until(
+            [&] { return many.driver->render_stats().find(want) != std::string::npos; }));
       }
       us[n] = std::min(us[n], (cpu_us() - began) / 10);
     }
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -14,7 +14,7 @@
     rig.know(member("s1", s1));
   }
   std::string figures() {
-    Client c(rig.io, *rig.driver->operators_address());
+    Client c(rig.io, *rig.driver->admin_address());
     c.send("GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n");
     const auto answer = c.receive();
     return answer ? answer->body() : "";
--- a/tests/net/server/moments_test.cpp
+++ b/tests/net/server/moments_test.cpp
@@ -42,7 +42,7 @@
   c.send(get("a"));
   front.send(kHealth);
   EXPECT_EQ(status(front), 503);
-  EXPECT_FALSE(rig.driver->ready());
+  EXPECT_FALSE(rig.driver->is_ready());
   ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
   EXPECT_TRUE(s1.requests.empty());
   rig.discovery.mute = false;
@@ -62,7 +62,7 @@
     alone.know(member("s1", server));
     silent ? void(alone.discovery.mute = true) : alone.discovery.stop();
     alone.start();
-    ASSERT_TRUE(alone.until([&] { return alone.driver->ready(); }));
+    ASSERT_TRUE(alone.until([&] { return alone.driver->is_ready(); }));
     Client c = alone.client();
     c.send(kHealth);
     EXPECT_EQ(status(c), 200);
@@ -189,7 +189,8 @@
       held.discovery.mute = true;
       held.start();
       const auto open = [&](int n) {
-        return held.driver->figures().find(label("app.concurrent=", n) + "\n") != std::string::npos;
+        return held.driver->render_stats().find(label("app.concurrent=", n) + "\n") !=
+               std::string::npos;
       };
       Client c = held.client();
       std::string text = uploads ? post("u") : get("g");
--- a/tests/support/loopback.hpp
+++ b/tests/support/loopback.hpp
@@ -347,8 +347,8 @@
   GatewayServer& start() {
     driver.emplace(io, config);
     if (!config.persisted_endpoints.endpoints.empty() && !discovery.mute) {
-      EXPECT_TRUE(
-          until([&] { return driver->figures().find("app.targets=0\n") == std::string::npos; }));
+      EXPECT_TRUE(until(
+          [&] { return driver->render_stats().find("app.targets=0\n") == std::string::npos; }));
     }
     return *driver;
   }
