--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -49,7 +49,8 @@
   FakeServer server{io};
   std::vector<std::pair<AttemptKey, AttemptResult>> results;
   std::optional<ConnectionPool> upstream;
-  ForwardedRequest outgoing{"POST", "/intro-request/1?q", "origin.svc", "t1", "k1", "hello", true, {}};
+  ForwardedRequest outgoing{"POST", "/intro-request/1?q", "origin.svc", "t1", "k1", "hello", true,
+                            {}};
 };
 
 TEST_F(UpstreamTest, ServedWithTheBodyAndTheLoad) {
