--- a/tests/policy/quota/rate_ceiling_test.cpp
+++ b/tests/policy/quota/rate_ceiling_test.cpp
@@ -14,49 +14,49 @@
 class RateCeilingTest : public testing::Test {
  protected:
   RateCeilingTest() {
-    plan_.ceiling_rate = 10;
-    plan_.ceiling_burst = 20;
-    customer_.plan = &plan_;
-    customer_.gateway_subset_size = 2;
+    plan.ceiling_rate = 10;
+    plan.ceiling_burst = 20;
+    customer.plan = &plan;
+    customer.gateway_subset_size = 2;
   }
 
-  Settings settings_;
-  PlanSettings plan_;
-  CustomerState customer_;
-  const RateCeiling ceiling_{settings_};
+  Settings settings;
+  PlanSettings plan;
+  CustomerState customer;
+  const RateCeiling ceiling{settings};
 };
 
 TEST_F(RateCeilingTest, WithoutACounterEachGatewayHasAnEvenShareOfTheWhole) {
-  EXPECT_FALSE(ceiling_.admits(0, customer_, 1));
-  EXPECT_TRUE(ceiling_.try_acquire(kSecondUs, customer_, 5));
-  EXPECT_FALSE(ceiling_.try_acquire(kSecondUs, customer_, 1));
-  EXPECT_TRUE(ceiling_.admits(100 * kSecondUs, customer_, 10));
-  EXPECT_FALSE(ceiling_.admits(100 * kSecondUs, customer_, 11));
+  EXPECT_FALSE(ceiling.admits(0, customer, 1));
+  EXPECT_TRUE(ceiling.try_acquire(kSecondUs, customer, 5));
+  EXPECT_FALSE(ceiling.try_acquire(kSecondUs, customer, 1));
+  EXPECT_TRUE(ceiling.admits(100 * kSecondUs, customer, 10));
+  EXPECT_FALSE(ceiling.admits(100 * kSecondUs, customer, 11));
 }
 
 TEST_F(RateCeilingTest, WithACounterHalfIsSplitEvenlyAndReservedUnitsAreTakenFirst) {
-  settings_.has_counter = true;
-  customer_.ceiling_reservation.units = 3;
-  customer_.ceiling_reservation.window = ceiling_pool(plan_).window(kSecondUs, customer_);
-  EXPECT_FALSE(ceiling_.admits(kSecondUs, customer_, 6));
-  EXPECT_TRUE(ceiling_.try_acquire(kSecondUs, customer_, 4));
-  EXPECT_DOUBLE_EQ(customer_.ceiling_reservation.units, 0);
-  EXPECT_DOUBLE_EQ(customer_.ceiling.units, 1.5);
+  settings.has_counter = true;
+  customer.ceiling_reservation.units = 3;
+  customer.ceiling_reservation.window = ceiling_pool(plan).window(kSecondUs, customer);
+  EXPECT_FALSE(ceiling.admits(kSecondUs, customer, 6));
+  EXPECT_TRUE(ceiling.try_acquire(kSecondUs, customer, 4));
+  EXPECT_DOUBLE_EQ(customer.ceiling_reservation.units, 0);
+  EXPECT_DOUBLE_EQ(customer.ceiling.units, 1.5);
 }
 
 TEST_F(RateCeilingTest, AWaitEndsWhenTheShareIsFilledOrANewWindowBegins) {
-  settings_.has_counter = true;
+  settings.has_counter = true;
   const Micros now = 700'000;
-  ceiling_.refill(now, customer_);
-  EXPECT_EQ(ceiling_.time_until_available(now, customer_, 4.25), kSecondUs);
-  customer_.ceiling_reservation.exhausted = true;
-  EXPECT_EQ(ceiling_.time_until_available(now, customer_, 4.25), 300'000);
+  ceiling.refill(now, customer);
+  EXPECT_EQ(ceiling.time_until_available(now, customer, 4.25), kSecondUs);
+  customer.ceiling_reservation.exhausted = true;
+  EXPECT_EQ(ceiling.time_until_available(now, customer, 4.25), 300'000);
 }
 
 TEST_F(RateCeilingTest, APlanWithoutACeilingAdmitsAll) {
-  plan_.ceiling_rate = 0;
-  EXPECT_TRUE(ceiling_.try_acquire(0, customer_, 1'000));
-  EXPECT_DOUBLE_EQ(customer_.ceiling.units, 0);
+  plan.ceiling_rate = 0;
+  EXPECT_TRUE(ceiling.try_acquire(0, customer, 1'000));
+  EXPECT_DOUBLE_EQ(customer.ceiling.units, 0);
 }
 
 }  // namespace
