--- a/scale/hollow.cpp
+++ b/scale/hollow.cpp
@@ -19,6 +19,7 @@
 
 #include "net/counter/counter_client.hpp"
 #include "net/discovery/endpoint_table.hpp"
+#include "net/discovery/socket_address.hpp"
 #include "net/event_loop/timers.hpp"
 
 namespace quota_gateway::scale {
--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -4,6 +4,7 @@
 #include <set>
 #include <stdexcept>
 
+#include "net/discovery/socket_address.hpp"
 #include "settings/settings_parser.hpp"
 
 namespace quota_gateway::net {
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -6,9 +6,10 @@
 #include <charconv>
 #include <iostream>
 #include <stdexcept>
-#include <string_view>
 #include <utility>
 
+#include "net/discovery/json_scanner.hpp"
+
 namespace quota_gateway::net {
 namespace {
 
@@ -17,100 +18,98 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// What a silent watch misses counts as told 6 s after it fell silent, and an empty line comes every
-// 2 s.
-constexpr Micros kQuiet =
-    3'000'000;  // us; a heartbeat missed and some, so that a second try still fits in
-constexpr Micros kFirstBackoff = 100'000, kMostBackoff = 1'000'000;
-// Danger: what an agent beside us has counts as told at once, also when it comes back, and 250 ms
-// later nothing new may go to who drains. So the two of these together stay under that.
-constexpr Micros kAnswerWithin = 120'000;  // us from connecting to the first byte
-constexpr Micros kFirstPause = 20'000, kMostPause = 60'000;
-constexpr Micros kAskedWithin =
-    5'000'000;  // us of the same where lists are asked for: calls wait in line
-constexpr Micros kStoodStill =
-    30'000;  // us late at our own timer: not the agent is late but we are
-constexpr Micros kTurnedAway = 1'000'000;       // first wait after that, at the most
-constexpr Micros kMostRetryAfter = 30'000'000;  // that is followed
-constexpr std::size_t kMostPending = 64 << 10;  // bytes that are no HTTP yet
-constexpr std::size_t kMostAround = 64 << 10;   // bytes of a list that are not its members
-constexpr std::size_t kTextForMemory = 8;  // a member's text, indented, takes four times its memory
-// us without any more of a list, or from its first byte to its last where it is small. Danger: what
-// it holds counts as told meanwhile, as above.
-constexpr Micros kListWithin = 150'000, kAskedListWithin = 1'000'000;
-// Danger: one that trickles is never without more of it, and one of 22 MB can't be there in 150 ms.
-// So each byte earns a list more time, that is half a MB a second, but never more than so much
-// ahead.
-constexpr Micros kMicrosForByte = 2, kMostAhead = 1'000'000;
-constexpr int kPeekBuffer = 1152, kSmallBuffer = 16384,
-              kWideBuffer = 1 << 20;  // bytes that wait for us
-constexpr Micros kLogEvery = 10'000'000;
+// Discovery takes what a silent watch misses as known to the gateway 6 s after it fell silent, and
+// an empty line comes every 2 s. So a missed heartbeat and some, which leaves time for a second
+// attempt.
+constexpr Micros kMaxSilence = 3'000'000;  // us
+constexpr Micros kInitialBackoff = 100'000;
+constexpr Micros kMaxBackoff = 1'000'000;
+
+// Discovery takes what an agent beside this gateway has as known at once, also when the agent comes
+// back, and 250 ms later nothing new may go to a draining endpoint. So the response time and the
+// backoff together stay under that.
+constexpr Micros kPushedResponseTime = 120'000;  // us from connecting to the first byte
+constexpr Micros kInitialPushedBackoff = 20'000;
+constexpr Micros kMaxPushedBackoff = 60'000;
+// The same where lists are polled: requests wait in a queue.
+constexpr Micros kPolledResponseTime = 5'000'000;
+
+// The longest time without any more of a list, us. Discovery takes the list as known meanwhile, as
+// above.
+constexpr Micros kMaxPushedListPause = 150'000;
+constexpr Micros kMaxPolledListPause = 1'000'000;
+
+// A timer that is so late shows that this process was delayed, not the agent.
+constexpr Micros kMaxTimerDelay = 30'000;  // us
+
+constexpr Micros kInitialRejectionBackoff = 1'000'000;  // us
+constexpr Micros kMaxRetryAfter = 30'000'000;           // us that are honoured
+constexpr std::size_t kMaxUnparsedBytes = 64 << 10;
+
+// Of the receive buffer.
+constexpr int kProbeBufferBytes = 1152;
+constexpr int kSmallListBufferBytes = 16384;
+constexpr int kUnlimitedBufferBytes = 1 << 20;
+
+constexpr Micros kMinLogInterval = 10'000'000;  // us
 
 }  // namespace
 
+class DiscoveryClient::ResponseError : public std::runtime_error {
+ public:
+  ResponseError(DisconnectReason reason, const std::string& detail)
+      : std::runtime_error(detail), reason_(reason) {}
+  DisconnectReason reason() const { return reason_; }
+
+ private:
+  DisconnectReason reason_;
+};
+
 DiscoveryClient::DiscoveryClient(asio::io_context& io, Timers& timers, const Clock& clock,
                                  DiscoveryOptions options, DiscoveryCallbacks callbacks)
     : io_(io),
       timers_(timers),
       clock_(clock),
-      agent_(std::move(options.agent)),
       pushed_(!options.max_rejection_backoff),
-      revision_(options.revision),
+      limits_(options.limits),
       callbacks_(std::move(callbacks)),
+      agent_(std::move(options.agent)),
+      revision_(options.revision),
       socket_(io),
-      limits_(options.limits),
-      retry_policy_(options.limits, options.seed + 2),
-      backoff_(pushed_ ? kFirstPause : kFirstBackoff, pushed_ ? kMostPause : kMostBackoff,
-               options.seed),
-      turned_away_(kTurnedAway, std::max(kTurnedAway, options.max_rejection_backoff.value_or(0)),
-                   options.seed + 1) {}
+      intake_(options.limits, pushed_ ? kMaxPushedListPause : kMaxPolledListPause,
+              options.seed + 2),
+      reconnect_backoff_(pushed_ ? kInitialPushedBackoff : kInitialBackoff,
+                         pushed_ ? kMaxPushedBackoff : kMaxBackoff, options.seed),
+      rejection_backoff_(
+          kInitialRejectionBackoff,
+          std::max(kInitialRejectionBackoff, options.max_rejection_backoff.value_or(0)),
+          options.seed + 1) {}
 
 void DiscoveryClient::start() {
   connect();
 }
 
-// Danger: another agent may not know our revision; what was told between would be lost. So the
-// whole list.
+// Another agent may not know our revision, and what changed in between would be missed. So it is
+// asked for the complete list.
 void DiscoveryClient::move_to(tcp::endpoint agent) {
   agent_ = std::move(agent);
-  whole_ = moved_ = true;
-  list_.reset();  // what is left of it says nothing of the new agent
-  failed_.reset();
-  retry_policy_.reset();
-  backoff_.reset();
-  turned_away_.reset();
-  lost("moves to another agent");
+  request_complete_list_ = true;
+  agent_changed_ = true;
+  intake_.reset();
+  reconnect_backoff_.reset();
+  rejection_backoff_.reset();
+  disconnect({DisconnectReason::kAgentChanged, "moving to another agent"});
 }
 
-Micros DiscoveryClient::patience() const {
-  return spoke_ ? kQuiet : pushed_ ? kAnswerWithin : kAskedWithin;
-}
-
-// Danger: a watch can break without a word, and an agent can accept and never say one. Danger: when
-// this process stood still, what came meanwhile lies unread; only time in which the loop ran
-// counts.
-void DiscoveryClient::watch_quiet(int life, Micros due) {
-  if (life != life_) {
-    return;
-  }
-  const Micros now = clock_.now();
-  if (now - due > kStoodStill) {
-    heard_ = std::max(heard_, now - patience() + kStoodStill);
-  }
-  if (now - heard_ >= patience()) {
-    return lost("quiet");
-  }
-  const Micros next = heard_ + patience();
-  timers_.at(next, [this, life, next] { watch_quiet(life, next); });
-}
+// ---- Connection
 
 void DiscoveryClient::connect() {
-  const int life = ++life_;
-  heard_ = clock_.now();
-  spoke_ = false;
-  watch_quiet(life, heard_);
-  pending_.clear();
-  list_.reset();
+  const Generation generation = ++connection_generation_;
+  last_heard_at_ = clock_.now();
+  has_response_ = false;
+  check_silence(generation, last_heard_at_);
+  unparsed_.clear();
+  intake_.abandon();
   parser_.emplace();
   parser_->eager(true);
   parser_->body_limit(boost::none);  // a watch has no end; each list has one
@@ -118,292 +117,323 @@
   error_code failed;
   socket_.open(agent_.protocol(), failed);
   if (failed) {
-    return lost(failed.message());
+    disconnect({DisconnectReason::kConnectionFailed, failed.message()});
+    return;
   }
-  const ListReadScope scope = retry_policy_.read_scope(heard_);
-  narrow_ = false;
-  narrow(scope == ListReadScope::kUnlimited ? 0
-         : scope == ListReadScope::kProbe   ? kPeekBuffer
-                                            : kSmallBuffer);
-  socket_.async_connect(agent_, [this, life](error_code ec) {
-    if (life != life_) {
+  limit_receive_buffer(intake_.read_scope(last_heard_at_));
+  socket_.async_connect(agent_, [this, generation](error_code ec) {
+    if (generation != connection_generation_) {
       return;
     }
-    ec ? lost(ec.message()) : request(life);
+    if (ec) {
+      disconnect({DisconnectReason::kConnectionFailed, ec.message()});
+    } else {
+      send_request(generation);
+    }
   });
 }
 
-// Danger: what an agent has sent has gone over the wire, read or not, and the system takes
+// What an agent has sent has gone over the network, read or not, and the system would accept
 // megabytes ahead.
-void DiscoveryClient::narrow(int buffer) {
-  if (!narrow_ && buffer == 0) {
+void DiscoveryClient::limit_receive_buffer(ListReadScope scope) {
+  receive_limited_ = scope != ListReadScope::kUnlimited;
+  if (!receive_limited_) {
+    return;
+  }
+  const int bytes = scope == ListReadScope::kProbe ? kProbeBufferBytes : kSmallListBufferBytes;
+  error_code ignored;
+  socket_.set_option(asio::socket_base::receive_buffer_size(bytes), ignored);
+}
+
+void DiscoveryClient::lift_receive_limit() {
+  if (!receive_limited_) {
     return;
   }
-  narrow_ = buffer > 0;
+  receive_limited_ = false;
   error_code ignored;
-  socket_.set_option(asio::socket_base::receive_buffer_size(narrow_ ? buffer : kWideBuffer),
-                     ignored);
+  socket_.set_option(asio::socket_base::receive_buffer_size(kUnlimitedBufferBytes), ignored);
 }
 
-// Danger: a whole list may be what fails, while changes after the list in force would still come.
-void DiscoveryClient::request(int life) {
+// Even if a complete list is needed, a limited connection asks for changes: complete lists may be
+// what fails, while changes to the list in force would still be accepted.
+void DiscoveryClient::send_request(Generation generation) {
   request_ = "GET /catalog/members?watch=1";
-  if (!moved_ && (!whole_ || narrow_)) {
+  if (!agent_changed_ && (!request_complete_list_ || receive_limited_)) {
     request_ += "&after=" + std::to_string(revision_);
   }
   request_ += " HTTP/1.1\r\nHost: " + agent_.address().to_string() + "\r\n\r\n";
-  asio::async_write(socket_, asio::buffer(request_), [this, life](error_code ec, std::size_t) {
-    if (life == life_ && ec) {
-      lost(ec.message());
-    }
-  });
-  read(life);
+  asio::async_write(socket_, asio::buffer(request_),
+                    [this, generation](error_code ec, std::size_t) {
+                      if (generation == connection_generation_ && ec) {
+                        disconnect({DisconnectReason::kConnectionFailed, ec.message()});
+                      }
+                    });
+  read(generation);
 }
 
-void DiscoveryClient::read(int life) {
-  const std::size_t most = narrow_ ? std::min(limits_.probe_bytes, chunk_.size()) : chunk_.size();
-  socket_.async_read_some(asio::buffer(chunk_, most),
-                          [this, life](error_code ec, std::size_t size) {
-                            if (life != life_) {
+void DiscoveryClient::read(Generation generation) {
+  const std::size_t max_bytes =
+      receive_limited_ ? std::min(limits_.probe_bytes, read_buffer_.size()) : read_buffer_.size();
+  socket_.async_read_some(asio::buffer(read_buffer_, max_bytes),
+                          [this, generation](error_code ec, std::size_t size) {
+                            if (generation != connection_generation_) {
                               return;
                             }
                             if (ec) {
-                              return lost(ec.message());
-                            }
-                            heard_ = clock_.now();
-                            spoke_ = true;
-                            try {
-                              took(size);
-                            } catch (const EndpointListTooLarge& e) {
-                              whole_ = true;
-                              return lost(e.what(), ListFailure::kTooLarge);
-                            } catch (const std::exception& e) {
-                              // Danger: what was not understood is a gap; only the whole list
-                              // closes it.
-                              whole_ = true;
-                              return lost(e.what());
+                              disconnect({DisconnectReason::kConnectionFailed, ec.message()});
+                              return;
                             }
-                            if (life == life_) {
-                              read(life);
+                            on_read(size);
+                            if (generation == connection_generation_) {
+                              read(generation);
                             }
                           });
 }
 
-void DiscoveryClient::took(std::size_t size) {
-  pending_.append(chunk_.data(), size);
-  while (!pending_.empty()) {
-    error_code ec;
-    const std::size_t used = parser_->put(asio::buffer(pending_), ec);
-    pending_.erase(0, used);
-    if (ec && ec != http::error::need_more) {
-      throw std::runtime_error(ec.message());
-    }
-    if (used == 0) {
-      break;
-    }
+void DiscoveryClient::on_read(std::size_t size) {
+  last_heard_at_ = clock_.now();
+  has_response_ = true;
+  try {
+    on_bytes(size);
+  } catch (const ResponseError& e) {
+    disconnect({e.reason(), e.what()});
+  } catch (const EndpointListTooLarge& e) {
+    disconnect({DisconnectReason::kListTooLarge, e.what()});
+  } catch (const std::exception& e) {
+    disconnect({DisconnectReason::kInvalidResponse, e.what()});
   }
+}
+
+// ---- Response
+
+void DiscoveryClient::on_bytes(std::size_t size) {
+  parse_http(size);
   if (!parser_->is_header_done()) {
     return;
   }
   if (parser_->get().result() != http::status::ok) {
-    const auto after = parser_->get()[http::field::retry_after];
-    double seconds = 0;
-    std::from_chars(after.data(), after.data() + after.size(), seconds);
-    // Behind what it told: many are told the same. Where lists are pushed there is no line to keep
-    // short.
-    if (!pushed_) {
-      refused_ =
-          Micros(std::clamp(seconds * 1e6, 0.0, double(kMostRetryAfter))) + turned_away_.next();
-    }
-    throw std::runtime_error("status " + std::to_string(parser_->get().result_int()));
+    on_request_rejected();
   }
   callbacks_.on_response();
-  text(std::exchange(parser_->get().body(), {}));
-  if (pending_.size() > kMostPending) {
-    throw std::runtime_error("no HTTP");
+  on_body(std::exchange(parser_->get().body(), {}));
+  if (unparsed_.size() > kMaxUnparsedBytes) {
+    throw ResponseError(DisconnectReason::kInvalidResponse, "the response is not HTTP");
   }
-  if (list_) {
-    came(size);
+  if (intake_.is_in_progress()) {
+    const Micros now = clock_.now();
+    if (intake_.on_progress(size, now)) {
+      check_list_deadline(connection_generation_, intake_.begun_count(), now);
+    }
   }
   if (parser_->is_done()) {
-    lost("the watch ended");
+    disconnect({DisconnectReason::kWatchEnded, "the agent ended the watch"});
   }
 }
 
-// A list is over where its brackets are, not where its line is: it may come indented. An empty line
-// between two is a heartbeat.
-void DiscoveryClient::text(std::string_view piece) {
-  while (!piece.empty()) {
-    if (!list_) {
-      if (piece[0] == '\n') {
-        heard();
-      }
-      if (std::string_view(" \t\r\n").find(piece[0]) != std::string_view::npos) {
-        piece.remove_prefix(1);
-        continue;
-      }
-      if (piece[0] != '{') {
-        throw std::runtime_error("no list");
-      }
-      begin_list();
+void DiscoveryClient::parse_http(std::size_t size) {
+  unparsed_.append(read_buffer_.data(), size);
+  while (!unparsed_.empty()) {
+    error_code ec;
+    const std::size_t used = parser_->put(asio::buffer(unparsed_), ec);
+    unparsed_.erase(0, used);
+    if (ec && ec != http::error::need_more) {
+      throw ResponseError(DisconnectReason::kInvalidResponse, ec.message());
     }
-    piece.remove_prefix(list_->parse_chunk(piece));
-    if (list_->is_done()) {
-      end_list();
-    } else {
-      judge();
+    if (used == 0) {
+      break;
     }
   }
 }
 
-void DiscoveryClient::begin_list() {
-  list_.emplace(
-      std::vector<std::string>{"members"},
-      EndpointListLimits{limits_.memory_bytes, kTextForMemory * limits_.memory_bytes, kMostAround});
-  ++begun_;
-  came_ = 0;
-  scope_ = retry_policy_.read_scope(clock_.now());
-  judged_ = false;
+// Waits a backoff beyond Retry-After, since many gateways are given the same one. Where lists are
+// pushed no queue of requests has to be kept short.
+void DiscoveryClient::on_request_rejected() {
+  const auto retry_after = parser_->get()[http::field::retry_after];
+  double seconds = 0;
+  std::from_chars(retry_after.data(), retry_after.data() + retry_after.size(), seconds);
+  if (!pushed_) {
+    const Micros honoured = Micros(std::clamp(seconds * 1e6, 0.0, double(kMaxRetryAfter)));
+    const Micros wait = honoured + rejection_backoff_.next();
+    rejection_wait_ = wait > 0 ? std::optional(wait) : std::nullopt;
+  }
+  throw ResponseError(DisconnectReason::kRequestRejected,
+                      "status " + std::to_string(parser_->get().result_int()));
 }
 
-// Danger: a list that fails again and again is left as soon as it can be told from one that would
-// not.
-void DiscoveryClient::judge() {
-  if (scope_ == ListReadScope::kUnlimited) {
-    return;
-  }
-  if (const auto head = judged_ ? std::nullopt : list_->header()) {
-    judged_ = true;
-    // What does not say so before its members may be whole.
-    const bool whole = head->complete.value_or(true);
-    if (!whole && (!failed_ || failed_->complete.value_or(true))) {
-      scope_ = ListReadScope::kUnlimited;
-      return narrow(0);
+// A list ends where its brackets do, not where its line does: it may come indented.
+void DiscoveryClient::on_body(std::string_view piece) {
+  while (!piece.empty()) {
+    if (!intake_.is_in_progress()) {
+      if (skip_separator(piece.front())) {
+        piece.remove_prefix(1);
+        continue;
+      }
+      if (piece.front() != '{') {
+        throw ResponseError(DisconnectReason::kInvalidResponse, "the response is no endpoint list");
+      }
+      intake_.begin(clock_.now());
     }
-    if (whole && scope_ == ListReadScope::kProbe && failed_ &&
-        failed_->revision == head->revision) {
-      throw std::runtime_error("the list that failed");
+    piece.remove_prefix(intake_.consume(piece));
+    if (intake_.is_complete()) {
+      on_list();
+    } else if (intake_.enforce_read_scope()) {
+      lift_receive_limit();
     }
   }
-  if (list_->bytes_consumed() >= retry_policy_.max_bytes(scope_)) {
-    throw std::runtime_error("a whole list, so soon after one that failed");
-  }
 }
 
-void DiscoveryClient::end_list() {
-  heard();
-  EndpointList list = list_->take_list(list_->surrounding_json());
-  // Danger: a discovery that has lost its own list would take every server from all gateways at
-  // once.
-  if (list.complete && list.endpoints.empty()) {
-    throw std::runtime_error("an empty list");
+// Between two lists. An empty line is a heartbeat.
+bool DiscoveryClient::skip_separator(char byte) {
+  if (byte == '\n') {
+    on_healthy();
   }
-  list_.reset();
-  narrow(0);
+  return is_json_space(byte);
+}
+
+void DiscoveryClient::on_list() {
+  on_healthy();
+  EndpointList list = intake_.finish();
+  lift_receive_limit();
   revision_ = list.revision;
-  whole_ = false;
-  if (list.complete) {
-    moved_ = false;
-  }
-  if (list.complete || (failed_ && !failed_->complete.value_or(true))) {
-    failed_.reset();
-  }
+  request_complete_list_ = false;
   if (list.complete) {
-    retry_policy_.reset();
-  } else {
-    retry_policy_.on_partial_list();
+    agent_changed_ = false;
   }
   callbacks_.on_update(std::move(list));
 }
 
-Micros DiscoveryClient::list_within() const {
-  return pushed_ ? kListWithin : kAskedListWithin;
+// ---- Liveness
+
+Micros DiscoveryClient::silence_limit() const {
+  if (has_response_) {
+    return kMaxSilence;
+  }
+  return pushed_ ? kPushedResponseTime : kPolledResponseTime;
 }
 
-// Some of a list that is not over yet.
-void DiscoveryClient::came(std::size_t size) {
+// A watch can break without a sign of it, and an agent can accept a connection and never respond.
+// When this process was delayed, what came meanwhile is still unread: only time in which the event
+// loop ran counts.
+void DiscoveryClient::check_silence(Generation generation, Micros due) {
+  if (generation != connection_generation_) {
+    return;
+  }
   const Micros now = clock_.now();
-  const bool first = came_ == 0;
-  came_ = now;
-  pace_ = std::min((first ? now + list_within() : pace_) + Micros(size) * kMicrosForByte,
-                   now + std::max(kMostAhead, list_within()));
-  if (first) {
-    watch_list(life_, begun_, now);
+  if (now - due > kMaxTimerDelay) {
+    last_heard_at_ = std::max(last_heard_at_, now - silence_limit() + kMaxTimerDelay);
   }
+  if (now - last_heard_at_ >= silence_limit()) {
+    disconnect({DisconnectReason::kSilent, "the watch is silent"});
+    return;
+  }
+  const Micros next = last_heard_at_ + silence_limit();
+  timers_.at(next, [this, generation, next] { check_silence(generation, next); });
 }
 
-// Danger: as with a quiet watch, only time in which the loop ran counts.
-void DiscoveryClient::watch_list(int life, int begun, Micros due) {
-  if (life != life_ || begun != begun_ || !list_) {
+// As for silence, only time in which the event loop ran counts.
+void DiscoveryClient::check_list_deadline(Generation generation, int list_number, Micros due) {
+  const bool is_current =
+      generation == connection_generation_ && list_number == intake_.begun_count();
+  if (!is_current || !intake_.is_in_progress()) {
     return;
   }
   const Micros now = clock_.now();
-  if (now - due > kStoodStill) {
-    came_ = std::max(came_, now - list_within() + kStoodStill);
-    pace_ = std::max(pace_, now + kStoodStill);
+  if (now - due > kMaxTimerDelay) {
+    intake_.extend_deadline(now, kMaxTimerDelay);
   }
-  const Micros next = std::min(came_ + list_within(), pace_);
-  if (now >= next) {
-    whole_ = true;
-    return lost("a list does not end", ListFailure::kUnfinished);
+  const Micros deadline = intake_.deadline();
+  if (now >= deadline) {
+    disconnect({DisconnectReason::kListUnfinished, "the list stopped or came too slowly"});
+    return;
   }
-  timers_.at(next, [this, life, begun, next] { watch_list(life, begun, next); });
+  timers_.at(deadline, [this, generation, list_number, deadline] {
+    check_list_deadline(generation, list_number, deadline);
+  });
 }
 
-void DiscoveryClient::heard() {
-  backoff_.reset();
-  turned_away_.reset();
-  if (lost_at_ > 0) {
-    std::cerr << "discovery: back after " << (clock_.now() - lost_at_) / 1000 << " ms\n";
+void DiscoveryClient::on_healthy() {
+  reconnect_backoff_.reset();
+  rejection_backoff_.reset();
+  if (disconnected_at_) {
+    std::cerr << "discovery: recovered after " << (clock_.now() - *disconnected_at_) / 1000
+              << " ms\n";
   }
-  lost_at_ = 0;
+  disconnected_at_.reset();
 }
 
-// Returns how long to wait before the next is asked for.
-Micros DiscoveryClient::give_up_list(const std::string& why, ListFailure cause) {
-  const Micros now = clock_.now();
-  const std::size_t bytes = list_->bytes_consumed();
-  const std::size_t members = list_->endpoint_count();
-  if (scope_ != ListReadScope::kProbe) {
-    try {
-      failed_ = list_->header().value_or(EndpointListParser::Header{});
-    } catch (const std::exception&) {
-      failed_.emplace();
-    }
+// ---- Disconnection
+
+// What was not understood is a gap, which only a complete list closes.
+bool DiscoveryClient::needs_complete_list(DisconnectReason reason) {
+  switch (reason) {
+    case DisconnectReason::kAgentChanged:
+    case DisconnectReason::kRequestRejected:
+    case DisconnectReason::kInvalidResponse:
+    case DisconnectReason::kListTooLarge:
+    case DisconnectReason::kListUnfinished:
+      return true;
+    case DisconnectReason::kConnectionFailed:
+    case DisconnectReason::kSilent:
+    case DisconnectReason::kWatchEnded:
+      break;
   }
-  list_.reset();
-  retry_policy_.on_failure(scope_, bytes, cause, now);
-  const Micros wait =
-      retry_policy_.is_restricted() ? retry_policy_.next_wait(now) : backoff_.next();
-  if (scope_ != ListReadScope::kProbe && retry_policy_.is_restricted()) {
-    logged_ = now;
-    std::cerr << "discovery: a list is given up after " << bytes << " bytes and " << members
-              << " members: " << why << "; the list of revision " << revision_
-              << " stays in force, changes are asked for in " << wait / 1000 << " ms\n";
+  return false;
+}
+
+ListFailure DiscoveryClient::list_failure(DisconnectReason reason) {
+  switch (reason) {
+    case DisconnectReason::kListTooLarge:
+      return ListFailure::kTooLarge;
+    case DisconnectReason::kListUnfinished:
+      return ListFailure::kUnfinished;
+    default:
+      return ListFailure::kMalformed;
   }
-  return wait;
 }
 
-void DiscoveryClient::lost(const std::string& why, ListFailure cause) {
+void DiscoveryClient::disconnect(const Disconnect& cause) {
   error_code ignored;
   socket_.close(ignored);
-  const int life = ++life_;
+  const Generation generation = ++connection_generation_;
+  request_complete_list_ = request_complete_list_ || needs_complete_list(cause.reason);
   const Micros now = clock_.now();
-  const Micros wait = refused_ > 0 ? std::exchange(refused_, 0)
-                      : list_      ? give_up_list(why, cause)
-                                   : backoff_.next();
-  if (now - logged_ > kLogEvery) {
-    logged_ = now;
-    std::cerr << "discovery: " << why << "; watching again from " << revision_ << '\n';
+  const Micros wait = reconnect_wait(cause, now);
+  if (now - last_logged_at_ > kMinLogInterval) {
+    last_logged_at_ = now;
+    std::cerr << "discovery: " << cause.detail << "; watching again from revision " << revision_
+              << '\n';
   }
-  if (lost_at_ == 0) {
-    lost_at_ = now;
+  if (!disconnected_at_) {
+    disconnected_at_ = now;
   }
-  timers_.after(wait, [this, life] {
-    if (life == life_) {
+  timers_.after(wait, [this, generation] {
+    if (generation == connection_generation_) {
       connect();
     }
   });
 }
 
+Micros DiscoveryClient::reconnect_wait(const Disconnect& cause, Micros now) {
+  if (rejection_wait_) {
+    return *std::exchange(rejection_wait_, std::nullopt);
+  }
+  return intake_.is_in_progress() ? reject_list(cause, now) : reconnect_backoff_.next();
+}
+
+// Returns how long to wait before the next request.
+Micros DiscoveryClient::reject_list(const Disconnect& cause, Micros now) {
+  const ListIntake::Rejection rejection = intake_.reject(list_failure(cause.reason), now);
+  if (!rejection.retry_wait) {
+    return reconnect_backoff_.next();
+  }
+  if (!rejection.was_probe) {
+    last_logged_at_ = now;
+    std::cerr << "discovery: endpoint list rejected after " << rejection.bytes << " bytes and "
+              << rejection.endpoints << " endpoints: " << cause.detail << "; revision " << revision_
+              << " stays in force, changes are requested in " << *rejection.retry_wait / 1000
+              << " ms\n";
+  }
+  return *rejection.retry_wait;
+}
+
 }  // namespace quota_gateway::net
--- a/src/net/discovery/endpoint_list_parser.cpp
+++ b/src/net/discovery/endpoint_list_parser.cpp
@@ -1,381 +1,142 @@
 #include "net/discovery/endpoint_list_parser.hpp"
 
-#include <array>
-#include <boost/asio/ip/address.hpp>
-#include <charconv>
-#include <cmath>
 #include <utility>
 
+#include "net/discovery/endpoint_entry_parser.hpp"
+
 namespace quota_gateway::net {
 namespace {
 
-using boost::asio::ip::tcp;
 using nlohmann::json;
 
-constexpr std::size_t kMostMember = 64 << 10;  // bytes
-constexpr std::size_t kMostKey = 256;          // bytes of a key that are looked at
-
-constexpr bool is_space(char c) {
-  return c == ' ' || c == '\t' || c == '\r' || c == '\n';
-}
-
-EndpointState parse_state(const std::string& phase) {
-  if (phase == "draining") {
-    return EndpointState::kDraining;
-  }
-  if (phase == "removed") {
-    return EndpointState::kRemoved;
-  }
-  if (phase == "up") {
-    return EndpointState::kUp;
-  }
-  throw std::runtime_error("unknown phase " + phase);
-}
-
-// Danger: a key may be written with escapes; what is looked for has to be found all the same.
-std::string key_of(const std::string& token) {
-  if (token.size() >= kMostKey || token.find('\\') == std::string::npos) {
-    return token;
-  }
-  return json::parse('"' + token + '"').get<std::string>();
-}
-
-// Parses a member without a tree, which takes twice the time. A key that comes twice counts as it
-// came last.
-class MemberHandler {
- public:
-  void reset() {
-    depth_ = 0;
-    shape_ = 0;
-    has_id_ = has_phase_ = has_address_ = false;
-    member_.entry.zone.clear();
-    member_.entry.cell = member_.entry.started_at = 0;
-    member_.entry.weight = 1;
-    member_.address = {};
-  }
-  // Of its keys and the kinds of its values.
-  std::uint64_t shape() const { return shape_; }
-  const ListedEndpoint& member() {
-    if (!has_id_ || !has_phase_) {
-      throw std::runtime_error("a member without id or phase");
-    }
-    CompactEndpointEntry& e = member_.entry;
-    e.state = parse_state(phase_);
-    if (e.state != EndpointState::kRemoved || has_address_) {
-      if (!has_address_) {
-        throw std::runtime_error("no address of '" + e.server + "'");
-      }
-      member_.address = parse_socket_address(address_);
-    }
-    return member_;
-  }
-
-  bool null() { return other('n'); }
-  bool boolean(bool) { return other('b'); }
-  bool number_integer(std::int64_t value) { return number(double(value), value); }
-  bool number_unsigned(std::uint64_t value) {
-    return number(double(value), std::int64_t(std::min<std::uint64_t>(value, kMost)));
-  }
-  bool number_float(double value, const std::string&) {
-    return number(value, std::abs(value) < double(kMost) ? std::int64_t(value) : kMost);
-  }
-  bool string(std::string& value) {
-    mix('s');
-    if (is_number()) {
-      wrong();
-    }
-    if (!is_text()) {
-      return true;
-    }
-    if (field_ == Field::kId) {
-      has_id_ = true, member_.entry.server.swap(value);
-    }
-    if (field_ == Field::kPhase) {
-      has_phase_ = true, phase_.swap(value);
-    }
-    if (field_ == Field::kAddress) {
-      has_address_ = true, address_.swap(value);
-    }
-    if (field_ == Field::kZone) {
-      member_.entry.zone.swap(value);
-    }
-    return true;
-  }
-  bool binary(json::binary_t&) { return other('y'); }
-  bool start_object(std::size_t) { return open('{'); }
-  bool end_object() { return close('}'); }
-  bool start_array(std::size_t) { return open('['); }
-  bool end_array() { return close(']'); }
-  bool key(std::string& key) {
-    mix(std::hash<std::string>{}(key));
-    if (depth_ == 1) {
-      field_ = field_of(key);
-    }
-    return true;
-  }
-  bool parse_error(std::size_t, const std::string&, const json::exception& e) {
-    throw std::runtime_error(e.what());
-  }
-
- private:
-  static constexpr std::int64_t kMost = std::int64_t(1)
-                                        << 52;  // far above any time in milliseconds
-  void mix(std::uint64_t value) {
-    shape_ = (shape_ ^ value) * 0x9e3779b97f4a7c15U + (shape_ >> 29);
-  }
-  enum class Field { kOther, kId, kPhase, kAddress, kZone, kKind, kCell, kWeight, kStartedAt };
-  static constexpr std::array<std::string_view, 9> kKeys = {
-      "", "id", "phase", "host_port", "locality", "flavor", "cell", "size", "up_since_ms"};
-  static Field field_of(const std::string& key) {
-    for (std::size_t i = 1; i < kKeys.size(); ++i) {
-      if (key == kKeys[i]) {
-        return Field(i);
-      }
-    }
-    return Field::kOther;
-  }
-  bool is_number() const { return depth_ == 1 && field_ >= Field::kCell; }
-  bool is_text() const { return depth_ == 1 && field_ != Field::kOther && field_ < Field::kCell; }
-  [[noreturn]] void wrong() const {
-    throw std::runtime_error("a member with another kind of " +
-                             std::string(kKeys[std::size_t(field_)]));
-  }
-  bool other(char kind) {
-    mix(std::uint64_t(kind));
-    if (is_number() || is_text()) {
-      wrong();
-    }
-    return true;
-  }
-  bool open(char kind) {
-    other(kind);
-    ++depth_;
-    return true;
-  }
-  bool close(char kind) {
-    --depth_;
-    mix(std::uint64_t(kind));
-    return true;
-  }
-  bool number(double value, std::int64_t whole) {
-    mix('0');
-    if (is_text()) {
-      wrong();
-    }
-    if (!is_number()) {
-      return true;
-    }
-    if (std::abs(whole) >= kMost) {
-      throw std::runtime_error("a number of a member is out of range");
-    }
-    if (field_ == Field::kCell) {
-      member_.entry.cell = whole;
-    }
-    if (field_ == Field::kWeight) {
-      member_.entry.weight = value;
-    }
-    if (field_ == Field::kStartedAt) {
-      member_.entry.started_at = whole * 1000;
-    }
-    return true;
-  }
-
-  int depth_ = 0;
-  std::uint64_t shape_ = 0;
-  bool has_id_ = false, has_phase_ = false, has_address_ = false;
-  Field field_ = Field::kOther;
-  std::string phase_, address_;
-  ListedEndpoint member_;
-};
+constexpr std::size_t kMaxEntryBytes = 64 << 10;
 
 }  // namespace
 
-tcp::endpoint parse_socket_address(const std::string& text) {
-  const auto colon = text.rfind(':');
-  unsigned port = 0;
-  if (colon == std::string::npos) {
-    throw std::runtime_error("no port in address '" + text + "'");
-  }
-  const char* end = text.data() + text.size();
-  const auto [stop, ec] = std::from_chars(text.data() + colon + 1, end, port);
-  if (ec != std::errc() || stop != end || port > 65535) {
-    throw std::runtime_error("bad port in address '" + text + "'");
-  }
-  boost::system::error_code bad;
-  const auto address = boost::asio::ip::make_address(text.substr(0, colon), bad);
-  if (bad) {
-    throw std::runtime_error("bad address '" + text + "'");
-  }
-  return {address, static_cast<unsigned short>(port)};
-}
-
-EndpointList parse_endpoint_list(const json& list) {
-  EndpointListParser reader({"members"});
-  reader.parse_chunk(list.dump());
-  return reader.take_list(reader.surrounding_json());
-}
-
-std::size_t memory(const ListedEndpoint& m) {
-  constexpr std::size_t kWithin = 15;
-  constexpr std::size_t kBlock = 24;  // bytes of a text that lie in the string itself; of malloc
-  std::size_t out = sizeof(ListedEndpoint) + kBlock / 3;
-  for (const std::string* text : {&m.entry.server, &m.entry.zone}) {
-    if (text->capacity() > kWithin) {
-      out += text->capacity() + kBlock;
-    }
-  }
-  return out;
-}
-
-// ---- From text
-// ----------------------------------------------------------------------------------------
 EndpointListParser::EndpointListParser(std::vector<std::string> path, EndpointListLimits limits,
-                                       Retain keep)
-    : path_(std::move(path)), limits_(limits), keep_(keep), keys_(path_.size() + 1) {}
-
-std::size_t EndpointListParser::parse_chunk(std::string_view piece) {
-  std::size_t at = 0;
-  bytes_ += piece.size();
-  while (at < piece.size() && !done_) {
-    if (member_depth_ > 0 || (in_array_ && piece[at] == '{' && next_ != Next::kComma)) {
-      at += within(piece.substr(at));
-    } else if (in_array_) {
-      between(piece[at++]);
+                                       Retain retain)
+    : limits_(limits), retain_(retain), path_length_(path.size()), scanner_(std::move(path)) {}
+
+std::size_t EndpointListParser::parse_chunk(std::string_view chunk) {
+  std::size_t used = 0;
+  bytes_consumed_ += chunk.size();
+  while (used < chunk.size() && !done_) {
+    const char next = chunk[used];
+    if (is_in_entry(next)) {
+      used += consume_entry(chunk.substr(used));
+      continue;
+    }
+    ++used;
+    if (in_array_) {
+      consume_separator(next);
     } else {
-      around(piece[at++]);
+      consume_surrounding(next);
     }
   }
-  bytes_ -= piece.size() - at;
-  if (!done_ && bytes_ > limits_.text_bytes) {
+  bytes_consumed_ -= chunk.size() - used;
+  if (!done_ && bytes_consumed_ > limits_.text_bytes) {
     throw EndpointListTooLarge("it has no end");
   }
-  return at;
+  return used;
 }
 
-// The text but for the members. Of spaces one is as good as many, and many could fill the memory.
-void EndpointListParser::around(char c) {
-  if (quoted_) {
-    rest_ += c;
-    if (!std::exchange(escaped_, false)) {
-      escaped_ = c == '\\', quoted_ = c != '"';
-    }
-    if (quoted_ && token_.size() < kMostKey) {
-      token_ += c;
-    }
-  } else if (is_space(c)) {
-    if (!rest_.empty() && rest_.back() != ' ') {
-      rest_ += ' ';
+void EndpointListParser::consume_surrounding(char byte) {
+  if (!scanner_.in_string() && is_json_space(byte)) {
+    // One space is as good as many, which could fill the memory.
+    if (!surrounding_.empty() && surrounding_.back() != ' ') {
+      surrounding_ += ' ';
     }
   } else {
-    if (rest_.empty() && c != '{') {
-      throw std::runtime_error("no object");
-    }
-    rest_ += c;
-    quoted_ = c == '"';
-    if (quoted_) {
-      token_.clear();
-    }
-    if (c == ':' && std::size_t(depth_) < keys_.size()) {
-      keys_[std::size_t(depth_)] = key_of(token_);
-    }
-    if (c == '{' || c == '[') {
-      opened(c);
-    }
-    if (c == '}' || c == ']') {
-      done_ = --depth_ == 0;
+    if (surrounding_.empty() && byte != '{') {
+      throw EndpointListError("it is no JSON object");
     }
+    surrounding_ += byte;
+    const JsonPathScanner::Event event = scanner_.consume(byte);
+    in_array_ = event == JsonPathScanner::Event::kArrayOpened;
+    done_ = event == JsonPathScanner::Event::kObjectClosed;
   }
-  if (rest_.size() > limits_.surrounding_bytes) {
-    throw EndpointListTooLarge("what is no member of it has no end");
+  if (surrounding_.size() > limits_.surrounding_bytes) {
+    throw EndpointListTooLarge("the text around its endpoints has no end");
   }
 }
 
-void EndpointListParser::opened(char bracket) {
-  const auto depth = std::size_t(++depth_);
-  if (depth < keys_.size()) {
-    keys_[depth].clear();
-  }
-  if (bracket != '[' || depth != path_.size() + 1) {
+// Between two entries of the array.
+void EndpointListParser::consume_separator(char byte) {
+  if (is_json_space(byte)) {
     return;
   }
-  for (std::size_t i = 0; i < path_.size(); ++i) {
-    if (keys_[i + 1] != path_[i]) {
-      return;
-    }
+  if (byte == ']' && expected_ != Expected::kEntry) {
+    in_array_ = false;
+    consume_surrounding(byte);
+    return;
   }
-  if (std::exchange(found_, true)) {
-    throw std::runtime_error("members are there twice");
+  if (byte != ',' || expected_ != Expected::kCommaOrEnd) {
+    throw EndpointListError("something else is among its endpoints");
   }
-  in_array_ = true;
+  expected_ = Expected::kEntry;
 }
 
-// Between two members.
-void EndpointListParser::between(char c) {
-  if (is_space(c)) {
-    return;
-  }
-  if (c == ']' && next_ != Next::kMember) {
-    in_array_ = false;
-    return around(c);
-  }
-  if (c != ',' || next_ != Next::kComma) {
-    throw std::runtime_error("something else among the members");
-  }
-  next_ = Next::kMember;
+bool EndpointListParser::is_in_entry(char next) const {
+  const bool begins_entry = in_array_ && next == '{' && expected_ != Expected::kCommaOrEnd;
+  return entry_depth_ > 0 || begins_entry;
 }
 
-// Of a member, which begins here or has begun before: how much of the piece is part of it.
-std::size_t EndpointListParser::within(std::string_view piece) {
-  for (std::size_t i = 0; i < piece.size(); ++i) {
-    const char c = piece[i];
-    if (quoted_) {
-      if (!std::exchange(escaped_, false)) {
-        escaped_ = c == '\\', quoted_ = c != '"';
-      }
+// Of an entry that begins here or began in an earlier chunk. Returns how much of the chunk belongs
+// to it.
+std::size_t EndpointListParser::consume_entry(std::string_view chunk) {
+  for (std::size_t i = 0; i < chunk.size(); ++i) {
+    if (!closes_entry(chunk[i])) {
       continue;
     }
-    quoted_ = c == '"';
-    if (c == '{' || c == '[') {
-      ++member_depth_;
-    }
-    if ((c != '}' && c != ']') || --member_depth_ > 0) {
-      continue;
-    }
-    if (member_.empty()) {
-      member(piece.substr(0, i + 1));
+    const std::string_view end_of_entry = chunk.substr(0, i + 1);
+    if (partial_entry_.empty()) {
+      add_entry(end_of_entry);
     } else {
-      member_ += piece.substr(0, i + 1);
-      member(member_);
-      member_.clear();
+      partial_entry_ += end_of_entry;
+      add_entry(partial_entry_);
+      partial_entry_.clear();
     }
     return i + 1;
   }
-  member_ += piece;
-  if (member_.size() > kMostMember) {
-    throw EndpointListTooLarge("a member of it has no end");
+  partial_entry_ += chunk;
+  if (partial_entry_.size() > kMaxEntryBytes) {
+    throw EndpointListTooLarge("an endpoint of it has no end");
+  }
+  return chunk.size();
+}
+
+bool EndpointListParser::closes_entry(char byte) {
+  const bool was_in_string = entry_strings_.in_string();
+  entry_strings_.consume(byte);
+  if (was_in_string) {
+    return false;
+  }
+  if (byte == '{' || byte == '[') {
+    ++entry_depth_;
+  }
+  if (byte == '}' || byte == ']') {
+    --entry_depth_;
+    return entry_depth_ == 0;
   }
-  return piece.size();
+  return false;
 }
 
-void EndpointListParser::member(std::string_view text) {
-  thread_local MemberHandler handler;
-  handler.reset();
-  json::sax_parse(text.begin(), text.end(), &handler);
-  const ListedEndpoint& member = handler.member();
-  next_ = Next::kComma;
-  ++count_;
-  if (keep_ != Retain::kSamplesOnly) {
-    members_.push_back(member);
-    memory_ += memory(members_.back());
+void EndpointListParser::add_entry(std::string_view text) {
+  const ParsedEndpointEntry parsed = parse_endpoint_entry(text);
+  expected_ = Expected::kCommaOrEnd;
+  ++endpoint_count_;
+  if (retain_ != Retain::kSamplesOnly) {
+    endpoints_.push_back(parsed.endpoint);
+    endpoints_memory_bytes_ += memory_bytes(endpoints_.back());
   }
-  if (keep_ != Retain::kEndpoints && shapes_.insert(handler.shape()).second) {
-    if (std::exchange(sampled_, true)) {
-      rest_ += ',';
+  if (retain_ != Retain::kEndpoints && sampled_shapes_.insert(parsed.shape).second) {
+    if (sampled_shapes_.size() > 1) {
+      surrounding_ += ',';
     }
-    rest_ += text;
+    surrounding_ += text;
   }
-  if (memory_ > limits_.memory_bytes) {
-    throw EndpointListTooLarge("its members take too much memory");
+  if (endpoints_memory_bytes_ > limits_.memory_bytes) {
+    throw EndpointListTooLarge("its endpoints take too much memory");
   }
 }
 
@@ -383,26 +144,33 @@
   if (!in_array_) {
     return std::nullopt;
   }
-  const json before = json::parse(rest_ + ']' + std::string(path_.size(), '}'));
-  Header out;
-  if (before.contains("revision")) {
-    out.revision = before["revision"].get<std::int64_t>();
+  const json fields = json::parse(surrounding_ + ']' + std::string(path_length_, '}'));
+  Header header;
+  if (fields.contains("revision")) {
+    header.revision = fields["revision"].get<std::int64_t>();
   }
-  if (before.contains("complete")) {
-    out.complete = before["complete"].get<bool>();
+  if (fields.contains("complete")) {
+    header.complete = fields["complete"].get<bool>();
   }
-  return out;
+  return header;
 }
 
-EndpointList EndpointListParser::take_list(const json& around) {
-  EndpointList out;
-  out.revision = around.at("revision").get<std::int64_t>();
-  out.complete = around.value("complete", false);
-  if (const json& members = around.at("members"); !members.is_array() && !members.is_null()) {
-    throw std::runtime_error("members are no list");
+EndpointList EndpointListParser::take_list(const json& enclosing) {
+  EndpointList list;
+  list.revision = enclosing.at("revision").get<std::int64_t>();
+  list.complete = enclosing.value("complete", false);
+  const json& array = enclosing.at("members");
+  if (!array.is_array() && !array.is_null()) {
+    throw EndpointListError("its endpoints are no array");
   }
-  out.endpoints = std::move(members_);
-  return out;
+  list.endpoints = std::move(endpoints_);
+  return list;
+}
+
+EndpointList parse_endpoint_list(const json& list) {
+  EndpointListParser parser({"members"});
+  parser.parse_chunk(list.dump());
+  return parser.take_list(parser.surrounding_json());
 }
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/discovery/socket_address.hpp
@@ -0,0 +1,19 @@
+// Socket addresses as they are written in endpoint lists and in the gateway's configuration.
+#pragma once
+
+#include <boost/asio/ip/tcp.hpp>
+#include <stdexcept>
+#include <string>
+
+namespace quota_gateway::net {
+
+class InvalidSocketAddress : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+// From "HOST:PORT", where HOST is an IPv4 or IPv6 address without brackets.
+// Throws InvalidSocketAddress.
+boost::asio::ip::tcp::endpoint parse_socket_address(const std::string& text);
+
+}  // namespace quota_gateway::net
--- a/src/net/server/config_source.cpp
+++ b/src/net/server/config_source.cpp
@@ -5,6 +5,7 @@
 #include <string>
 
 #include "net/discovery/endpoint_list_parser.hpp"
+#include "net/discovery/socket_address.hpp"
 
 namespace quota_gateway::net {
 namespace {
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -1,4 +1,4 @@
-// Members read from JSON in pieces.
+// Endpoint lists parsed from JSON that arrives in pieces.
 #include "net/discovery/endpoint_list_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -9,26 +9,27 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-EndpointList read(const std::vector<std::string_view>& pieces, EndpointListLimits limits = {}) {
-  EndpointListParser reader({"members"}, limits);
+EndpointList parse(const std::vector<std::string_view>& pieces, EndpointListLimits limits = {}) {
+  EndpointListParser parser({"members"}, limits);
   for (const auto piece : pieces) {
-    if (reader.parse_chunk(piece) != piece.size()) {
+    if (parser.parse_chunk(piece) != piece.size()) {
       throw std::runtime_error("ended early");
     }
   }
-  if (!reader.is_done()) {
+  if (!parser.is_done()) {
     throw std::runtime_error("not over");
   }
-  return reader.take_list(reader.surrounding_json());
+  return parser.take_list(parser.surrounding_json());
 }
 
 std::string text_of(const EndpointList& list) {
   std::string out = std::to_string(list.revision) + (list.complete ? " whole" : "");
-  for (const ListedEndpoint& m : list.endpoints) {
-    out += '\n' + m.entry.server + ' ' + m.entry.zone + ' ' + std::to_string(m.entry.cell) + ' ' +
-           std::to_string(int(m.entry.state)) + ' ' + std::to_string(m.entry.weight) + ' ' +
-           std::to_string(m.entry.started_at) + ' ' + m.address.address().to_string() + ' ' +
-           std::to_string(m.address.port());
+  for (const ListedEndpoint& endpoint : list.endpoints) {
+    out += '\n' + endpoint.entry.server + ' ' + endpoint.entry.zone + ' ' +
+           std::to_string(endpoint.entry.cell) + ' ' + std::to_string(int(endpoint.entry.state)) +
+           ' ' + std::to_string(endpoint.entry.weight) + ' ' +
+           std::to_string(endpoint.entry.started_at) + ' ' +
+           endpoint.address.address().to_string() + ' ' + std::to_string(endpoint.address.port());
   }
   return out;
 }
@@ -41,37 +42,37 @@
     R"({"phase":"draining","phase":"removed","id":"first","id":"second","cell":-4} , )"
     R"({"id":"v6","host_port":"::1:9","phase":"up"}],"revision":43,"complete":true})";
 
-TEST(EndpointListParser, TakesAListInAnyTwoPiecesAndByteByByte) {
-  // Guards against a cut in the middle of a member, of a text, of an escape or of a key; `revision`
-  // and `complete` come last, and members of another object are none of the list.
+TEST(EndpointListParser, AcceptsAListInAnyTwoPiecesAndByteByByte) {
+  // Guards against a cut in the middle of an entry, of a string, of an escape or of a key;
+  // `revision` and `complete` come last, and `members` of another object are not of the list.
   const std::string expected =
       "43 whole\ns}]\"{\\ a\u00e9 0 0 2.000000 1500000 10.0.0.1 80\n"
       "second  -4 2 1.000000 0 0.0.0.0 0\nv6  0 0 1.000000 0 ::1 9";
   const std::string_view all = kOdd;
-  EXPECT_EQ(text_of(read({all})), expected);
+  EXPECT_EQ(text_of(parse({all})), expected);
   for (std::size_t cut = 1; cut < all.size(); ++cut) {
-    ASSERT_EQ(text_of(read({all.substr(0, cut), all.substr(cut)})), expected) << cut;
+    ASSERT_EQ(text_of(parse({all.substr(0, cut), all.substr(cut)})), expected) << cut;
   }
   std::vector<std::string_view> bytes;
   for (std::size_t i = 0; i < all.size(); ++i) {
     bytes.push_back(all.substr(i, 1));
   }
-  EXPECT_EQ(text_of(read(bytes)), expected);
+  EXPECT_EQ(text_of(parse(bytes)), expected);
 }
 
-TEST(EndpointListParser, AKeyMayBeWrittenWithEscapes) {
-  const auto list = read(
+TEST(EndpointListParser, AcceptsEscapedKeys) {
+  const auto list = parse(
       {R"({"revision":1,"\u006dembers":[{"\u0069d":"s","phase":"up","host_port":"10.0.0.1:8"}]})"});
   ASSERT_EQ(list.endpoints.size(), 1U);
   EXPECT_EQ(list.endpoints[0].entry.server, "s");
 }
 
-TEST(EndpointListParser, WhatIsMalformedThrowsWhereverItIs) {
+TEST(EndpointListParser, ThrowsOnMalformedText) {
   const std::string good = R"({"id":"s","phase":"up","host_port":"10.0.0.1:8"})";
   const auto with = [](const std::string& members) {
     return R"({"revision":1,"members":[)" + members + "]}";
   };
-  ASSERT_EQ(read({with(good + "," + good)}).endpoints.size(), 2U);
+  ASSERT_EQ(parse({with(good + "," + good)}).endpoints.size(), 2U);
   const auto edited = [&](const std::string& from, const std::string& to) {
     std::string text = good;
     return text.replace(text.find(from), from.size(), to);
@@ -108,11 +109,11 @@
                                   std::string(R"({"revision":1 2,"members":[]})"),
                                   std::string(R"({"revision":1,"members":[],"members":[]})"),
                                   std::string(R"({"revision":1,"complete":7,"members":[]})")}) {
-    EXPECT_ANY_THROW(read({text})) << text;
+    EXPECT_ANY_THROW(parse({text})) << text;
   }
 }
 
-TEST(EndpointListParser, WhatHasNoEndIsLeftWhicheverPartOfItGoesOn) {
+TEST(EndpointListParser, ThrowsTooLargeOnEndlessTextInAnyPart) {
   EndpointListLimits limits;
   limits.memory_bytes = 100'000;
   limits.text_bytes = 200'000;
@@ -120,32 +121,32 @@
   const std::string begin = R"({"revision":1,"complete":true,"members":[)";
   const std::string member = R"({"id":"s","phase":"up","host_port":"10.0.0.1:8"})";
   const std::vector<std::pair<std::string, std::string>> endless = {
-      {begin + member, "," + member},  // members
-      {begin + "{\"id\":\"", "s"},     // a text in a member
+      {begin + member, "," + member},  // entries
+      {begin + "{\"id\":\"", "s"},     // a string in an entry
       {begin, " "},                    // nothing
       {begin + "{\"id\":", "[["},      // depth
-      {"{\"x\":\"", "s"},              // a text before the members
+      {"{\"x\":\"", "s"},              // a string before the entries
       {"{\"x\":", "["},
       {"{", "                "},
   };
   for (const auto& [first, then] : endless) {
-    EndpointListParser reader({"members"}, limits);
-    reader.parse_chunk(first);
+    EndpointListParser parser({"members"}, limits);
+    parser.parse_chunk(first);
     bool left = false;
     for (std::size_t i = 0; i < 300'000 && !left; ++i) {
       try {
-        reader.parse_chunk(then);
+        parser.parse_chunk(then);
       } catch (const EndpointListTooLarge&) {
         left = true;
       }
     }
     EXPECT_TRUE(left) << first;
-    EXPECT_LE(reader.bytes_consumed(), limits.text_bytes + then.size()) << first;
+    EXPECT_LE(parser.bytes_consumed(), limits.text_bytes + then.size()) << first;
   }
 }
 
-TEST(EndpointListParser, KeepsAMemberOfEachShapeForWhoComparesThem) {
-  EndpointListParser reader({"known", "members"}, {},
+TEST(EndpointListParser, KeepsASampleOfEachShape) {
+  EndpointListParser parser({"known", "members"}, {},
                             EndpointListParser::Retain::kEndpointsAndSamples);
   std::string text = R"({"members":[1],"known":{"revision":3,"members":[)";
   for (int i = 0; i < 1000; ++i) {
@@ -153,28 +154,38 @@
             R"(","phase":"up","host_port":"10.0.0.1:8")" + (i == 500 ? R"(,"cell":1})" : "}");
   }
   text += "]}}";
-  ASSERT_EQ(reader.parse_chunk(text), text.size());
-  const auto rest = reader.surrounding_json();
+  ASSERT_EQ(parser.parse_chunk(text), text.size());
+  const auto rest = parser.surrounding_json();
   ASSERT_EQ(rest["known"]["members"].size(), 2U);
   EXPECT_EQ(rest["known"]["members"][1]["id"], "s500");
   EXPECT_EQ(rest["members"].size(), 1U);
-  EXPECT_EQ(reader.take_list(rest["known"]).endpoints.size(), 1000U);
+  EXPECT_EQ(parser.take_list(rest["known"]).endpoints.size(), 1000U);
 }
 
-// One line a run, for those who look.
-TEST(EndpointListParser, CostsGoWithTheMembers) {
-  // Guards against work on a list that grows with its square, and against a second copy of it.
+TEST(ParseEndpointList, ThrowsOnWrongShapes) {
+  for (const char* text :
+       {"[]", "{}", R"({"revision":1,"members":[{}]})", R"({"revision":1,"members":[1]})",
+        R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
+        R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"127.0.0.1:99999"}]})",
+        R"({"revision":1,"members":[{"id":"s","phase":"odd","host_port":"127.0.0.1:9"}]})"}) {
+    EXPECT_ANY_THROW(parse_endpoint_list(nlohmann::json::parse(text))) << text;
+  }
+}
+
+TEST(EndpointListParser, CostIsLinearInTheEndpoints) {
+  // Guards against work that grows with the square of the list, and against a second copy of it.
+  // Prints its figures.
   const auto cost = [](int members) {
     std::string text = list(1, true, fleet(members));
     text.pop_back();
     const std::size_t bytes = text.size();
     const std::size_t before = resident();
     const auto start = processor_time();
-    EndpointListParser reader({"members"});
+    EndpointListParser parser({"members"});
     for (std::size_t at = 0; at < bytes; at += 16384) {
-      reader.parse_chunk(std::string_view(text).substr(at, 16384));
+      parser.parse_chunk(std::string_view(text).substr(at, 16384));
     }
-    const EndpointList list = reader.take_list(reader.surrounding_json());
+    const EndpointList list = parser.take_list(parser.surrounding_json());
     const auto spent = processor_time() - start;
     EXPECT_EQ(list.endpoints.size(), std::size_t(members));
     const std::size_t grown = resident() - std::min(before, resident());
--- a/tests/net/discovery/endpoint_lists_test.cpp
+++ b/tests/net/discovery/list_intake_test.cpp
@@ -1,4 +1,4 @@
-// Large lists, endless ones and those that trickle, against an agent on loopback.
+// Large, endless and trickling lists: DiscoveryClient with ListIntake against an agent on loopback.
 #include <gtest/gtest.h>
 
 #include "net/discovery/discovery_client.hpp"
@@ -9,8 +9,8 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-// Answers each call with what `answer` tells: pieces one after another, as fast as the client takes
-// them, or `pause` us apart; after an empty one nothing more comes.
+// Responds to each request with the pieces that `answer` returns, one after another, as fast as the
+// client reads them, or `pause` us apart; after an empty one nothing more comes.
 class ListAgent : public Listener {
  public:
   using Pieces = std::function<std::string()>;
@@ -21,19 +21,19 @@
   std::vector<std::string> asked;
   std::vector<Micros> asked_at;
   void hang_up() {
-    for (auto& p : peers) {
-      if (!p->socket.is_open()) {
+    for (auto& peer : peers) {
+      if (!peer->socket.is_open()) {
         continue;
       }
-      ended_ += bytes_sent(p->socket.native_handle());
-      p->reset();
+      ended_ += bytes_sent(peer->socket.native_handle());
+      peer->reset();
     }
   }
   // On the wire so far, whether the client has read it or not.
   std::uint64_t sent() {
     std::uint64_t out = ended_;
-    for (const auto& p : peers) {
-      out += p->socket.is_open() ? bytes_sent(p->socket.native_handle()) : 0;
+    for (const auto& peer : peers) {
+      out += peer->socket.is_open() ? bytes_sent(peer->socket.native_handle()) : 0;
     }
     return out;
   }
@@ -89,7 +89,7 @@
       [text, done = false]() mutable { return std::exchange(done, true) ? std::string() : text; };
 }
 
-// Members without end.
+// Entries without end.
 ListAgent::Pieces endless(std::int64_t revision, bool complete = true) {
   return [begin = list(revision, complete, ""), some = fleet(100), first = true]() mutable {
     if (!std::exchange(first, false)) {
@@ -121,13 +121,13 @@
   return limits;
 }
 
-class ListsTest : public ::testing::Test {
+class ListIntakeTest : public ::testing::Test {
  protected:
   void start(ListLimits limits = {}) {
     discovery.emplace(io, timers, clock,
                       DiscoveryOptions{.agent = agent.address(), .revision = 41, .limits = limits},
                       DiscoveryCallbacks{.on_update = [this](EndpointList list) {
-                        told.push_back(std::move(list));
+                        updates.push_back(std::move(list));
                       }});
     discovery->start();
   }
@@ -140,13 +140,13 @@
   Clock clock;
   Timers timers{io, clock};
   ListAgent agent{io, timers, clock};
-  std::vector<EndpointList> told;
+  std::vector<EndpointList> updates;
   std::optional<DiscoveryClient> discovery;
 };
 
-TEST_F(ListsTest, AListOf170000IsTakenAtTheFirstCall) {
-  // Guards against a list that is dropped for its size or its time and is sent again, 20 times a
-  // second.
+TEST_F(ListIntakeTest, AcceptsAListOf170000AtTheFirstRequest) {
+  // Guards against a list that is dropped for its size or its duration and is sent again, 20 times
+  // a second.
   const std::string text = list(50, true, fleet(170'000));
   agent.answer = [all = in_pieces(text, 16384)](const std::string&) { return all; };
   const std::size_t before = resident();
@@ -157,20 +157,20 @@
   ASSERT_TRUE(until(io, [&] {
     const Micros now = clock.now();
     longest = std::max(longest, now - std::exchange(turn, now));
-    return told.size() == 1;
+    return updates.size() == 1;
   }));
   std::cout << "170000 members, " << text.size() << " bytes: " << processor_time() - start_time
             << " us with the agent's part, resident " << (resident() - before) / 1024
             << " KiB more, longest turn of the loop " << longest << " us\n";
-  EXPECT_EQ(told[0].endpoints.size(), 170'000U);
-  EXPECT_EQ(told[0].revision, 50);
+  EXPECT_EQ(updates[0].endpoints.size(), 170'000U);
+  EXPECT_EQ(updates[0].revision, 50);
   agent.answer = [](const std::string&) { return once("\n"); };
   run(300'000);
   EXPECT_EQ(agent.asked.size(), 1U);
   EXPECT_LT(resident() - before, kMemoryFactor * 40 << 20);
 }
 
-TEST_F(ListsTest, ALargeListThatBreaksOffTakesNoEffectAndIsAskedForAtOnce) {
+TEST_F(ListIntakeTest, ALargeListThatBreaksOffHasNoEffectAndIsRequestedAtOnce) {
   const std::string text = list(50, true, fleet(60'000));
   agent.answer = [&](const std::string&) -> ListAgent::Pieces {
     if (agent.asked.size() > 1) {
@@ -180,22 +180,21 @@
   };
   start();
   ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
-  EXPECT_TRUE(told.empty());
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(told[0].endpoints.size(), 60'000U);
+  EXPECT_TRUE(updates.empty());
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(updates[0].endpoints.size(), 60'000U);
   EXPECT_EQ(agent.asked.size(), 2U);
   EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1");
 }
 
-TEST_F(ListsTest, AnEndlessListCostsUnderTwoKilobytesASecondOnceWaitsHaveGrown) {
+TEST_F(ListIntakeTest, AnEndlessListCostsUnderTwoKilobytesASecondOnceWaitsHaveGrown) {
   agent.answer = [](const std::string&) { return endless(50); };
   ::testing::internal::CaptureStderr();
   start(faster());
   run(5'000'000);
   const std::string log = ::testing::internal::GetCapturedStderr();
-  EXPECT_NE(
-      log.find("members: its members take too much memory; the list of revision 41 stays in force"),
-      std::string::npos)
+  EXPECT_NE(log.find("endpoints: its endpoints take too much memory; revision 41 stays in force"),
+            std::string::npos)
       << log;
   const auto sent = agent.sent();
   const auto asked = agent.asked.size();
@@ -208,25 +207,25 @@
             << " calls; before " << sent << " bytes, " << asked << " calls\n";
   EXPECT_LT(bytes / seconds, 2'000);
   EXPECT_GT(calls, seconds / 16);  // at least every 4 s, on a machine that is four times too slow
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(updates.empty());
 }
 
-TEST_F(ListsTest, AGoodListIsTakenOnceTheFaultIsOver) {
+TEST_F(ListIntakeTest, AcceptsAGoodListOnceTheFaultIsOver) {
   agent.answer = [](const std::string&) { return endless(50); };
   start(faster());
   run(500'000);
   agent.answer = [](const std::string&) { return once(list(51, true, fleet(200))); };
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(told[0].endpoints.size(), 200U);
-  // And one of any size: of the same revision too, since what broke once may be whole now.
-  told.clear();
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(updates[0].endpoints.size(), 200U);
+  // And one of any size: of the same revision too, since a list that broke once may be correct now.
+  updates.clear();
   agent.answer = [](const std::string&) { return endless(52); };
   agent.hang_up();
   run(500'000);
   agent.answer = [](const std::string&) { return in_pieces(list(52, true, fleet(1'500)), 16384); };
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
-  EXPECT_EQ(told[0].endpoints.size(), 1'500U);
-  // All is forgotten: what breaks now is asked for at once.
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  EXPECT_EQ(updates[0].endpoints.size(), 1'500U);
+  // All failures are forgotten: a list that breaks now is requested at once.
   agent.answer = [](const std::string&) { return once("\n"); };
   const auto asked = agent.asked.size();
   agent.hang_up();
@@ -235,14 +234,15 @@
   EXPECT_LT(clock.now() - broke, 250'000);
 }
 
-TEST_F(ListsTest, ChangesAreTakenWhileWholeListsFail) {
-  // Guards against a list that is old for as long as the fault lasts: many at once, and one by one.
+TEST_F(ListIntakeTest, AcceptsChangesWhileCompleteListsFail) {
+  // Guards against a stale list for as long as the fault lasts: many changes at once, and one by
+  // one.
   agent.answer = [](const std::string&) { return endless(50); };
   ListLimits limits = faster();
   limits.memory_bytes = 4 << 20;
   start(limits);
   run(500'000);
-  ASSERT_TRUE(told.empty());
+  ASSERT_TRUE(updates.empty());
   const auto asked = agent.asked.size();
   agent.answer = [](const std::string& target) {
     if (target.find("after=") == std::string::npos) {
@@ -251,12 +251,12 @@
     return in_pieces(list(51, false, fleet(24'000)), 16384);
   };
   const Micros there = clock.now();
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
   std::cout << "24000 changes taken after " << clock.now() - there << " us and "
             << agent.asked.size() - asked << " calls\n";
-  EXPECT_EQ(told[0].endpoints.size(), 24'000U);
+  EXPECT_EQ(updates[0].endpoints.size(), 24'000U);
   EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1&after=41");
-  // Whole lists go on failing behind it.
+  // Complete lists go on failing behind it.
   agent.answer = [](const std::string&) { return endless(52); };
   agent.hang_up();
   run(500'000);
@@ -268,14 +268,14 @@
       return once(list(revision, false, entry("s1", "127.0.0.1:9", "draining")));
     };
     agent.answer = changed;
-    told.clear();
+    updates.clear();
     agent.hang_up();
-    ASSERT_TRUE(until(io, [&] { return told.size() >= 1; }));
-    EXPECT_EQ(told[0].revision, revision);
+    ASSERT_TRUE(until(io, [&] { return updates.size() >= 1; }));
+    EXPECT_EQ(updates[0].revision, revision);
   }
 }
 
-TEST_F(ListsTest, AnEndlessChangeIsNotReadOnAndOnEither) {
+TEST_F(ListIntakeTest, AnEndlessListOfChangesCostsUnderTwoKilobytesASecondToo) {
   agent.answer = [](const std::string&) { return endless(50, false); };
   start(faster());
   run(5'000'000);
@@ -285,8 +285,8 @@
   EXPECT_LT(double(agent.sent() - sent) / (double(clock.now() - since) / 1e6 * kFaster), 2'000);
 }
 
-TEST(ListsOfAGateway, OneThatWouldPassItsMemoryLeavesThatInForce) {
-  // Guards against a bound that is the same for a gateway of 32 MB and one of 256.
+TEST(GatewayListIntake, AListBeyondTheMemoryLimitIsRejectedAndTheOneInForceStays) {
+  // Guards against a limit that is the same for a gateway of 32 MB and one of 256.
   for (const std::size_t memory_mb : {1, 32}) {
     Rig rig;
     FakeServer server(rig.io);
@@ -309,8 +309,8 @@
   }
 }
 
-TEST_F(ListsTest, AListThatTricklesIsGivenUpAndAskedForLessAndLessOften) {
-  // Guards against one that always has another byte, and against asking for it 20 times a second.
+TEST_F(ListIntakeTest, RejectsAListThatTricklesAndRequestsItLessAndLessOften) {
+  // Guards against one that always has another byte, and against requesting it 20 times a second.
   agent.answer = [](const std::string&) { return in_pieces(list(50, true, fleet(100)), 1); };
   agent.pause = 5'000;
   ListLimits limits;
@@ -320,11 +320,11 @@
   EXPECT_LT(agent.asked_at[1] - agent.asked_at[0], 2'000'000);
   ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 12; }));
   EXPECT_GT(agent.asked_at[11] - agent.asked_at[7], 2'000'000);  // 0.8 s with waits that don't grow
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(updates.empty());
 }
 
-TEST_F(ListsTest, ALargeListThatBeginsToTrickleIsGivenUp) {
-  // Guards against time that a list has saved up while it came fast.
+TEST_F(ListIntakeTest, RejectsALargeListThatBeginsToTrickle) {
+  // Guards against time that a list has earned while it came fast.
   agent.answer = [this](const std::string&) -> ListAgent::Pieces {
     return [this, n = 0, fast = endless(50)]() mutable {
       if (++n < 500) {
@@ -339,16 +339,16 @@
   const Micros trickles = clock.now();
   ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
   EXPECT_LT(clock.now() - trickles, 4'000'000);
-  EXPECT_TRUE(told.empty());
+  EXPECT_TRUE(updates.empty());
 }
 
-TEST_F(ListsTest, ALargeListMayTakeLongerThanASmallOne) {
-  // Guards against a bound for the whole that holds for lists of any size.
+TEST_F(ListIntakeTest, ALargeListMayTakeLongerThanASmallOne) {
+  // Guards against one time limit for lists of any size.
   const std::string text = list(50, true, fleet(10'000));
   agent.answer = [&](const std::string&) { return in_pieces(text, 32768); };
   agent.pause = 8'000;  // 43 times: past 150 ms and well over half a MB a second
   start();
-  ASSERT_TRUE(until(io, [&] { return told.size() == 1; }));
+  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(agent.asked.size(), 1U);
 }
 
--- a/tests/scale/world_test.cpp
+++ b/tests/scale/world_test.cpp
@@ -14,6 +14,7 @@
 #include "hollow.hpp"
 #include "net/counter/counter_client.hpp"
 #include "net/discovery/discovery_client.hpp"
+#include "net/discovery/endpoint_list_parser.hpp"
 #include "standins.hpp"
 
 namespace quota_gateway::scale {
