--- /dev/null
+++ b/src/net/discovery/endpoint_store.cpp
@@ -0,0 +1,170 @@
+#include "net/discovery/endpoint_store.hpp"
+
+#include <boost/asio/ip/address.hpp>
+#include <functional>
+#include <string_view>
+#include <utility>
+
+#include "util/hash.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+using boost::asio::ip::tcp;
+
+std::uint64_t hash_id(const std::string& id) {
+  return std::hash<std::string_view>()(id);
+}
+
+}  // namespace
+
+void EndpointStore::insert(const ListedEndpoint& endpoint, ListSequence sequence) {
+  const Slot slot = allocate();
+  EndpointRecord& added = record(slot);
+  added.used = true;
+  added.id = endpoint.entry.server;
+  added.zone = names_.acquire(endpoint.entry.zone);
+  by_id_.insert(id_hash(slot), slot, [this](Slot other) { return id_hash(other); });
+  if (endpoint.address.port() != 0) {
+    set_address(slot, endpoint.address);
+  }
+  set_fields(added, endpoint, sequence);
+  ++size_;
+}
+
+EndpointStore::Slot EndpointStore::allocate() {
+  if (!free_slots_.empty()) {
+    const Slot slot = free_slots_.back();
+    free_slots_.pop_back();
+    return slot;
+  }
+  if (slot_count_ % kChunk == 0) {
+    chunks_.push_back(std::make_unique<EndpointRecord[]>(kChunk));
+  }
+  return slot_count_++;
+}
+
+bool EndpointStore::update(Slot slot, const ListedEndpoint& endpoint, ListSequence sequence) {
+  EndpointRecord& updated = record(slot);
+  const bool moved = endpoint.address.port() != 0 && !is_at(updated, endpoint.address);
+  const bool restarted = updated.started_at != endpoint.entry.started_at;
+  if (moved) {
+    clear_address(slot);
+    set_address(slot, endpoint.address);
+  }
+  // The new zone first: the old one may be the same, with no other user.
+  const std::uint32_t zone = names_.acquire(endpoint.entry.zone);
+  names_.release(std::exchange(updated.zone, zone));
+  up_count_ -= updated.up;
+  set_fields(updated, endpoint, sequence);
+  return moved || restarted;
+}
+
+// All but the id, and but for the zone and the address, whose names and index are kept besides.
+void EndpointStore::set_fields(EndpointRecord& record, const ListedEndpoint& endpoint,
+                               ListSequence sequence) {
+  const CompactEndpointEntry& entry = endpoint.entry;
+  record.cell = entry.cell;
+  record.weight = entry.weight;
+  record.started_at = entry.started_at;
+  record.draining = entry.state == EndpointState::kDraining;
+  record.up = entry.state == EndpointState::kUp && endpoint.address.port() != 0;
+  record.listed_by = sequence;
+  up_count_ += record.up;
+}
+
+EndpointEntry EndpointStore::remove(Slot slot) {
+  EndpointRecord& removed = record(slot);
+  EndpointEntry entry;
+  entry.server = removed.id;
+  entry.zone = names_[removed.zone];
+  entry.cell = removed.cell;
+  entry.weight = removed.weight;
+  entry.started_at = removed.started_at;
+  entry.state = EndpointState::kRemoved;
+  by_id_.erase(id_hash(slot), slot, [this](Slot other) { return id_hash(other); });
+  clear_address(slot);
+  names_.release(removed.zone);
+  up_count_ -= removed.up;
+  --size_;
+  removed = EndpointRecord();
+  free_slots_.push_back(slot);
+  return entry;
+}
+
+std::optional<EndpointStore::Slot> EndpointStore::find(const std::string& id) const {
+  return by_id_.find(hash_id(id), [&](Slot slot) { return at(slot).id == id; });
+}
+
+bool EndpointStore::is_unchanged(const EndpointRecord& record,
+                                 const ListedEndpoint& endpoint) const {
+  const CompactEndpointEntry& entry = endpoint.entry;
+  const auto state = record.draining ? EndpointState::kDraining : EndpointState::kUp;
+  return state == entry.state && record.started_at == entry.started_at &&
+         record.cell == entry.cell && record.weight == entry.weight &&
+         is_at(record, endpoint.address) && names_[record.zone] == entry.zone;
+}
+
+bool EndpointStore::is_at(const EndpointRecord& record, const tcp::endpoint& address) const {
+  return record.port == address.port() &&
+         host_of(address.address()) == Host{record.host, record.host_is_interned};
+}
+
+tcp::endpoint EndpointStore::address_of(const EndpointRecord& record) const {
+  if (record.host_is_interned) {
+    return {boost::asio::ip::make_address(names_[record.host]), record.port};
+  }
+  return {boost::asio::ip::address_v4(record.host), record.port};
+}
+
+void EndpointStore::set_address(Slot slot, const tcp::endpoint& address) {
+  EndpointRecord& moved = record(slot);
+  const boost::asio::ip::address host = address.address();
+  moved.host_is_interned = !host.is_v4();
+  moved.host = host.is_v4() ? host.to_v4().to_uint() : names_.acquire(host.to_string());
+  moved.port = address.port();
+  by_address_.insert(address_hash(slot), slot, [this](Slot other) { return address_hash(other); });
+}
+
+void EndpointStore::clear_address(Slot slot) {
+  EndpointRecord& cleared = record(slot);
+  if (cleared.port == 0) {
+    return;
+  }
+  by_address_.erase(address_hash(slot), slot, [this](Slot other) { return address_hash(other); });
+  if (cleared.host_is_interned) {
+    names_.release(cleared.host);
+  }
+  cleared.host = 0;
+  cleared.port = 0;
+  cleared.host_is_interned = false;
+}
+
+// None for an address that no endpoint here has.
+std::optional<EndpointStore::Host> EndpointStore::host_of(
+    const boost::asio::ip::address& address) const {
+  if (address.is_v4()) {
+    return Host{address.to_v4().to_uint(), false};
+  }
+  const std::optional<std::uint32_t> name = names_.find(address.to_string());
+  if (!name) {
+    return std::nullopt;
+  }
+  return Host{*name, true};
+}
+
+std::uint64_t EndpointStore::hash_address(Host host, std::uint16_t port) {
+  const auto bits = std::uint64_t(host.value) << 17 | std::uint64_t(port) << 1;
+  return mix(bits | std::uint64_t(host.is_interned));
+}
+
+std::uint64_t EndpointStore::id_hash(Slot slot) const {
+  return hash_id(at(slot).id);
+}
+
+std::uint64_t EndpointStore::address_hash(Slot slot) const {
+  const EndpointRecord& found = at(slot);
+  return hash_address(Host{found.host, found.host_is_interned}, found.port);
+}
+
+}  // namespace quota_gateway::net
