--- a/src/net/discovery/list_retry_policy.cpp
+++ b/src/net/discovery/list_retry_policy.cpp
@@ -39,7 +39,7 @@
 
 void ListRetryPolicy::on_failure(ListReadScope scope, std::size_t bytes_read, ListFailure failure,
                                  Micros now) {
-  const double cost = double(std::max(bytes_read, kMinCost));
+  const auto cost = double(std::max(bytes_read, kMinCost));
   // A malformed list may be correct the next moment; one that is too large stays so.
   const Micros initial_wait =
       failure == ListFailure::kTooLarge ? limits_.initial_wait : kInitialInterval;
@@ -89,7 +89,7 @@
 }
 
 void ListRetryPolicy::postpone(Schedule& schedule, Micros initial_wait, double cost, Micros now) {
-  const Micros affordable_wait = Micros(cost / limits_.bytes_per_second * 1e6);
+  const auto affordable_wait = Micros(cost / limits_.bytes_per_second * 1e6);
   schedule.wait = std::min(std::max(initial_wait, 2 * schedule.wait), affordable_wait);
   schedule.next_at = now + schedule.wait + draw_wait(schedule.wait) / 2;
 }
