--- a/src/net/server/endpoint_list_applier.cpp
+++ b/src/net/server/endpoint_list_applier.cpp
@@ -41,7 +41,7 @@
 }
 
 void EndpointListApplier::enqueue(EndpointList list, EndpointListUpdate::Kind kind) {
-  pool_.take(std::move(list));
+  pool_.enqueue_list(std::move(list));
   if (!next_slice_posted_) {
     apply_slice(kind);
   }
@@ -57,8 +57,8 @@
   if (!update.entries.empty()) {
     events_.push(std::move(update));
   }
-  if (pool_.settled()) {
-    list_with_endpoints_applied_ = list_with_endpoints_applied_ || pool_.listed() > 0;
+  if (pool_.lists_applied()) {
+    list_with_endpoints_applied_ = list_with_endpoints_applied_ || pool_.endpoint_count() > 0;
     callbacks_.on_list_applied();
   } else {
     next_slice_posted_ = true;
@@ -72,7 +72,7 @@
 }
 
 bool EndpointListApplier::is_ready() const {
-  return pool_.any_up() && has_initial_list();
+  return pool_.has_endpoint_up() && has_initial_list();
 }
 
 // Without this, a fleet that was started at once would turn to the few endpoints that are first in
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -24,9 +24,9 @@
 
 ConnectionPoolLimits pool_limits(const GatewayConfig& config) {
   ConnectionPoolLimits limits;
-  limits.idle = config.connection_idle_timeout;
-  limits.dial_timeout = config.connect_timeout;
-  limits.connections = max_connections(config);
+  limits.server_idle_limit = config.connection_idle_timeout;
+  limits.connect_timeout = config.connect_timeout;
+  limits.max_connections = max_connections(config);
   return limits;
 }
 
@@ -79,16 +79,16 @@
 
 AttemptEvents GatewayServer::attempt_events() {
   AttemptEvents events;
-  events.ended = [this](AttemptKey key, AttemptResult result) {
+  events.on_complete = [this](AttemptKey key, AttemptResult result) {
     dispatcher_.on_attempt_complete(key, std::move(result));
   };
-  events.written = [this](AttemptKey key) { dispatcher_.on_attempt_written(key); };
-  events.wants = [this](AttemptKey key) { dispatcher_.on_body_piece_written(key); };
-  events.started = [this](AttemptKey key, AttemptResult result,
-                          std::optional<std::uint64_t> length) {
+  events.on_request_written = [this](AttemptKey key) { dispatcher_.on_attempt_written(key); };
+  events.on_body_wanted = [this](AttemptKey key) { dispatcher_.on_body_piece_written(key); };
+  events.on_response_started = [this](AttemptKey key, AttemptResult result,
+                                      std::optional<std::uint64_t> length) {
     dispatcher_.on_response_started(key, std::move(result), length);
   };
-  events.piece = [this](AttemptKey key, std::string piece) {
+  events.on_response_piece = [this](AttemptKey key, std::string piece) {
     dispatcher_.on_response_piece(key, std::move(piece));
   };
   return events;
@@ -174,7 +174,7 @@
 
 std::string GatewayServer::render_stats() const {
   EndpointCounts endpoints;
-  endpoints.listed = pool_.listed();
+  endpoints.listed = pool_.endpoint_count();
   endpoints.unavailable = std::size_t(gateway_.unavailable_endpoints());
   return stats_.render(endpoints);
 }
--- a/src/net/server/handover_coordinator.cpp
+++ b/src/net/server/handover_coordinator.cpp
@@ -34,7 +34,8 @@
     events_.push(PeerProcessesChanged{peer_count});
   }
   // The limits are those of one gateway, however many processes it has.
-  pool_.bound(std::max<std::size_t>(1, max_connections_ / std::size_t(1 + peer_count)));
+  pool_.set_max_connections(
+      std::max<std::size_t>(1, max_connections_ / std::size_t(1 + peer_count)));
   if (hot_restart_.taken()) {
     clients_.hand_over_new_clients();
   } else if (hot_restart_.predecessor()) {
--- a/src/net/server/request_dispatcher.cpp
+++ b/src/net/server/request_dispatcher.cpp
@@ -104,7 +104,7 @@
     request.deadline = limit_deadline(loop_.clock.now() + request.time_limit);
     schedule_decision_check(id, request.deadline);
   }
-  pool_.feed({id, request.latest_attempt()}, piece, last);
+  pool_.send_body_piece({id, request.latest_attempt()}, piece, last);
 }
 
 void RequestDispatcher::on_response_piece_sent(std::uint64_t id) {
@@ -161,7 +161,7 @@
   completed.outcome = result.outcome;
   // A long body that comes slowly, or a response that trickles in, keeps its server no longer than
   // others. Counted as the server's work it would look like a fleet with too much in flight.
-  const Micros ended_at = result.began > 0 ? result.began : loop_.clock.now();
+  const Micros ended_at = result.first_byte_at ? *result.first_byte_at : loop_.clock.now();
   completed.duration = ended_at - attempt.sent_at;
   completed.load = result.load;
   completed.billed_units = result.billed_units;
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -1,195 +1,44 @@
 #include "net/upstream/connection_pool.hpp"
 
-#include <sys/socket.h>
-
 #include <algorithm>
-#include <array>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
-#include <boost/beast/http/parser.hpp>
-#include <cerrno>
-#include <charconv>
-#include <optional>
-#include <string_view>
+#include <exception>
+#include <memory>
+#include <utility>
 
 #include "net/http/framing.hpp"
+#include "net/upstream/response_classifier.hpp"
 
 namespace quota_gateway::net {
 namespace {
 
 namespace asio = boost::asio;
-namespace http = boost::beast::http;
 using asio::ip::tcp;
 using boost::system::error_code;
-using ResponseParser = http::response_parser<IncrementalBody>;
-
-constexpr Micros kReuseLeast = 100'000;  // us that a kept connection may rest, whatever was seen
-constexpr double kReuseCut = 0.5;        // of the rest after which one was reset
-constexpr double kReuseGrow = 1.05;      // an answer after a rest near the bound
-constexpr double kIdleShare = 0.4;  // of the servers' idle limit; they may close somewhat earlier
-constexpr Micros kSweep = 500'000;
-constexpr std::uint32_t kMostHeader = 16 << 10;
-constexpr int kMostInterim = 16;  // 1xx answers ahead of one
-constexpr Micros kQuiet =
-    250'000;  // us without a byte of an answer that has begun: it is stuck, not slow
-constexpr Micros kStuck =
-    5'000'000;  // us of the same, once some of it went to the client; or to take a piece
-constexpr double kMostUnits = 1e4, kMostPercent = 1e6;  // that an honest server tells
-
-// A name of a load report, the field that it fills and the most that an honest server says.
-struct LoadField {
-  std::string_view name;
-  std::optional<double> LoadReport::*field;
-  double most;
-};
-constexpr std::array<LoadField, 12> kLoadFields{{{"inflight", &LoadReport::in_flight, 1e5},
-                                                 {"active", &LoadReport::in_flight, 1e5},
-                                                 {"queue", &LoadReport::queued, 1e5},
-                                                 {"waiting", &LoadReport::queued, 1e5},
-                                                 {"util", &LoadReport::cpu, 100},
-                                                 {"cpu", &LoadReport::cpu, 100},
-                                                 {"latency_ms", &LoadReport::service_ms, 1e7},
-                                                 {"avg_ms", &LoadReport::service_ms, 1e7},
-                                                 {"qps", &LoadReport::served_per_s, 1e7},
-                                                 {"rps", &LoadReport::served_per_s, 1e7},
-                                                 {"eps", &LoadReport::errors_per_s, 1e7},
-                                                 {"err_rps", &LoadReport::errors_per_s, 1e7}}};
-
-// "TEXT inflight=7, queue=2, util=0.61". Names that we don't know count as not said. Danger: of a
-// report with one absurd figure the others are no better, and would steer requests; all of it
-// counts as not said.
-LoadReport parse_load(std::string_view text) {
-  LoadReport load;
-  if (text.substr(0, 5) == "TEXT ") {
-    text.remove_prefix(5);
-  }
-  while (!text.empty()) {
-    const auto comma = std::min(text.find(','), text.size());
-    std::string_view part = text.substr(0, comma);
-    text.remove_prefix(std::min(comma + 1, text.size()));
-    part.remove_prefix(std::min(part.find_first_not_of(' '), part.size()));
-    const auto equals = std::min(part.find('='), part.size());
-    const auto known =
-        std::find_if(kLoadFields.begin(), kLoadFields.end(),
-                     [&](const LoadField& f) { return f.name == part.substr(0, equals); });
-    if (known == kLoadFields.end()) {
-      continue;
-    }
-    part.remove_prefix(std::min(equals + 1, part.size()));
-    double value = 0;
-    const auto [stop, ec] = std::from_chars(part.data(), part.data() + part.size(), value);
-    const bool read = ec == std::errc() && stop == part.data() + part.size();
-    if (!read || !(value >= 0 && value <= known->most)) {
-      return {};
-    }
-    load.*known->field = value;
-  }
-  return load;
-}
 
-// A figure that stands alone in a field; below 0 where there is none that an honest server says.
-std::optional<double> parse_figure(boost::beast::string_view text, double most) {
-  double value = 0;
-  const auto [stop, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
-  const bool read = ec == std::errc() && stop == text.data() + text.size();
-  if (!read || !(value >= 0 && value <= most)) {
-    return std::nullopt;
-  }
-  return value;
+// us between searches for connections that have been idle too long.
+constexpr Micros kExpiryInterval = 500'000;
+// Interim responses (1xx) ahead of a final one.
+constexpr int kMaxInterimResponses = 16;
+// us without a byte of a response that has begun, after which it counts as stuck, not slow.
+constexpr Micros kResponseStallTimeout = 250'000;
+// The same for a response of which a part was delivered, and for the server to read a piece of a
+// request's body.
+constexpr Micros kStreamStallTimeout = 5'000'000;
+
+Micros stall_timeout(const UpstreamConnection& connection) {
+  return connection.delivery == UpstreamConnection::Delivery::kBuffered ? kResponseStallTimeout
+                                                                        : kStreamStallTimeout;
 }
 
-// Never-ran only when the protocol proves it: a plain 503 or 504 may come from a server that did
-// the work.
-Outcome outcome_of(const http::response<IncrementalBody>& answer) {
-  if (answer.result() == http::status::ok) {
-    return Outcome::kOk;
-  }
-  const bool turned_away = answer.result() == http::status::service_unavailable ||
-                           answer.result() == http::status::gateway_timeout;
-  return turned_away && answer["X-Never-Ran"] == "1" ? Outcome::kOverloaded : Outcome::kError;
+AttemptResult take_attempt_result(UpstreamConnection& connection) {
+  return take_result(connection.parser->get(), connection.first_byte_at);
 }
 
 }  // namespace
 
-// Danger: every handler may run after its connection was closed; each asks `closed` first.
-class ConnectionPool::Connection {
- public:
-  explicit Connection(asio::io_context& io) : socket(io) {}
-  enum class State { kConnecting, kWriting, kWaiting, kIdle, kClosed };
-  State state = State::kConnecting;
-  std::string server;
-  tcp::endpoint address;
-  Micros started_at = 0;  // of the process that it was opened to
-  tcp::socket socket;
-  AttemptKey attempt;
-  std::string out, pending;
-  std::optional<ResponseParser> parser;
-  bool reading = false;
-  bool broken = false;       // while the request was being written
-  bool more = false;         // of the request's body is to come
-  bool chunked = false;      // the request's body goes in chunks
-  bool writing = false;      // `out` is being written
-  bool streaming = false;    // some of the answer has been told
-  bool held = false;         // what was told last has not been passed on yet
-  bool done = false;         // nothing of the answer is left but to end
-  Micros began = 0;          // when the answer's first byte came
-  Micros heard = 0;          // when some of the answer came last
-  std::uint64_t pieces = 0;  // of the request's body, so far
-  int interim = 0;
-  Micros idle_since = 0;
-  Micros rested = 0;  // before the request that it carries; 0: its first
-
-  // Danger: a parser that goes straight on to the body forgets that the length was over the limit,
-  // and takes 3 GB in. So the head comes by itself, and only then the rest (see `put`).
-  void expect_answer() {
-    parser.emplace();
-    parser->header_limit(kMostHeader);
-    parser->body_limit(kMaxBodyBytes);
-  }
-
-  // Takes in what has come. False if more is needed; throws on what is no answer.
-  bool put() {
-    while (!parser->is_done()) {
-      if (pending.empty()) {
-        return false;
-      }
-      error_code ec;
-      pending.erase(0, parser->put(asio::buffer(pending), ec));
-      if (ec == http::error::need_more) {
-        return false;
-      }
-      if (ec) {
-        throw boost::system::system_error(ec);  // not HTTP, or too large
-      }
-      if (parser->is_header_done() && !parser->eager()) {
-        look_at_head();
-      }
-    }
-    return true;
-  }
-
-  // What has no length of its own can't be told from one that was cut short.
-  void look_at_head() {
-    const auto& head = parser->get();
-    check_framing(head, head.version() == 11);
-    if (parser->need_eof() && !is_interim()) {
-      throw HttpError("no length");
-    }
-    parser->eager(true);
-  }
-
-  // By the number: the library's list of statuses lacks some, 103 among them.
-  bool is_interim() const { return parser->get().result_int() / 100 == 1; }
-
-  // Danger: bytes behind an answer may be the rest of it, if its length was said too small; what
-  // was cut off must not be served. A chunked one shows its own end, and what begins like an answer
-  // is another one.
-  bool is_cut_short() const {
-    return !pending.empty() && !parser->chunked() && pending.compare(0, 5, "HTTP/", 0, 5) != 0;
-  }
-};
-
 ConnectionPool::ConnectionPool(asio::io_context& io, Timers& timers, const Clock& clock,
                                ConnectionPoolLimits limits, AttemptEvents events)
     : io_(io),
@@ -197,15 +46,16 @@
       clock_(clock),
       limits_(limits),
       events_(std::move(events)),
-      reuse_for_(Micros(kIdleShare * double(limits.idle))) {
-  sweep();
+      idle_reuse_(limits.server_idle_limit) {
+  close_expired();
 }
+
 ConnectionPool::~ConnectionPool() = default;
 
 std::vector<std::string> ConnectionPool::update(const EndpointList& list) {
   std::vector<std::string> replaced;
-  take(list);
-  while (!settled()) {
+  enqueue_list(list);
+  while (!lists_applied()) {
     for (auto& server : apply().replaced) {
       replaced.push_back(std::move(server));
     }
@@ -213,512 +63,473 @@
   return replaced;
 }
 
-// Danger: connections to a process that is gone may stay open and silent.
 EndpointChanges ConnectionPool::apply() {
-  EndpointChanges difference = catalog_.apply();
-  for (const auto& server : difference.stale_connections) {
-    forget(server);
+  EndpointChanges changes = endpoints_.apply();
+  // Connections to a process that is gone may stay open and silent.
+  for (const auto& server : changes.stale_connections) {
+    close_idle_to(server);
   }
-  return difference;
+  return changes;
 }
 
-void ConnectionPool::bound(std::size_t connections) {
-  limits_.connections = connections;
-  while (open_ > connections && drop_oldest()) {
+void ConnectionPool::set_max_connections(std::size_t max_connections) {
+  limits_.max_connections = max_connections;
+  while (open_connections_ > max_connections && close_oldest_idle()) {
   }
 }
 
-void ConnectionPool::forget(const std::string& server) {
-  const auto pool = pools_.find(server);
-  if (pool == pools_.end()) {
+void ConnectionPool::send(AttemptKey key, const std::string& server,
+                          const ForwardedRequest& request, Micros deadline) {
+  const auto endpoint = endpoints_.find(server);
+  if (!endpoint || !endpoint->up) {
+    return fail_later(key, Outcome::kNotSent);
+  }
+  ConnectionPtr connection = take_idle(server);
+  const bool is_new = !connection;
+  if (is_new) {
+    connection = create(server, *endpoint);
+  }
+  if (!connection) {
+    return fail_later(key, Outcome::kNotSent);
+  }
+  connection->attempt = key;
+  connection->encode_request(request, std::max<Micros>(1, deadline - clock_.now()));
+  attempts_.emplace(key, connection);
+  if (is_new) {
+    connect(connection);
+  } else {
+    start_request(connection);
+  }
+}
+
+void ConnectionPool::send_body_piece(AttemptKey key, const std::string& piece, bool is_last) {
+  const auto entry = attempts_.find(key);
+  if (entry == attempts_.end()) {
     return;
   }
-  // The pool goes with its last connection.
-  for (const Held& c : Pool(pool->second)) {
-    drop(*c);
+  const ConnectionPtr connection = entry->second;
+  if (!connection->body_incomplete || connection->write_pending) {
+    return;
+  }
+  connection->encode_body_piece(piece, is_last);
+  if (connection->output.empty()) {
+    on_output_written(connection);
+  } else {
+    write_remaining(connection, 0);
   }
 }
 
-void ConnectionPool::send(AttemptKey key, const std::string& server, const ForwardedRequest& what,
-                          Micros until) {
-  const auto found = catalog_.find(server);
-  if (!found || !found->up) {
-    return end_later(key, Outcome::kNotSent);
+void ConnectionPool::resume(AttemptKey key) {
+  const auto entry = attempts_.find(key);
+  if (entry == attempts_.end() || entry->second->delivery != Delivery::kPieceOutstanding) {
+    return;
   }
-  Held c = take_idle(server);
-  const bool fresh = !c;
-  if (fresh) {
-    if (!make_room()) {
-      return end_later(key, Outcome::kNotSent);
+  const ConnectionPtr connection = entry->second;
+  connection->delivery = Delivery::kStreaming;
+  connection->last_progress_at = clock_.now();
+  if (!connection->response_complete) {
+    return read(connection);
+  }
+  asio::post(io_, [this, connection, key] {
+    if (connection->state == State::kWaiting && connection->attempt == key) {
+      complete_with_response(connection);
     }
-    c = std::make_shared<Connection>(io_);
-    c->server = server;
-    c->address = found->address;
-    c->started_at = found->started_at;
-    ++open_;
-  }
-  c->attempt = key;
-  c->out.clear();
-  c->out.append(what.method)
-      .append(" ")
-      .append(what.target)
-      .append(" HTTP/1.1\r\nHost: ")
-      .append(what.host);
-  c->out.append("\r\nX-Trace-Id: ").append(what.trace_id);
-  if (!what.idempotency_key.empty()) {
-    c->out.append("\r\nIdempotency-Key: ").append(what.idempotency_key);
-  }
-  c->out.append("\r\nX-Expires-In: ")
-      .append(std::to_string(std::max<Micros>(1, until - clock_.now())));
-  c->out.append("u");
-  c->more = !what.body_complete;
-  c->chunked = c->more && !what.content_length;
-  const auto length = what.body_complete ? what.body.size() : what.content_length.value_or(0);
-  if (c->chunked) {
-    c->out.append("\r\nTransfer-Encoding: chunked");
-  } else if (length > 0 || what.method != "GET") {
-    c->out.append("\r\nContent-Length: ").append(std::to_string(length));
-  }
-  c->out.append("\r\n\r\n").append(c->chunked ? encode_chunk(what.body) : what.body);
-  attempts_.emplace(key, c);
-  fresh ? connect(c) : write(c);
+  });
 }
 
 bool ConnectionPool::abandon(AttemptKey key) {
-  const auto it = attempts_.find(key);
-  if (it == attempts_.end()) {
+  const auto entry = attempts_.find(key);
+  if (entry == attempts_.end()) {
     return false;
   }
-  const Held c = it->second;
-  const bool written = c->state != Connection::State::kConnecting && !c->more;
-  attempts_.erase(it);
-  // A reset, so that nothing that is still on its way is taken for a request, nor an answer waited
-  // for.
-  error_code ignored;
-  c->socket.set_option(asio::socket_base::linger(true, 0), ignored);
-  drop(*c);
-  return written;
+  const ConnectionPtr connection = entry->second;
+  const bool was_written = connection->state != State::kConnecting && !connection->body_incomplete;
+  attempts_.erase(entry);
+  connection->reset_on_close();
+  close(*connection);
+  return was_written;
 }
 
-ConnectionPool::Held ConnectionPool::take_idle(const std::string& server) {
+ConnectionPool::ConnectionPtr ConnectionPool::take_idle(const std::string& server) {
   const Micros now = clock_.now();
-  // Danger: what still comes after an answer would be read as that to the next request.
-  const auto settled = [&](const Held& c) { return now - c->idle_since >= limits_.settle; };
   while (true) {
-    const auto pool = pools_.find(server);
-    if (pool == pools_.end()) {
-      return nullptr;
-    }
-    const auto last = std::find_if(pool->second.rbegin(), pool->second.rend(), settled);
-    if (last == pool->second.rend()) {
+    // Without the delay, what still follows a response would be read as that to the next request.
+    ConnectionPtr connection = idle_.most_recent(server, now - limits_.reuse_delay);
+    if (!connection) {
       return nullptr;
     }
-    const Held c = *last;
-    char byte;
-    const auto got = ::recv(c->socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-    const bool open = got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    if (open && now - c->idle_since < reuse_for_) {
-      c->rested = now - c->idle_since;
-      forget_idle(*c);
-      return c;
+    const Micros idle_time = now - connection->idle_since;
+    if (connection->is_open_and_silent() && idle_time < idle_reuse_.max_idle()) {
+      connection->idle_before_request = idle_time;
+      idle_.remove(*connection);
+      return connection;
     }
-    drop(*c);  // closed by the server, about to be, or with an answer to nothing
+    // Closed by the server, about to be, or with a response to no request.
+    close(*connection);
   }
 }
 
-bool ConnectionPool::make_room() {
-  return open_ < limits_.connections || drop_oldest();
+ConnectionPool::ConnectionPtr ConnectionPool::create(const std::string& server,
+                                                     const EndpointStatus& endpoint) {
+  if (open_connections_ >= limits_.max_connections && !close_oldest_idle()) {
+    return nullptr;
+  }
+  auto connection = std::make_shared<UpstreamConnection>(io_);
+  connection->server = server;
+  connection->address = endpoint.address;
+  connection->server_started_at = endpoint.started_at;
+  ++open_connections_;
+  return connection;
 }
 
-// Closes what has idled longest. False if nothing idles.
-bool ConnectionPool::drop_oldest() {
-  const Held* oldest = nullptr;
-  for (const auto& [server, pool] : pools_) {
-    if (!oldest || pool.front()->idle_since < (*oldest)->idle_since) {
-      oldest = &pool.front();
-    }
-  }
+bool ConnectionPool::close_oldest_idle() {
+  const ConnectionPtr oldest = idle_.oldest();
   if (!oldest) {
     return false;
   }
-  drop(*Held(*oldest));
+  close(*oldest);
   return true;
 }
 
-void ConnectionPool::connect(const Held& c) {
-  c->socket.async_connect(c->address, [this, c](error_code ec) {
-    if (c->state != Connection::State::kConnecting) {
+void ConnectionPool::close_idle_to(const std::string& server) {
+  for (const ConnectionPtr& connection : idle_.to_server(server)) {
+    close(*connection);
+  }
+}
+
+void ConnectionPool::close_expired() {
+  for (const ConnectionPtr& connection : idle_.idle_since(clock_.now() - idle_reuse_.max_idle())) {
+    close(*connection);
+  }
+  timers_.after(kExpiryInterval, [this] { close_expired(); });
+}
+
+void ConnectionPool::close(UpstreamConnection& connection) {
+  if (connection.state == State::kClosed) {
+    return;
+  }
+  if (connection.state == State::kIdle) {
+    idle_.remove(connection);
+  }
+  connection.state = State::kClosed;
+  --open_connections_;
+  error_code ignored;
+  connection.socket.close(ignored);
+}
+
+void ConnectionPool::connect(const ConnectionPtr& connection) {
+  connection->socket.async_connect(connection->address, [this, connection](error_code ec) {
+    if (connection->state != State::kConnecting) {
       return;
     }
     if (ec) {
-      return end(c, {Outcome::kConnectFailed, {}, {}}, false);
+      return fail(connection, Outcome::kConnectFailed);
     }
-    // Danger: the server may have been told off while the connect was under way, or be another
-    // process by now.
-    const auto now = catalog_.find(c->server);
-    if (!now || !now->up || now->address != c->address || now->started_at != c->started_at) {
-      return end(c, {Outcome::kNotSent, {}, {}}, false);
-    }
-    error_code ignored;
-    c->socket.set_option(tcp::no_delay(true), ignored);
-    c->socket.non_blocking(true, ignored);
-    write(c);
+    on_connected(connection);
   });
-  timers_.after(limits_.dial_timeout, [this, weak = std::weak_ptr<Connection>(c)] {
-    const Held c = weak.lock();
-    if (c && c->state == Connection::State::kConnecting) {
-      end(c, {Outcome::kConnectFailed, {}, {}}, false);
+  const std::weak_ptr<UpstreamConnection> weak = connection;
+  timers_.after(limits_.connect_timeout, [this, weak] {
+    const ConnectionPtr connection = weak.lock();
+    if (connection && connection->state == State::kConnecting) {
+      fail(connection, Outcome::kConnectFailed);
     }
   });
 }
 
-// Small requests are written at once: then there is no doubt whether the last byte has left.
-void ConnectionPool::write(const Held& c) {
-  c->state = Connection::State::kWriting;
-  c->interim = 0;
-  c->streaming = c->held = c->done = false;
-  c->expect_answer();
+void ConnectionPool::on_connected(const ConnectionPtr& connection) {
+  // While the connection was being established the server may have begun to drain, or have been
+  // replaced by another process.
+  const auto endpoint = endpoints_.find(connection->server);
+  const bool is_current = endpoint && endpoint->up && endpoint->address == connection->address &&
+                          endpoint->started_at == connection->server_started_at;
+  if (!is_current) {
+    return fail(connection, Outcome::kNotSent);
+  }
+  error_code ignored;
+  connection->socket.set_option(tcp::no_delay(true), ignored);
+  connection->socket.non_blocking(true, ignored);
+  start_request(connection);
+}
+
+// Writes a small request at once: then it is certain whether its last byte was written.
+void ConnectionPool::start_request(const ConnectionPtr& connection) {
+  connection->state = State::kWriting;
+  connection->begin_response();
   error_code ec;
-  const std::size_t size = c->socket.write_some(asio::buffer(c->out), ec);
-  if (size == c->out.size()) {
-    left(c);
+  const std::size_t size = connection->socket.write_some(asio::buffer(connection->output), ec);
+  if (size == connection->output.size()) {
+    on_output_written(connection);
   } else if (ec && ec != asio::error::would_block) {
-    const AttemptKey key = c->attempt;
+    const AttemptKey key = connection->attempt;
     attempts_.erase(key);
-    drop(*c);
-    return end_later(key, Outcome::kConnectFailed);  // its last byte never left
+    close(*connection);
+    // The request's last byte was never written.
+    return fail_later(key, Outcome::kConnectFailed);
   } else {
-    write_rest(c, size);
+    write_remaining(connection, size);
   }
-  read(c);
+  read(connection);
 }
 
-void ConnectionPool::write_rest(const Held& c, std::size_t from) {
-  c->writing = true;
-  const auto rest = asio::buffer(c->out) + from;
-  asio::async_write(c->socket, rest, [this, c](error_code ec, std::size_t) {
-    c->writing = false;
-    if (c->state != Connection::State::kWriting) {
-      return;
-    }
-    if (ec) {
-      return end(c, {Outcome::kConnectFailed, {}, {}}, false);
-    }
-    left(c);
-    if (c->broken) {
-      end(c, {c->more ? Outcome::kConnectFailed : Outcome::kReset, {}, {}}, false);
+void ConnectionPool::write_remaining(const ConnectionPtr& connection, std::size_t offset) {
+  connection->write_pending = true;
+  const auto remaining = asio::buffer(connection->output) + offset;
+  asio::async_write(connection->socket, remaining, [this, connection](error_code ec, std::size_t) {
+    connection->write_pending = false;
+    if (connection->state == State::kWriting) {
+      on_remaining_written(connection, ec.failed());
     }
   });
-  if (!c->more) {
-    return;
+  if (connection->body_incomplete) {
+    watch_body_write(connection);
   }
-  // A server that takes nothing of a long body.
-  timers_.after(
-      kStuck, [this, key = c->attempt, pieces = ++c->pieces, weak = std::weak_ptr<Connection>(c)] {
-        const Held c = weak.lock();
-        if (c && c->state == Connection::State::kWriting && c->attempt == key && c->writing &&
-            c->pieces == pieces) {
-          end(c, {Outcome::kConnectFailed, {}, {}}, false);
-        }
-      });
-}
-
-// All of `out` has left.
-void ConnectionPool::left(const Held& c) {
-  if (c->more) {
-    asio::post(io_, [this, c, key = c->attempt] {
-      if (c->state == Connection::State::kWriting && c->attempt == key) {
-        events_.wants(key);
-      }
-    });
-    return;
-  }
-  c->state = Connection::State::kWaiting;
-  events_.written(c->attempt);
 }
 
-void ConnectionPool::feed(AttemptKey key, const std::string& piece, bool last) {
-  const auto it = attempts_.find(key);
-  if (it == attempts_.end() || !it->second->more || it->second->writing) {
-    return;
+void ConnectionPool::on_remaining_written(const ConnectionPtr& connection, bool failed) {
+  if (failed) {
+    return fail(connection, Outcome::kConnectFailed);
   }
-  const Held c = it->second;
-  c->more = !last;
-  c->out = c->chunked && !piece.empty() ? encode_chunk(piece) : piece;
-  if (c->chunked && last) {
-    c->out += kLastChunk;
+  on_output_written(connection);
+  if (connection->broke_while_writing) {
+    fail(connection, connection->body_incomplete ? Outcome::kConnectFailed : Outcome::kReset);
   }
-  c->out.empty() ? left(c) : write_rest(c, 0);
 }
 
-void ConnectionPool::read(const Held& c) {
-  if (c->reading) {
-    return;
-  }
-  c->reading = true;
-  c->socket.async_wait(tcp::socket::wait_read, [this, c](error_code ec) {
-    c->reading = false;
-    if (c->state == Connection::State::kClosed) {
-      return;
-    }
-    if (c->state == Connection::State::kIdle) {
-      return drop(*c);  // closed, or an answer to nothing
-    }
-    std::size_t size = 0;
-    if (!ec) {
-      size = c->socket.read_some(asio::buffer(scratch_), ec);
-    }
-    if (ec == asio::error::would_block) {
-      return read(c);
-    }
-    if (ec) {
-      return broke(c);
-    }
-    took(c, size);
-    if (c->state != Connection::State::kClosed && !c->broken && !c->held) {
-      read(c);
+// Fails the attempt if the server reads nothing of a long body.
+void ConnectionPool::watch_body_write(const ConnectionPtr& connection) {
+  const AttemptKey key = connection->attempt;
+  const std::uint64_t write = ++connection->watched_writes;
+  const std::weak_ptr<UpstreamConnection> weak = connection;
+  timers_.after(kStreamStallTimeout, [this, key, write, weak] {
+    const ConnectionPtr connection = weak.lock();
+    if (connection && connection->state == State::kWriting && connection->attempt == key &&
+        connection->write_pending && connection->watched_writes == write) {
+      fail(connection, Outcome::kConnectFailed);
     }
   });
 }
 
-void ConnectionPool::took(const Held& c, std::size_t size) {
-  // Bytes that come before the request has gone can't be its answer, but for a server that wants no
-  // more of a long one.
-  if (c->state == Connection::State::kWriting && !c->more) {
-    return broke(c);
-  }
-  const bool begins = c->pending.empty() && !c->parser->got_some();
-  c->heard = clock_.now();
-  if (begins) {
-    c->began = c->heard;
+void ConnectionPool::on_output_written(const ConnectionPtr& connection) {
+  if (!connection->body_incomplete) {
+    connection->state = State::kWaiting;
+    events_.on_request_written(connection->attempt);
+    return;
   }
-  c->pending.append(scratch_.data(), size);
-  try {
-    while (c->put()) {
-      if (!c->is_interim()) {
-        return whole(c);
-      }
-      if (++c->interim > kMostInterim) {
-        throw HttpError("1xx without end");
-      }
-      c->expect_answer();
-      if (c->pending.empty()) {
-        return;
-      }
-    }
-    if (begins) {
-      watch_answer(c);
+  asio::post(io_, [this, connection, key = connection->attempt] {
+    if (connection->state == State::kWriting && connection->attempt == key) {
+      events_.on_body_wanted(key);
     }
-    if (!c->more) {
-      relay(c);
-    }
-  } catch (const std::exception&) {
-    end(c, {c->more ? Outcome::kConnectFailed : Outcome::kReset, {}, {}}, false);
+  });
+}
+
+void ConnectionPool::read(const ConnectionPtr& connection) {
+  if (connection->read_pending) {
+    return;
   }
+  connection->read_pending = true;
+  connection->socket.async_wait(tcp::socket::wait_read, [this, connection](error_code ec) {
+    connection->read_pending = false;
+    on_readable(connection, ec);
+  });
 }
 
-// Passes on what has come of a long answer. False if there is nothing to pass on.
-bool ConnectionPool::relay(const Held& c) {
-  if (!c->parser->is_header_done() || c->is_interim()) {
-    return false;
+void ConnectionPool::on_readable(const ConnectionPtr& connection, error_code error) {
+  if (connection->state == State::kClosed) {
+    return;
   }
-  auto& answer = c->parser->get();
-  const auto length = c->parser->content_length();
-  if (!c->streaming &&
-      std::max<std::uint64_t>(answer.body().size(), length.value_or(0)) <= kMaxBufferedBodyBytes) {
-    return false;
+  if (connection->state == State::kIdle) {
+    return close(*connection);  // closed by the server, or a response to no request
   }
-  if (outcome_of(answer) != Outcome::kOk) {  // nobody needs the rest of it
-    end(c, result_of(*c), false);
-    return true;
+  std::size_t size = 0;
+  if (!error) {
+    size = connection->socket.read_some(asio::buffer(read_buffer_), error);
   }
-  if (c->streaming && answer.body().empty()) {
-    return false;
+  if (error == asio::error::would_block) {
+    return read(connection);
   }
-  c->held = true;
-  if (std::exchange(c->streaming, true)) {
-    events_.piece(c->attempt, std::exchange(answer.body(), {}));
-  } else {
-    std::optional<std::uint64_t> told;
-    if (length) {
-      told = *length;
-    }
-    events_.started(c->attempt, result_of(*c), told);
+  if (error) {
+    return on_broken(connection);
+  }
+  on_received(connection, size);
+  if (connection->state != State::kClosed && !connection->broke_while_writing &&
+      connection->delivery != Delivery::kPieceOutstanding) {
+    read(connection);
   }
-  return true;
 }
 
-void ConnectionPool::resume(AttemptKey key) {
-  const auto it = attempts_.find(key);
-  if (it == attempts_.end() || !it->second->held) {
-    return;
+void ConnectionPool::on_received(const ConnectionPtr& connection, std::size_t size) {
+  // Bytes that arrive before the request was written can't be its response, unless the server wants
+  // no more of a long one.
+  if (connection->state == State::kWriting && !connection->body_incomplete) {
+    return on_broken(connection);
   }
-  const Held c = it->second;
-  c->held = false;
-  c->heard = clock_.now();
-  if (!c->done) {
-    return read(c);
+  const bool is_first_part = !connection->has_response_bytes();
+  connection->last_progress_at = clock_.now();
+  if (is_first_part) {
+    connection->first_byte_at = connection->last_progress_at;
+  }
+  connection->received.append(read_buffer_.data(), size);
+  try {
+    process_received(connection, is_first_part);
+  } catch (const std::exception&) {
+    fail(connection, connection->body_incomplete ? Outcome::kConnectFailed : Outcome::kReset);
   }
-  asio::post(io_, [this, c, key] {
-    if (c->state == Connection::State::kWaiting && c->attempt == key) {
-      answered(c);
-    }
-  });
 }
 
-// Danger: an answer whose length was said too large would hold its request until the end of its
-// time, and nothing would be left for another attempt. One that comes slowly goes on coming.
-void ConnectionPool::watch_answer(const Held& c) {
-  const Micros quiet = c->streaming ? kStuck : kQuiet;
-  timers_.at(c->heard + quiet, [this, key = c->attempt, weak = std::weak_ptr<Connection>(c)] {
-    const Held c = weak.lock();
-    if (!c || c->state != Connection::State::kWaiting || !(c->attempt == key)) {
-      return;
+void ConnectionPool::process_received(const ConnectionPtr& connection, bool is_first_part) {
+  while (connection->parse_received()) {
+    if (!is_interim(connection->parser->get())) {
+      return on_response_complete(connection);
     }
-    if (!c->parser->got_some() && c->pending.empty()) {
-      return;
+    if (++connection->interim_responses > kMaxInterimResponses) {
+      throw HttpError("too many interim responses");
     }
-    if (c->held) {
-      c->heard = clock_.now();  // the client is
+    connection->expect_response();
+    if (connection->received.empty()) {
+      return;
     }
-    if (clock_.now() - c->heard < (c->streaming ? kStuck : kQuiet)) {
-      return watch_answer(c);
+  }
+  if (is_first_part) {
+    watch_response(connection);
+  }
+  if (!connection->body_incomplete) {
+    deliver_part(connection);
+  }
+}
+
+// Without this, a response whose stated length is too large would hold its request until the
+// deadline, with no time left for another attempt. A response that is only slow keeps arriving.
+void ConnectionPool::watch_response(const ConnectionPtr& connection) {
+  const AttemptKey key = connection->attempt;
+  const std::weak_ptr<UpstreamConnection> weak = connection;
+  timers_.at(connection->last_progress_at + stall_timeout(*connection), [this, key, weak] {
+    const ConnectionPtr connection = weak.lock();
+    if (connection && connection->state == State::kWaiting && connection->attempt == key) {
+      check_response_progress(connection);
     }
-    end(c, {Outcome::kReset, {}, {}}, false);
   });
 }
 
-// Danger: a kept connection that was closed without a word resets the next request, which then may
-// have run and costs a keyed one its choice of servers. How long they last shows only so.
-void ConnectionPool::learn_reuse(const Connection& c, bool answered) {
-  if (c.rested == 0) {
+void ConnectionPool::check_response_progress(const ConnectionPtr& connection) {
+  if (!connection->has_response_bytes()) {
     return;
   }
-  const double most = kIdleShare * double(limits_.idle);
-  if (!answered) {
-    reuse_for_ = std::max(kReuseLeast, Micros(kReuseCut * double(std::min(reuse_for_, c.rested))));
-  } else if (2 * c.rested > reuse_for_) {
-    reuse_for_ = Micros(std::min(most, kReuseGrow * double(reuse_for_)));
+  if (connection->delivery == Delivery::kPieceOutstanding) {
+    connection->last_progress_at = clock_.now();  // the client is slow, not the server
   }
+  if (clock_.now() - connection->last_progress_at < stall_timeout(*connection)) {
+    return watch_response(connection);
+  }
+  fail(connection, Outcome::kReset);
 }
 
-// All of an answer has come.
-void ConnectionPool::whole(const Held& c) {
-  if (c->more) {  // a server that turns away a request of which it has seen a part has not run it
-    const bool full = outcome_of(c->parser->get()) == Outcome::kOverloaded;
-    return end(c, {full ? Outcome::kOverloaded : Outcome::kConnectFailed, {}, {}}, false);
+bool ConnectionPool::deliver_part(const ConnectionPtr& connection) {
+  auto& parser = *connection->parser;
+  auto& response = parser.get();
+  if (!parser.is_header_done() || is_interim(response)) {
+    return false;
   }
-  error_code ec;
-  if (c->pending.empty() && c->socket.available(ec) > 0) {
-    const std::size_t size = c->socket.read_some(asio::buffer(scratch_), ec);
-    c->pending.assign(scratch_.data(), size);
+  const bool is_streaming = connection->delivery != Delivery::kBuffered;
+  const auto length = parser.content_length();
+  const auto known_size = std::max<std::uint64_t>(response.body().size(), length.value_or(0));
+  if (!is_streaming && known_size <= kMaxBufferedBodyBytes) {
+    return false;
   }
-  if (c->is_cut_short()) {
-    return end(c, {Outcome::kReset, {}, {}}, false);
+  if (outcome_of(response) != Outcome::kOk) {  // nobody needs the rest of it
+    complete(connection, take_attempt_result(*connection), AfterAttempt::kCloseConnection);
+    return true;
   }
-  c->done = true;
-  if (!c->streaming || !relay(c)) {
-    answered(c);
+  if (is_streaming && response.body().empty()) {
+    return false;
   }
+  connection->delivery = Delivery::kPieceOutstanding;
+  if (is_streaming) {
+    events_.on_response_piece(connection->attempt, std::exchange(response.body(), {}));
+    return true;
+  }
+  std::optional<std::uint64_t> stated_length;
+  if (length) {
+    stated_length = *length;
+  }
+  events_.on_response_started(connection->attempt, take_attempt_result(*connection), stated_length);
+  return true;
 }
 
-AttemptResult ConnectionPool::result_of(Connection& c) {
-  auto& answer = c.parser->get();
-  AttemptResult result;
-  result.outcome = outcome_of(answer);
-  const auto load = answer["Endpoint-Load-Metrics"];
-  result.load = parse_load({load.data(), load.size()});
-  result.began = c.began;
-  if (const auto percent = parse_figure(answer["Usage-Percent"], kMostPercent)) {
-    result.quota_usage_percent = int(*percent);
+void ConnectionPool::on_response_complete(const ConnectionPtr& connection) {
+  if (connection->body_incomplete) {
+    // A server that rejects a request of which it has seen only a part has not run it.
+    const bool is_overloaded = outcome_of(connection->parser->get()) == Outcome::kOverloaded;
+    return fail(connection, is_overloaded ? Outcome::kOverloaded : Outcome::kConnectFailed);
+  }
+  error_code ec;
+  if (connection->received.empty() && connection->socket.available(ec) > 0) {
+    const std::size_t size = connection->socket.read_some(asio::buffer(read_buffer_), ec);
+    connection->received.assign(read_buffer_.data(), size);
+  }
+  if (connection->may_be_truncated()) {
+    return fail(connection, Outcome::kReset);
   }
-  if (result.outcome == Outcome::kOk) {
-    result.billed_units = parse_figure(answer["Billed-Units"], kMostUnits);
-    result.body = std::exchange(answer.body(), {});
+  connection->response_complete = true;
+  const bool is_streaming = connection->delivery != Delivery::kBuffered;
+  if (!is_streaming || !deliver_part(connection)) {
+    complete_with_response(connection);
   }
-  return result;
 }
 
-void ConnectionPool::answered(const Held& c) {
-  learn_reuse(*c, true);
-  const bool keep = c->parser->get().keep_alive() && c->pending.empty();
-  end(c, result_of(*c), keep);
+void ConnectionPool::complete_with_response(const ConnectionPtr& connection) {
+  idle_reuse_.on_response(connection->idle_before_request);
+  const bool can_be_reused = connection->parser->get().keep_alive() && connection->received.empty();
+  complete(connection, take_attempt_result(*connection),
+           can_be_reused ? AfterAttempt::kKeepConnection : AfterAttempt::kCloseConnection);
 }
 
-void ConnectionPool::broke(const Held& c) {
-  if (c->state != Connection::State::kWriting) {
-    if (!c->parser->got_some() && c->pending.empty()) {
-      learn_reuse(*c, false);
+void ConnectionPool::on_broken(const ConnectionPtr& connection) {
+  if (connection->state != State::kWriting) {
+    if (!connection->has_response_bytes()) {
+      idle_reuse_.on_reset(connection->idle_before_request);
     }
-    return end(c, {Outcome::kReset, {}, {}}, false);
+    return fail(connection, Outcome::kReset);
   }
-  if (!c->writing) {
-    return end(c, {Outcome::kConnectFailed, {}, {}}, false);
+  if (!connection->write_pending) {
+    return fail(connection, Outcome::kConnectFailed);
   }
-  // Danger: the last byte may have left and only the word of it still be on its way. It tells.
-  c->broken = true;
+  // The last byte may have been written with only the notification of it outstanding. The write's
+  // handler, which runs next, decides.
+  connection->broke_while_writing = true;
   error_code ignored;
-  c->socket.cancel(ignored);
+  connection->socket.cancel(ignored);
 }
 
-void ConnectionPool::end(const Held& c, AttemptResult result, bool keep) {
-  const AttemptKey key = c->attempt;
+void ConnectionPool::complete(const ConnectionPtr& connection, AttemptResult result,
+                              AfterAttempt after) {
+  const AttemptKey key = connection->attempt;
   attempts_.erase(key);
-  const auto now = catalog_.find(c->server);
-  if (keep && now && now->up && now->address == c->address) {
-    c->state = Connection::State::kIdle;
-    c->idle_since = clock_.now();
-    c->parser.reset();
-    c->pending.clear();
-    pools_[c->server].push_back(c);
+  const auto endpoint = endpoints_.find(connection->server);
+  const bool is_listed = endpoint && endpoint->up && endpoint->address == connection->address;
+  if (after == AfterAttempt::kKeepConnection && is_listed) {
+    connection->state = State::kIdle;
+    connection->idle_since = clock_.now();
+    connection->parser.reset();
+    connection->received.clear();
+    idle_.add(connection);
   } else {
-    drop(*c);
+    close(*connection);
   }
-  events_.ended(key, std::move(result));
+  events_.on_complete(key, std::move(result));
 }
 
-void ConnectionPool::drop(Connection& c) {
-  if (c.state == Connection::State::kClosed) {
-    return;
-  }
-  if (c.state == Connection::State::kIdle) {
-    forget_idle(c);
-  }
-  c.state = Connection::State::kClosed;
-  --open_;
-  error_code ignored;
-  c.socket.close(ignored);
-}
-
-void ConnectionPool::forget_idle(const Connection& c) {
-  const auto pool = pools_.find(c.server);
-  if (pool == pools_.end()) {
-    return;
-  }
-  std::erase_if(pool->second, [&](const Held& h) { return h.get() == &c; });
-  if (pool->second.empty()) {
-    pools_.erase(pool);
-  }
-}
-
-void ConnectionPool::end_later(AttemptKey key, Outcome outcome) {
-  asio::post(io_, [this, key, outcome] { events_.ended(key, {outcome, {}, {}}); });
+void ConnectionPool::fail(const ConnectionPtr& connection, Outcome outcome) {
+  AttemptResult result;
+  result.outcome = outcome;
+  complete(connection, std::move(result), AfterAttempt::kCloseConnection);
 }
 
-void ConnectionPool::sweep() {
-  const Micros now = clock_.now();
-  std::vector<Held> rested;
-  for (const auto& [server, pool] : pools_) {
-    for (const Held& c : pool) {
-      if (now - c->idle_since >= reuse_for_) {
-        rested.push_back(c);
-      }
-    }
-  }
-  for (const Held& c : rested) {
-    drop(*c);
-  }
-  timers_.after(kSweep, [this] { sweep(); });
+void ConnectionPool::fail_later(AttemptKey key, Outcome outcome) {
+  asio::post(io_, [this, key, outcome] {
+    AttemptResult result;
+    result.outcome = outcome;
+    events_.on_complete(key, std::move(result));
+  });
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -1,11 +1,12 @@
-// Connections to servers: a pool for each, and the attempts on them. Maps what happened to an
-// Outcome.
+// Connections to servers: reuses idle ones, limits their number, and runs attempts on them. Also
+// holds the table of endpoints that attempts may go to. Owned by GatewayServer, whose
+// RequestDispatcher starts and abandons attempts; its EndpointListApplier applies endpoint lists.
 #pragma once
 
 #include <array>
-#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/io_context.hpp>
+#include <cstddef>
 #include <functional>
-#include <memory>
 #include <optional>
 #include <string>
 #include <unordered_map>
@@ -15,49 +16,23 @@
 #include "net/discovery/endpoint_table.hpp"
 #include "net/event_loop/timers.hpp"
 #include "net/http/forwarded_request.hpp"
+#include "net/upstream/attempt.hpp"
+#include "net/upstream/idle_connections.hpp"
+#include "net/upstream/idle_reuse_estimator.hpp"
+#include "net/upstream/upstream_connection.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
 struct ConnectionPoolLimits {
-  Micros idle = 15'000'000;  // a server closes what has idled for so long
-  Micros dial_timeout = 250'000;
-  std::size_t connections = 400;
-  Micros settle = 10'000;  // after an answer, in which more of it may come
-};
-
-struct AttemptKey {
-  std::uint64_t request = 0;
-  int attempt = 0;
-  bool operator==(const AttemptKey&) const = default;
-};
-struct AttemptKeyHash {
-  std::size_t operator()(const AttemptKey& k) const {
-    return std::size_t(k.request * 8 + unsigned(k.attempt));
-  }
-};
-
-struct AttemptResult {
-  Outcome outcome = Outcome::kReset;
-  LoadReport load;
-  std::string body;  // of a kOk: all of it, or what there is yet
-  // Of a kOk: the request's true units, where the server stated them.
-  std::optional<double> billed_units;
-  Micros began = 0;  // when its first byte came; 0: none did
-  // Percent of its quota that the customer has used, where the server stated it.
-  std::optional<int> quota_usage_percent;
-};
-
-// What becomes of attempts. But for `written`, none is told from within a call to Upstream.
-struct AttemptEvents {
-  std::function<void(AttemptKey, AttemptResult)> ended;
-  std::function<void(AttemptKey)> written = [](AttemptKey) {};  // its last byte has left
-  std::function<void(AttemptKey)> wants = [](AttemptKey) {};    // what it had of the body has left
-  // A long answer of so many bytes, where that is known, has begun; pieces follow one by one, each
-  // asked for by resume(), and at last `ended`: kOk if all of it came.
-  std::function<void(AttemptKey, AttemptResult, std::optional<std::uint64_t>)> started =
-      [](AttemptKey, AttemptResult, std::optional<std::uint64_t>) {};
-  std::function<void(AttemptKey, std::string)> piece = [](AttemptKey, std::string) {};
+  // us after which servers close an idle connection.
+  Micros server_idle_limit = 15'000'000;
+  // us
+  Micros connect_timeout = 250'000;
+  // Open connections to all servers, in use or idle.
+  std::size_t max_connections = 400;
+  // us after a response in which more bytes may follow; until then the connection isn't reused.
+  Micros reuse_delay = 10'000;
 };
 
 class ConnectionPool {
@@ -65,68 +40,94 @@
   ConnectionPool(boost::asio::io_context& io, Timers& timers, const Clock& clock,
                  ConnectionPoolLimits limits, AttemptEvents events);
   ~ConnectionPool();
+  ConnectionPool(const ConnectionPool&) = delete;
+  ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  // Takes a list, behind those that are on their way, for apply(); see Catalog.
-  void take(EndpointList list) { catalog_.enqueue(std::move(list)); }
-  // Puts the next slice of it in force and returns what has changed.
+  // Enqueues an endpoint list for apply(), behind those still pending; see EndpointTable.
+  void enqueue_list(EndpointList list) { endpoints_.enqueue(std::move(list)); }
+  // Applies the next slice of the pending lists and returns what has changed. Closes idle
+  // connections to servers that were removed, moved or restarted.
   EndpointChanges apply();
-  // All that was taken is in force.
-  bool settled() const { return catalog_.is_idle(); }
-  // All of a list at once. Returns the servers whose address another one has now: what was there is
-  // gone, told or not.
+  // Whether all pending lists were applied.
+  bool lists_applied() const { return endpoints_.is_idle(); }
+  // Applies a complete list at once. Returns the servers whose address now belongs to another one.
   std::vector<std::string> update(const EndpointList& list);
-  // One result follows, never from within this call, unless the attempt is abandoned.
-  void send(AttemptKey key, const std::string& server, const ForwardedRequest& what, Micros until);
-  // More of the body of an attempt that wants it.
-  void feed(AttemptKey key, const std::string& piece, bool last);
-  // The piece of the answer that was told has been passed on.
+
+  // Starts an attempt. Unless it is abandoned, AttemptEvents::on_complete follows, never from
+  // within this call. `deadline` is an instant of the clock; the server is told the time left.
+  void send(AttemptKey key, const std::string& server, const ForwardedRequest& request,
+            Micros deadline);
+  // Sends the next piece of a request's body, after AttemptEvents::on_body_wanted.
+  void send_body_piece(AttemptKey key, const std::string& piece, bool is_last);
+  // The piece of the response that was delivered last has been passed on; reads the next.
   void resume(AttemptKey key);
-  // Closes the attempt's connection. True if its last byte may have been written.
+  // Closes the attempt's connection; no event follows. True if the request's last byte may have
+  // been written.
   bool abandon(AttemptKey key);
-  // Servers that are listed, and those of them that run.
-  std::size_t listed() const { return catalog_.size(); }
-  bool any_up() const { return catalog_.up_count() > 0; }
-  // From now on so many connections at the most.
-  void bound(std::size_t connections);
+
+  // Listed servers, and whether any of them accepts requests.
+  std::size_t endpoint_count() const { return endpoints_.size(); }
+  bool has_endpoint_up() const { return endpoints_.up_count() > 0; }
+
+  // Changes the limit on open connections. Closes idle connections beyond it.
+  void set_max_connections(std::size_t max_connections);
 
  private:
-  class Connection;
-  using Held = std::shared_ptr<Connection>;
-  using Pool = std::vector<Held>;  // idle connections to a server, last used last; never empty
-  Held take_idle(const std::string& server);
-  bool make_room();
-  bool drop_oldest();
-  void connect(const Held& connection);
-  void write(const Held& connection);
-  void write_rest(const Held& connection, std::size_t from);
-  void left(const Held& connection);
-  void read(const Held& connection);
-  void took(const Held& connection, std::size_t size);
-  void whole(const Held& connection);
-  void answered(const Held& connection);
-  bool relay(const Held& connection);
-  AttemptResult result_of(Connection& connection);
-  void broke(const Held& connection);
-  void watch_answer(const Held& connection);
-  void forget(const std::string& server);
-  void end(const Held& connection, AttemptResult result, bool keep);
-  void forget_idle(const Connection& connection);
-  void learn_reuse(const Connection& connection, bool answered);
-  void drop(Connection& connection);
-  void end_later(AttemptKey key, Outcome outcome);
-  void sweep();
+  using ConnectionPtr = UpstreamConnectionPtr;
+  using State = UpstreamConnection::State;
+  using Delivery = UpstreamConnection::Delivery;
+
+  // Opening, reuse and closing of connections.
+  ConnectionPtr take_idle(const std::string& server);
+  // Null if the limit is reached and no connection is idle.
+  ConnectionPtr create(const std::string& server, const EndpointStatus& endpoint);
+  // Closes the connection that has been idle longest. False if none is idle.
+  bool close_oldest_idle();
+  void close_idle_to(const std::string& server);
+  // Closes what has been idle too long, periodically.
+  void close_expired();
+  void close(UpstreamConnection& connection);
+  void connect(const ConnectionPtr& connection);
+  void on_connected(const ConnectionPtr& connection);
+
+  // Writing of requests.
+  void start_request(const ConnectionPtr& connection);
+  void write_remaining(const ConnectionPtr& connection, std::size_t offset);
+  void on_remaining_written(const ConnectionPtr& connection, bool failed);
+  void watch_body_write(const ConnectionPtr& connection);
+  void on_output_written(const ConnectionPtr& connection);
+
+  // Reading of responses.
+  void read(const ConnectionPtr& connection);
+  void on_readable(const ConnectionPtr& connection, boost::system::error_code error);
+  void on_received(const ConnectionPtr& connection, std::size_t size);
+  void process_received(const ConnectionPtr& connection, bool is_first_part);
+  void watch_response(const ConnectionPtr& connection);
+  void check_response_progress(const ConnectionPtr& connection);
+  // Delivers what has arrived of a long response. False if there is nothing to deliver.
+  bool deliver_part(const ConnectionPtr& connection);
+  void on_response_complete(const ConnectionPtr& connection);
+  void complete_with_response(const ConnectionPtr& connection);
+  void on_broken(const ConnectionPtr& connection);
+
+  // Ends of attempts.
+  enum class AfterAttempt { kKeepConnection, kCloseConnection };
+  void complete(const ConnectionPtr& connection, AttemptResult result, AfterAttempt after);
+  void fail(const ConnectionPtr& connection, Outcome outcome);
+  void fail_later(AttemptKey key, Outcome outcome);
 
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
   ConnectionPoolLimits limits_;
   AttemptEvents events_;
-  EndpointTable catalog_;
-  std::unordered_map<std::string, Pool> pools_;  // by server, of those that have one
-  std::unordered_map<AttemptKey, Held, AttemptKeyHash> attempts_;
-  std::size_t open_ = 0;
-  std::array<char, 32 << 10> scratch_;  // what is being read
-  Micros reuse_for_;  // after an answer; what servers and those between bear, as far as seen
+  EndpointTable endpoints_;
+  IdleConnections idle_;
+  std::unordered_map<AttemptKey, ConnectionPtr, AttemptKeyHash> attempts_;
+  std::size_t open_connections_ = 0;
+  // Receives what is being read.
+  std::array<char, 32 << 10> read_buffer_;
+  IdleReuseEstimator idle_reuse_;
 };
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/upstream/response_classifier.cpp
@@ -0,0 +1,55 @@
+#include "net/upstream/response_classifier.hpp"
+
+#include <boost/beast/http/status.hpp>
+#include <string_view>
+#include <utility>
+
+#include "net/upstream/load_report_parser.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace http = boost::beast::http;
+
+// The largest values that are plausible in a server's response.
+constexpr double kMaxBilledUnits = 1e4;
+constexpr double kMaxUsagePercent = 1e6;
+
+std::string_view header(const ServerResponse& response, std::string_view name) {
+  const auto value = response[{name.data(), name.size()}];
+  return {value.data(), value.size()};
+}
+
+}  // namespace
+
+bool is_interim(const ServerResponse& response) {
+  // By the number: the library's list of statuses lacks some, 103 among them.
+  return response.result_int() / 100 == 1;
+}
+
+Outcome outcome_of(const ServerResponse& response) {
+  if (response.result() == http::status::ok) {
+    return Outcome::kOk;
+  }
+  const bool is_rejection = response.result() == http::status::service_unavailable ||
+                            response.result() == http::status::gateway_timeout;
+  const bool never_ran = is_rejection && header(response, "X-Never-Ran") == "1";
+  return never_ran ? Outcome::kOverloaded : Outcome::kError;
+}
+
+AttemptResult take_result(ServerResponse& response, Micros first_byte_at) {
+  AttemptResult result;
+  result.outcome = outcome_of(response);
+  result.load = parse_load_report(header(response, "Endpoint-Load-Metrics"));
+  result.first_byte_at = first_byte_at;
+  if (const auto percent = parse_figure(header(response, "Usage-Percent"), kMaxUsagePercent)) {
+    result.quota_usage_percent = int(*percent);
+  }
+  if (result.outcome == Outcome::kOk) {
+    result.billed_units = parse_figure(header(response, "Billed-Units"), kMaxBilledUnits);
+    result.body = std::exchange(response.body(), {});
+  }
+  return result;
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/upstream/upstream_connection.cpp
@@ -0,0 +1,116 @@
+#include "net/upstream/upstream_connection.hpp"
+
+#include <sys/socket.h>
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/http/error.hpp>
+#include <boost/system/system_error.hpp>
+#include <cerrno>
+
+#include "net/upstream/response_classifier.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+constexpr std::uint32_t kMaxHeaderBytes = 16 << 10;
+
+}  // namespace
+
+bool UpstreamConnection::is_open_and_silent() {
+  char byte = 0;
+  const auto size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+}
+
+void UpstreamConnection::reset_on_close() {
+  error_code ignored;
+  socket.set_option(asio::socket_base::linger(true, 0), ignored);
+}
+
+void UpstreamConnection::encode_request(const ForwardedRequest& request, Micros time_left) {
+  output.clear();
+  output.append(request.method).append(" ").append(request.target);
+  output.append(" HTTP/1.1\r\nHost: ").append(request.host);
+  output.append("\r\nX-Trace-Id: ").append(request.trace_id);
+  if (!request.idempotency_key.empty()) {
+    output.append("\r\nIdempotency-Key: ").append(request.idempotency_key);
+  }
+  output.append("\r\nX-Expires-In: ").append(std::to_string(time_left)).append("u");
+  body_incomplete = !request.body_complete;
+  is_chunked = body_incomplete && !request.content_length;
+  const auto length =
+      request.body_complete ? request.body.size() : request.content_length.value_or(0);
+  if (is_chunked) {
+    output.append("\r\nTransfer-Encoding: chunked");
+  } else if (length > 0 || request.method != "GET") {
+    output.append("\r\nContent-Length: ").append(std::to_string(length));
+  }
+  output.append("\r\n\r\n").append(is_chunked ? encode_chunk(request.body) : request.body);
+}
+
+void UpstreamConnection::encode_body_piece(const std::string& piece, bool is_last) {
+  body_incomplete = !is_last;
+  output = is_chunked && !piece.empty() ? encode_chunk(piece) : piece;
+  if (is_chunked && is_last) {
+    output += kLastChunk;
+  }
+}
+
+void UpstreamConnection::begin_response() {
+  interim_responses = 0;
+  delivery = Delivery::kBuffered;
+  response_complete = false;
+  expect_response();
+}
+
+// The head is parsed by itself, and only then the rest (see parse_received). Without this, a parser
+// that goes straight on to the body forgets that the length was over the limit, and reads 3 GB.
+void UpstreamConnection::expect_response() {
+  parser.emplace();
+  parser->header_limit(kMaxHeaderBytes);
+  parser->body_limit(kMaxBodyBytes);
+}
+
+bool UpstreamConnection::parse_received() {
+  while (!parser->is_done()) {
+    if (received.empty()) {
+      return false;
+    }
+    error_code ec;
+    received.erase(0, parser->put(asio::buffer(received), ec));
+    if (ec == http::error::need_more) {
+      return false;
+    }
+    if (ec) {
+      throw boost::system::system_error(ec);  // not HTTP, or too large
+    }
+    if (parser->is_header_done() && !parser->eager()) {
+      check_head();
+    }
+  }
+  return true;
+}
+
+// Without a length of its own, a complete response can't be told from one that was cut short.
+void UpstreamConnection::check_head() {
+  const auto& head = parser->get();
+  check_framing(head, head.version() == 11);
+  if (parser->need_eof() && !is_interim(head)) {
+    throw HttpError("no length");
+  }
+  parser->eager(true);
+}
+
+bool UpstreamConnection::has_response_bytes() const {
+  return parser->got_some() || !received.empty();
+}
+
+bool UpstreamConnection::may_be_truncated() const {
+  return !received.empty() && !parser->chunked() && received.compare(0, 5, "HTTP/", 0, 5) != 0;
+}
+
+}  // namespace quota_gateway::net
