--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -198,7 +198,7 @@
     if (ec) {
       return timers_.after(kAcceptAgain, [this] { accept(); });
     }
-    if (callers_.size() >= kMostCallers) {
+    if (callers_.size() >= kMaxAdminConnections) {
       std::shared_ptr<AdminConnection>(callers_.front())->close();
     }
     callers_.push_back(std::make_shared<AdminConnection>(*this, std::move(socket)));
--- a/src/net/admin/admin_server.hpp
+++ b/src/net/admin/admin_server.hpp
@@ -16,7 +16,7 @@
 // Callers at a time. Their descriptors are put by, so that clients can't take them; a caller past
 // that many takes the place of the one that has kept its connection longest, so that slow callers
 // can't either.
-constexpr std::size_t kMostCallers = 8;
+constexpr std::size_t kMaxAdminConnections = 8;
 
 class AdminServer {
  public:
--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -74,7 +74,7 @@
 }
 
 // Of objects, each key; of lists of objects, such as the classes, the keys that all of them have.
-void check_complete(const json& was, const json& is, const std::string& where) {
+void check_keys_kept(const json& was, const json& is, const std::string& where) {
   if (was.is_object()) {
     for (const auto& [key, value] : was.items()) {
       if (value.is_null()) {
@@ -83,7 +83,7 @@
       if (!is.is_object() || !is.contains(key) || is[key].is_null()) {
         bad("no " + where + key);
       }
-      check_complete(value, is[key], where + key + ".");
+      check_keys_kept(value, is[key], where + key + ".");
     }
   } else if (was.is_array() && !was.empty() && was[0].is_object() && is.is_array()) {
     json common = was[0];
@@ -95,7 +95,7 @@
       }
     }
     for (const json& entry : is) {
-      check_complete(common, entry, where);
+      check_keys_kept(common, entry, where);
     }
   } else if (was.is_array() != is.is_array() || was.is_number() != is.is_number() ||
              was.is_string() != is.is_string() || was.is_boolean() != is.is_boolean()) {
@@ -105,18 +105,18 @@
 
 }  // namespace
 
-void check_complete(const json& was, const json& is) {
-  check_complete(was, is, "");
+void check_keys_kept(const json& was, const json& is) {
+  check_keys_kept(was, is, "");
 }
 
-ConfigLoader::ConfigLoader(std::istream& file, Known known)
+ConfigLoader::ConfigLoader(std::istream& file, KnownMembers known)
     : file_(file),
       reader_({"known", "members"}, {},
-              known == Known::kKept ? EndpointListParser::Retain::kEndpointsAndSamples
-                                    : EndpointListParser::Retain::kSamplesOnly),
+              known == KnownMembers::kKeep ? EndpointListParser::Retain::kEndpointsAndSamples
+                                           : EndpointListParser::Retain::kSamplesOnly),
       piece_(32 << 10, '\0') {}
 
-bool ConfigLoader::step() {
+bool ConfigLoader::parse_chunk() {
   file_.read(piece_.data(), std::streamsize(piece_.size()));
   const std::string_view came(piece_.data(), std::size_t(file_.gcount()));
   const std::size_t used = reader_.parse_chunk(came);
--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -15,16 +15,16 @@
   EndpointList known;
 };
 
-enum class Known { kKept, kOnlyChecked };
+enum class KnownMembers { kKeep, kCheckOnly };
 
 // Reads a file piece by piece, without a tree of the members of `known`: of 170,000 it took 400 MB.
 // All of this throws std::exception with a message of one line.
 class ConfigLoader {
  public:
-  enum class Known { kKept, kOnlyChecked };
-  ConfigLoader(std::istream& file, Known known);
+  enum class KnownMembers { kKeep, kCheckOnly };
+  ConfigLoader(std::istream& file, KnownMembers known);
   // Reads on for about a millisecond. False: that was all.
-  bool step();
+  bool parse_chunk();
   // Once all is read.
   ConfigFile finish();
 
@@ -37,6 +37,6 @@
 GatewayConfig parse_config(const nlohmann::json& tree);
 // Throws if a key that `was` had is missing. Most have a value to fall back on, which is right for
 // a gateway that never knew them, but not what the writer of a changed file meant.
-void check_complete(const nlohmann::json& was, const nlohmann::json& is);
+void check_keys_kept(const nlohmann::json& was, const nlohmann::json& is);
 
 }  // namespace quota_gateway::net
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -78,7 +78,7 @@
 }
 
 // Danger: calls that are out may have been added; only their own connection can still tell.
-void CounterClient::retire() {
+void CounterClient::close_when_idle() {
   retired_ = true;
   if (state_ != State::kUp) {
     return lost("retired");
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -26,7 +26,7 @@
   void start();
   // Takes no more calls and closes once those under way are answered or given up; never connects
   // again.
-  void retire();
+  void close_when_idle();
   // Exactly one answer follows, never from within this call.
   void add(const AddToCounter& call);
 
--- a/src/net/hot_restart/hot_restart.cpp
+++ b/src/net/hot_restart/hot_restart.cpp
@@ -214,11 +214,14 @@
   });
 }
 
-int HotRestart::take_listening() {
+std::optional<int> HotRestart::take_inherited_listener() {
+  if (inherited_ < 0) {
+    return std::nullopt;
+  }
   return std::exchange(inherited_, -1);
 }
 
-void HotRestart::ready() {
+void HotRestart::notify_parent_ready() {
   if (predecessor_) {
     say(predecessor_->native_handle(), kReady);
   }
@@ -227,7 +230,7 @@
 // Danger: a name that is taken away before ours is there would leave a moment in which a new
 // process finds nobody. So ours is made under another name and takes the place of whatever is
 // there.
-void HotRestart::wait_for_successor(int listening) {
+void HotRestart::listen_for_child(int listening) {
   listening_ = listening;
   sockaddr_un at;
   const std::string fresh = path_ + "." + std::to_string(::getpid());
--- a/src/net/hot_restart/hot_restart.hpp
+++ b/src/net/hot_restart/hot_restart.hpp
@@ -25,16 +25,16 @@
   ~HotRestart();
 
   // The predecessor's listening socket, once; -1: there is none. Whoever takes it closes it.
-  int take_listening();
+  std::optional<int> take_inherited_listener();
   // From now on a new process finds us, and is given `listening`.
-  void wait_for_successor(int listening);
+  void listen_for_child(int listening);
   // The predecessor may leave new clients to us.
-  void ready();
+  void notify_parent_ready();
 
-  bool predecessor() const { return bool(predecessor_); }
-  bool successor() const { return bool(successor_); }
+  bool has_parent() const { return bool(predecessor_); }
+  bool has_child() const { return bool(successor_); }
   // A successor takes the new clients.
-  bool taken() const { return taken_; }
+  bool child_accepting() const { return taken_; }
 
  private:
   using Descriptor = boost::asio::posix::stream_descriptor;
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -29,7 +29,7 @@
     256 << 10;  // bytes a client may come to: three bodies, and buffers
 
 std::size_t most_clients(const GatewayConfig& config) {
-  return std::max<std::size_t>(16, std::min(config.max_sockets / 2 - kMostCallers,
+  return std::max<std::size_t>(16, std::min(config.max_sockets / 2 - kMaxAdminConnections,
                                             config.memory_limit_mb * (1 << 20) / kClientMemory));
 }
 
@@ -93,12 +93,12 @@
   for (const ClassSettings& c : settings_.classes) {
     replies_[c.name];
   }
-  if (succession_.predecessor()) {
-    frontend_.adopt(config.listen_address, succession_.take_listening());
+  if (succession_.has_parent()) {
+    frontend_.adopt(config.listen_address, succession_.take_inherited_listener().value_or(-1));
   } else {
     frontend_.listen(config.listen_address);
   }
-  succession_.wait_for_successor(frontend_.listening_socket());
+  succession_.listen_for_child(frontend_.listening_socket());
   met();
   timers_.after(kTellWithin, [this] { believe_known(); });
   if (config.admin_address) {
@@ -479,7 +479,7 @@
 void GatewayServer::count_at(const std::optional<asio::ip::tcp::endpoint>& address) {
   counter_at_ = address;
   if (counter_) {
-    std::exchange(counter_, nullptr)->retire();
+    std::exchange(counter_, nullptr)->close_when_idle();
   }
   if (!address) {
     return;
@@ -541,16 +541,16 @@
 // ---- Another process of this gateway
 // ------------------------------------------------------------------
 void GatewayServer::met() {
-  const int others = int(succession_.predecessor()) + int(succession_.successor());
+  const int others = int(succession_.has_parent()) + int(succession_.has_child());
   if (std::exchange(others_, others) != others) {
     std::cerr << "succession: " << others << " other processes\n";
     push(PeerProcessesChanged{others});
   }
   // The limits are those of one gateway.
   upstream_.bound(std::max<std::size_t>(1, connections_ / std::size_t(1 + others)));
-  if (succession_.taken()) {
+  if (succession_.child_accepting()) {
     frontend_.hand_over_new_clients();
-  } else if (succession_.predecessor()) {
+  } else if (succession_.has_parent()) {
     look_ready();
   } else if (!frontend_.is_accepting()) {
     frontend_.start_accepting();
@@ -559,11 +559,12 @@
 
 // Until we are fit to serve, the old process goes on taking the new clients.
 void GatewayServer::look_ready() {
-  if (!succession_.predecessor() || frontend_.is_accepting() || succession_.taken() || !fit()) {
+  if (!succession_.has_parent() || frontend_.is_accepting() || succession_.child_accepting() ||
+      !fit()) {
     return;
   }
   frontend_.start_accepting();
-  succession_.ready();
+  succession_.notify_parent_ready();
 }
 
 // ---- The end
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -47,8 +47,8 @@
 
 quota_gateway::net::ConfigFile read_at_start() {
   auto file = open_file();
-  ConfigLoader reader(file, ConfigLoader::Known::kKept);
-  while (reader.step()) {
+  ConfigLoader reader(file, ConfigLoader::KnownMembers::kKeep);
+  while (reader.parse_chunk()) {
   }
   return reader.finish();
 }
@@ -78,7 +78,7 @@
     attempt([&] {
       reader_.reset();
       file_ = open_file();
-      reader_.emplace(file_, ConfigLoader::Known::kOnlyChecked);
+      reader_.emplace(file_, ConfigLoader::KnownMembers::kCheckOnly);
       if (!std::exchange(posted_, true)) {
         go_on();
       }
@@ -104,7 +104,7 @@
         return;
       }
       attempt([&] {
-        if (!reader_->step()) {
+        if (!reader_->parse_chunk()) {
           return take();
         }
         posted_ = true;
@@ -115,7 +115,7 @@
   void take() {
     auto file = reader_->finish();
     reader_.reset();
-    quota_gateway::net::check_complete(taken_, file.tree);
+    quota_gateway::net::check_keys_kept(taken_, file.tree);
     driver_.reload(parse(file.tree));
     taken_ = std::move(file.tree);
     std::cerr << name_ << ": configuration reloaded\n";
--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -106,7 +106,7 @@
   rig.know(member("s1", s1));
   rig.start();
   std::list<Client> slow;
-  for (std::size_t i = 0; i < 3 * kMostCallers; ++i) {
+  for (std::size_t i = 0; i < 3 * kMaxAdminConnections; ++i) {
     slow.emplace_back(rig.io, *rig.driver->operators_address()).send("GET /ops/sta");
     EXPECT_GE(figure("targets"), 1);
   }
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -9,12 +9,12 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-using Known = ConfigLoader::Known;
+using KnownMembers = ConfigLoader::KnownMembers;
 
-ConfigFile read(const std::string& text, Known known = Known::kKept) {
+ConfigFile read(const std::string& text, KnownMembers known = KnownMembers::kKeep) {
   std::istringstream file(text);
   ConfigLoader reader(file, known);
-  while (reader.step()) {
+  while (reader.parse_chunk()) {
   }
   return reader.finish();
 }
@@ -31,7 +31,7 @@
   EXPECT_EQ(out.known.endpoints.size(), 1000U);
   EXPECT_EQ(out.tree["known"]["members"].size(), 1U);
   EXPECT_EQ(out.tree["settings"]["members"].size(), 1U);
-  const auto checked = read(file(fleet(1000)), Known::kOnlyChecked);
+  const auto checked = read(file(fleet(1000)), KnownMembers::kCheckOnly);
   EXPECT_EQ(checked.tree, out.tree);
   EXPECT_TRUE(checked.known.endpoints.empty());
   for (const char* none : {R"({"name":"n0"})", R"({"known":null})"}) {
@@ -50,7 +50,7 @@
         whole.substr(0, whole.size() / 2), edited(R"("phase":"up")", R"("phase":"odd")"),
         edited(R"("phase":"up",)", ""), edited(":8081", ""), edited(R"("revision":41,)", ""),
         edited(R"("size":1.0)", R"("size":)")}) {
-    for (const Known known : {Known::kKept, Known::kOnlyChecked}) {
+    for (const KnownMembers known : {KnownMembers::kKeep, KnownMembers::kCheckOnly}) {
       EXPECT_ANY_THROW(read(text, known));
     }
   }
@@ -66,7 +66,7 @@
   const std::string other =
       R"({"id":"d","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0,"x":1})";
   const auto check = [](const std::string& was, const std::string& is) {
-    check_complete(read(file(was)).tree, read(file(is), Known::kOnlyChecked).tree);
+    check_keys_kept(read(file(was)).tree, read(file(is), KnownMembers::kCheckOnly).tree);
   };
   const auto many = [](const std::string& member, const std::string& last) {
     std::string out;
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -146,7 +146,7 @@
   fake->silent = true;
   counter->add({1, 4, 4'000'000});
   ASSERT_TRUE(until(io, [&] { return fake->calls.size() == 2; }));
-  counter->retire();
+  counter->close_when_idle();
   EXPECT_EQ(add(2).outcome, CounterOutcome::kNotAdded);  // takes no more
   fake->last->write("$1\r\n5\r\n");
   ASSERT_TRUE(until(io, [&] { return answers.size() == 3; }));
@@ -161,7 +161,7 @@
   ASSERT_TRUE(comes_back());
   fake->silent = true;
   counter->add({1, 4, 4'000'000});
-  counter->retire();
+  counter->close_when_idle();
   EXPECT_TRUE(until(io, [&] { return fake->last->over; }));
 }
 
