--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -1,16 +1,13 @@
 #include "net/counter/counter_client.hpp"
 
-#include <hiredis/hiredis.h>
-
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
-#include <charconv>
 #include <cmath>
-#include <cstdlib>
 #include <iostream>
 #include <string_view>
+#include <utility>
 
 namespace quota_gateway::net {
 namespace {
@@ -19,245 +16,196 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Micros kTend = 100'000;
-constexpr Micros kPingAfter =
-    2'000'000;  // us of silence; the counter closes what idles for 10 s or less
-constexpr Micros kSilentAfter =
-    1'500'000;  // us without an answer to what is owed: the connection is dead
-constexpr Micros kFirstBackoff = 50'000, kMostBackoff = 500'000;
-constexpr std::size_t kMostUnanswered = 4096;  // calls on one connection
-constexpr std::size_t kMostReply = 64 << 10;   // bytes; no honest reply comes near
-constexpr Micros kLogEvery = 10'000'000;
-
-std::string format(std::initializer_list<std::string_view> words) {
-  std::vector<const char*> argv;
-  std::vector<std::size_t> lengths;
-  for (const auto& w : words) {
-    argv.push_back(w.data());
-    lengths.push_back(w.size());
-  }
-  char* raw = nullptr;
-  const auto size = redisFormatCommandArgv(&raw, int(argv.size()), argv.data(), lengths.data());
-  if (size < 0) {
-    throw std::bad_alloc();
-  }
-  std::string out(raw, std::size_t(size));
-  std::free(raw);
-  return out;
-}
-
-std::string decimal(double value) {
-  std::array<char, 400> text;
-  const auto end =
-      std::to_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed).ptr;
-  return {text.data(), end};
-}
-
-bool parse_total(std::string_view text, double& total) {
-  const auto [stop, ec] = std::from_chars(text.data(), text.data() + text.size(), total);
-  return ec == std::errc() && stop == text.data() + text.size() && std::isfinite(total);
-}
+constexpr Micros kMicrosPerMillisecond = 1000;
+constexpr Micros kLivenessCheckInterval = 100'000;
+// The counter closes connections that have been idle for 10 s or less.
+constexpr Micros kPingAfterIdle = 2'000'000;
+// Without a response to a call in flight for this long, the connection counts as dead.
+constexpr Micros kNoResponseTimeout = 1'500'000;
+constexpr Micros kMinBackoff = 50'000;
+constexpr Micros kMaxBackoff = 500'000;
+constexpr std::size_t kMaxCallsInFlight = 4096;
+// No honest reply comes near it.
+constexpr std::size_t kMaxReplyBytes = 64 << 10;
+constexpr Micros kLogInterval = 10'000'000;
 
 }  // namespace
 
 CounterClient::CounterClient(asio::io_context& io, Timers& timers, const Clock& clock,
-                             tcp::endpoint address, Micros call_timeout, Micros dial_timeout,
-                             Answered answered)
+                             tcp::endpoint address, Micros call_timeout, Micros connect_timeout,
+                             ReplyHandler on_reply)
     : io_(io),
       timers_(timers),
       clock_(clock),
       address_(std::move(address)),
       call_timeout_(call_timeout),
-      dial_timeout_(dial_timeout),
-      answered_(std::move(answered)),
+      connect_timeout_(connect_timeout),
+      on_reply_(std::move(on_reply)),
       socket_(io) {}
 
 void CounterClient::start() {
   connect();
-  tend();
+  check_liveness();
 }
 
-// Danger: calls that are out may have been added; only their own connection can still tell.
+// Calls in flight may have been added, and only their own connection can still say so; without
+// waiting for it, they would be lost or counted twice.
 void CounterClient::close_when_idle() {
-  retired_ = true;
-  if (state_ != State::kUp) {
-    return lost("retired");
+  closing_ = true;
+  if (state_ != State::kConnected) {
+    return disconnect(DisconnectReason::kClosedByOwner);
   }
-  leave_when_done();
+  close_if_idle();
 }
 
-void CounterClient::leave_when_done() {
-  const bool done =
-      std::all_of(calls_.begin(), calls_.end(), [](const Call& c) { return c.answered || c.ping; });
-  if (retired_ && state_ == State::kUp && done) {
-    lost("retired");
+void CounterClient::close_if_idle() {
+  const bool idle = std::all_of(calls_.begin(), calls_.end(), [](const Call& call) {
+    return call.answered || call.kind == Call::Kind::kPing;
+  });
+  if (closing_ && state_ == State::kConnected && idle) {
+    disconnect(DisconnectReason::kClosedByOwner);
   }
 }
 
+// ---- The connection
+
 void CounterClient::connect() {
-  const int life = ++life_;
+  const int generation = ++connection_generation_;
   state_ = State::kConnecting;
-  heard_ = clock_.now();
-  reader_.reset(redisReaderCreate());
-  if (!reader_) {
-    throw std::bad_alloc();
-  }
-  // Danger: a reply that claims to be a list of billions would have the reader allocate it. No call
-  // has one.
-  functions_ = *reader_->fn;
-  functions_.createArray = [](const redisReadTask*, int) -> void* { return nullptr; };
-  reader_->fn = &functions_;
+  last_received_at_ = clock_.now();
+  parser_.emplace();
   socket_ = tcp::socket(io_);
-  socket_.async_connect(address_, [this, self = shared_from_this(), life](error_code ec) {
-    if (life != life_) {
-      return;
-    }
-    if (ec) {
-      return lost(ec.message());
-    }
-    error_code ignored;
-    socket_.set_option(tcp::no_delay(true), ignored);
-    state_ = State::kUp;
-    heard_ = clock_.now();
-    // Both ends of a stretch without the counter are in the log; a bad day is read by them.
-    if (down_since_ > 0) {
-      std::cerr << "counter: back after " << (heard_ - down_since_) / 1000 << " ms\n";
+  socket_.async_connect(address_, [this, self = shared_from_this(), generation](error_code ec) {
+    if (generation == connection_generation_) {
+      on_connected(ec);
     }
-    down_since_ = 0;
-    write();
-    read();
   });
-  timers_.after(dial_timeout_, [this, self = shared_from_this(), life] {
-    if (life == life_ && state_ == State::kConnecting) {
-      lost("never came up");
+  timers_.after(connect_timeout_, [this, self = shared_from_this(), generation] {
+    if (generation == connection_generation_ && state_ == State::kConnecting) {
+      disconnect(DisconnectReason::kConnectTimeout);
     }
   });
 }
 
-void CounterClient::add(const AddToCounter& call) {
-  Call c;
-  c.name = call.name;
-  c.made = clock_.now();
-  c.number = ++number_;
-  if (retired_ || state_ == State::kDown || calls_.size() >= kMostUnanswered ||
-      !std::isfinite(call.amount)) {
-    asio::post(io_, [this, self = shared_from_this(), c]() mutable {
-      finish(c, CounterOutcome::kNotAdded);
-    });
-    return;
+void CounterClient::on_connected(error_code ec) {
+  if (ec) {
+    return disconnect(DisconnectReason::kSocketError, ec);
   }
-  const Micros life = std::clamp<Micros>(call.forget_after / 1000, 1, 60'000);
-  c.command =
-      format({"CNT.ADD", std::to_string(call.name), decimal(call.amount), std::to_string(life)});
-  timers_.at(c.made + call_timeout_,
-             [this, self = shared_from_this(), number = c.number] { expire(number); });
-  calls_.push_back(std::move(c));
-  write();
+  error_code ignored;
+  socket_.set_option(tcp::no_delay(true), ignored);
+  state_ = State::kConnected;
+  last_received_at_ = clock_.now();
+  // Both ends of a time without the counter are in the log, so that an incident can be dated.
+  if (disconnected_since_) {
+    const Micros outage = last_received_at_ - *disconnected_since_;
+    std::cerr << "counter: reconnected after " << outage / kMicrosPerMillisecond << " ms\n";
+  }
+  disconnected_since_.reset();
+  write_pending_commands();
+  read();
 }
 
-void CounterClient::write() {
-  if (state_ != State::kUp || !writing_.empty()) {
-    return;
+void CounterClient::disconnect(DisconnectReason reason, error_code error) {
+  error_code ignored;
+  socket_.close(ignored);
+  ++connection_generation_;
+  state_ = State::kDisconnected;
+  std::deque<Call> calls;
+  calls.swap(calls_);
+  // How much of a pending write was sent is not known; all of it may have been added.
+  const std::size_t possibly_sent = written_ + write_buffer_.size();
+  write_buffer_.clear();
+  written_ = 0;
+  const Micros now = clock_.now();
+  if (!disconnected_since_) {
+    disconnected_since_ = now;
   }
-  for (Call& c : calls_) {
-    if (c.command.empty()) {
-      continue;
-    }
-    writing_ += c.command;
-    c.command.clear();
-    c.end = written_ + writing_.size();
+  log_disconnect(now, reason, error);
+  reconnect_after_backoff(now);
+  for (Call& call : calls) {
+    const bool sent = call.command.empty() && call.end_offset <= possibly_sent;
+    finish(call, sent ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
   }
-  if (writing_.empty()) {
-    return;
+}
+
+void CounterClient::log_disconnect(Micros now, DisconnectReason reason, error_code error) {
+  const bool logged_lately = last_logged_at_ && now - *last_logged_at_ <= kLogInterval;
+  if (!closing_ && !logged_lately) {
+    last_logged_at_ = now;
+    std::cerr << "counter: " << describe(reason, error) << '\n';
   }
-  asio::async_write(
-      socket_, asio::buffer(writing_),
-      [this, self = shared_from_this(), life = life_](error_code ec, std::size_t size) {
-        if (life != life_) {
-          return;
-        }
-        written_ += size;
-        writing_.clear();
-        ec ? lost(ec.message()) : write();
-      });
 }
 
-void CounterClient::read() {
-  socket_.async_read_some(asio::buffer(chunk_), [this, self = shared_from_this(), life = life_](
-                                                    error_code ec, std::size_t size) {
-    if (life != life_) {
-      return;
-    }
-    if (ec) {
-      return lost(ec.message());
-    }
-    heard_ = clock_.now();
-    backoff_ = 0;
-    took(size);
-    if (life != life_) {
-      return;
-    }
-    leave_when_done();
-    if (life == life_) {
-      read();
-    }
-  });
+std::string CounterClient::describe(DisconnectReason reason, error_code error) {
+  switch (reason) {
+    case DisconnectReason::kClosedByOwner:
+      return "closed";
+    case DisconnectReason::kConnectTimeout:
+      return "connecting timed out";
+    case DisconnectReason::kSocketError:
+      return error.message();
+    case DisconnectReason::kReplyParserFailed:
+      return "reply parser failed";
+    case DisconnectReason::kMalformedReply:
+      return "malformed reply";
+    case DisconnectReason::kReplyWithoutCall:
+      return "a reply without a call";
+    case DisconnectReason::kReplyWithoutTotal:
+      return "a reply without a total";
+    case DisconnectReason::kOversizedReply:
+      return "oversized reply";
+    case DisconnectReason::kNoResponse:
+      return "no response";
+  }
+  return "unknown reason";
 }
 
-void CounterClient::took(std::size_t size) {
-  if (redisReaderFeed(reader_.get(), chunk_.data(), size) != REDIS_OK) {
-    return lost("reader failed");
+void CounterClient::reconnect_after_backoff(Micros now) {
+  // Spread by the clock, so that gateways that lost the counter together do not return together.
+  const Micros spread = backoff_ > 0 ? now % (backoff_ / 2) : 0;
+  const Micros wait = backoff_ * 3 / 4 + spread;
+  backoff_ = std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
+  if (closing_) {
+    return;
   }
-  while (true) {
-    void* raw = nullptr;
-    if (redisReaderGetReply(reader_.get(), &raw) != REDIS_OK) {
-      return lost("malformed reply");
-    }
-    if (!raw) {
-      break;
-    }
-    const std::unique_ptr<void, void (*)(void*)> held(raw, freeReplyObject);
-    if (calls_.empty()) {
-      return lost("a reply to nothing");
+  timers_.after(wait, [this, self = shared_from_this(), generation = connection_generation_] {
+    if (generation == connection_generation_ && !closing_) {
+      connect();
     }
-    if (!reply(raw)) {
-      return lost("a reply without a number");
-    }
-  }
-  if (reader_->len - reader_->pos > kMostReply) {
-    lost("oversized reply");
-  }
+  });
 }
 
-// False: what came is no answer to a call. The amount was added, and whether the next reply would
-// belong to the next call can't be known; danger: a total taken for that of another customer.
-bool CounterClient::reply(void* raw) {
-  const auto& r = *static_cast<redisReply*>(raw);
-  Call call = calls_.front();
-  calls_.pop_front();
-  if (call.ping) {
-    return r.type == REDIS_REPLY_STATUS;
-  }
-  const std::string_view text(r.str ? r.str : "", r.str ? r.len : 0);
-  double total = 0;
-  if (r.type == REDIS_REPLY_STRING && parse_total(text, total)) {
-    finish(call, CounterOutcome::kOk, total);
-    return true;
+// ---- Calls
+
+void CounterClient::add(const AddToCounter& addition) {
+  Call call;
+  call.counter_name = addition.name;
+  call.created_at = clock_.now();
+  call.number = ++last_call_number_;
+  if (closing_ || state_ == State::kDisconnected || calls_.size() >= kMaxCallsInFlight ||
+      !std::isfinite(addition.amount)) {
+    asio::post(io_, [this, self = shared_from_this(), call]() mutable {
+      finish(call, CounterOutcome::kNotAdded);
+    });
+    return;
   }
-  const bool turned_away =
-      r.type == REDIS_REPLY_ERROR && (text.substr(0, 4) == "BUSY" || text.substr(0, 3) == "ERR");
-  finish(call, turned_away ? CounterOutcome::kNotAdded : CounterOutcome::kUnknown);
-  return turned_away;
+  call.command = encode_add_command(addition);
+  timers_.at(call.created_at + call_timeout_,
+             [this, self = shared_from_this(), number = call.number] { on_call_timeout(number); });
+  calls_.push_back(std::move(call));
+  write_pending_commands();
 }
 
-// Our time-out. A call that never left is taken out of the line and known not to be added.
-void CounterClient::expire(std::uint64_t number) {
-  if (retired_) {
-    asio::post(io_, [this, self = shared_from_this()] { leave_when_done(); });
+// A call that was never handed to the socket is removed and known not to be added; one that was
+// stays in line for its reply.
+void CounterClient::on_call_timeout(std::uint64_t call_number) {
+  if (closing_) {
+    asio::post(io_, [this, self = shared_from_this()] { close_if_idle(); });
   }
-  const auto it = std::lower_bound(calls_.begin(), calls_.end(), number,
-                                   [](const Call& c, std::uint64_t n) { return c.number < n; });
-  if (it == calls_.end() || it->number != number || it->answered) {
+  const auto it =
+      std::lower_bound(calls_.begin(), calls_.end(), call_number,
+                       [](const Call& call, std::uint64_t number) { return call.number < number; });
+  if (it == calls_.end() || it->number != call_number || it->answered) {
     return;
   }
   if (it->command.empty()) {
@@ -269,69 +217,145 @@
 }
 
 void CounterClient::finish(Call& call, CounterOutcome outcome, double total) {
-  if (call.answered || call.ping) {
+  if (call.answered || call.kind == Call::Kind::kPing) {
     return;
   }
   call.answered = true;
-  answered_({call.name, total, outcome, clock_.now() - call.made});
+  on_reply_({call.counter_name, total, outcome, clock_.now() - call.created_at});
 }
 
-void CounterClient::lost(const std::string& why) {
-  error_code ignored;
-  socket_.close(ignored);
-  const int life = ++life_;
-  state_ = State::kDown;
-  std::deque<Call> calls;
-  calls.swap(calls_);
-  // What a write under way got out is not known; it may have been added.
-  const std::size_t sent = written_ + writing_.size();
-  writing_.clear();
-  written_ = 0;
-  const Micros now = clock_.now();
-  if (down_since_ == 0) {
-    down_since_ = now;
+// ---- Commands out, replies in
+
+void CounterClient::write_pending_commands() {
+  if (state_ != State::kConnected || !write_buffer_.empty()) {
+    return;
   }
-  if (!retired_ && now - logged_ > kLogEvery) {
-    logged_ = now;
-    std::cerr << "counter: " << why << '\n';
+  for (Call& call : calls_) {
+    if (call.command.empty()) {
+      continue;
+    }
+    write_buffer_ += call.command;
+    call.command.clear();
+    call.end_offset = written_ + write_buffer_.size();
   }
-  // Spread, so that gateways that lost it together do not return together.
-  const Micros wait = backoff_ * 3 / 4 + (backoff_ > 0 ? now % (backoff_ / 2) : 0);
-  backoff_ = std::clamp(2 * backoff_, kFirstBackoff, kMostBackoff);
-  if (!retired_) {
-    timers_.after(wait, [this, self = shared_from_this(), life] {
-      if (life == life_ && !retired_) {
-        connect();
-      }
-    });
+  if (write_buffer_.empty()) {
+    return;
   }
-  for (Call& c : calls) {
-    const bool left = c.command.empty() && c.end <= sent;
-    finish(c, left ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
+  asio::async_write(socket_, asio::buffer(write_buffer_),
+                    [this, self = shared_from_this(), generation = connection_generation_](
+                        error_code ec, std::size_t size) {
+                      if (generation != connection_generation_) {
+                        return;
+                      }
+                      written_ += size;
+                      write_buffer_.clear();
+                      if (ec) {
+                        return disconnect(DisconnectReason::kSocketError, ec);
+                      }
+                      write_pending_commands();
+                    });
+}
+
+void CounterClient::read() {
+  socket_.async_read_some(asio::buffer(read_buffer_),
+                          [this, self = shared_from_this(), generation = connection_generation_](
+                              error_code ec, std::size_t size) {
+                            if (generation != connection_generation_) {
+                              return;
+                            }
+                            if (ec) {
+                              return disconnect(DisconnectReason::kSocketError, ec);
+                            }
+                            last_received_at_ = clock_.now();
+                            backoff_ = 0;
+                            parse_replies(size);
+                            if (generation != connection_generation_) {
+                              return;
+                            }
+                            close_if_idle();
+                            if (generation == connection_generation_) {
+                              read();
+                            }
+                          });
+}
+
+void CounterClient::parse_replies(std::size_t received) {
+  using Status = CounterReplyParser::Status;
+  if (!parser_->feed({read_buffer_.data(), received})) {
+    return disconnect(DisconnectReason::kReplyParserFailed);
+  }
+  while (true) {
+    const CounterReplyParser::Result result = parser_->next();
+    if (result.status == Status::kMalformed) {
+      return disconnect(DisconnectReason::kMalformedReply);
+    }
+    if (result.status == Status::kNeedMoreBytes) {
+      break;
+    }
+    if (calls_.empty()) {
+      return disconnect(DisconnectReason::kReplyWithoutCall);
+    }
+    if (!dispatch(result.reply)) {
+      return disconnect(DisconnectReason::kReplyWithoutTotal);
+    }
+  }
+  if (parser_->buffered_bytes() > kMaxReplyBytes) {
+    disconnect(DisconnectReason::kOversizedReply);
+  }
+}
+
+// After a reply that belongs to no call, the amount may have been added, and whether the next reply
+// belongs to the next call can't be known. Without ending the connection there, a total could be
+// taken for that of another customer.
+bool CounterClient::dispatch(const CounterProtocolReply& reply) {
+  using Kind = CounterProtocolReply::Kind;
+  Call call = std::move(calls_.front());
+  calls_.pop_front();
+  if (call.kind == Call::Kind::kPing) {
+    return reply.kind == Kind::kStatus;
+  }
+  switch (reply.kind) {
+    case Kind::kTotal:
+      finish(call, CounterOutcome::kOk, reply.total);
+      return true;
+    case Kind::kRejected:
+      finish(call, CounterOutcome::kNotAdded);
+      return true;
+    default:
+      finish(call, CounterOutcome::kUnknown);
+      return false;
   }
 }
 
-// Keeps an idle connection open and finds one that has gone silent.
-void CounterClient::tend() {
-  if (retired_ && state_ == State::kDown) {
+// ---- Liveness
+
+// Keeps an idle connection open and detects one whose counter has vanished.
+void CounterClient::check_liveness() {
+  if (closing_ && state_ == State::kDisconnected) {
     return;
   }
   const Micros now = clock_.now();
-  if (state_ == State::kUp) {
-    if (!calls_.empty() && now - std::max(calls_.front().made, heard_) > kSilentAfter) {
-      backoff_ = kMostBackoff;  // danger: the counter may still hold what we close; it bears 32
-      lost("silent");
-    } else if (calls_.empty() && now - heard_ > kPingAfter) {
-      Call ping;
-      ping.ping = true;
-      ping.made = now;
-      ping.number = ++number_;
-      ping.command = format({"PING"});
-      calls_.push_back(std::move(ping));
-      write();
+  if (state_ == State::kConnected) {
+    if (!calls_.empty() &&
+        now - std::max(calls_.front().created_at, last_received_at_) > kNoResponseTimeout) {
+      // The counter may still hold the connection that we close, and it holds at most 32.
+      backoff_ = kMaxBackoff;
+      disconnect(DisconnectReason::kNoResponse);
+    } else if (calls_.empty() && now - last_received_at_ > kPingAfterIdle) {
+      send_ping(now);
     }
   }
-  timers_.after(kTend, [this, self = shared_from_this()] { tend(); });
+  timers_.after(kLivenessCheckInterval, [this, self = shared_from_this()] { check_liveness(); });
+}
+
+void CounterClient::send_ping(Micros now) {
+  Call ping;
+  ping.kind = Call::Kind::kPing;
+  ping.created_at = now;
+  ping.number = ++last_call_number_;
+  ping.command = encode_ping_command();
+  calls_.push_back(std::move(ping));
+  write_pending_commands();
 }
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/counter/counter_protocol.cpp
@@ -0,0 +1,121 @@
+#include "net/counter/counter_protocol.hpp"
+
+#include <hiredis/hiredis.h>
+
+#include <algorithm>
+#include <array>
+#include <charconv>
+#include <cmath>
+#include <cstdlib>
+#include <initializer_list>
+#include <new>
+#include <system_error>
+#include <vector>
+
+namespace quota_gateway::net {
+namespace {
+
+constexpr Micros kMicrosPerMillisecond = 1000;
+constexpr Micros kMinLifetimeMs = 1;
+constexpr Micros kMaxLifetimeMs = 60'000;
+// The longest finite double in fixed notation has 309 digits before its point or 343 characters
+// behind it.
+constexpr std::size_t kMaxDecimalSize = 400;
+
+std::string encode_command(std::initializer_list<std::string_view> words) {
+  std::vector<const char*> arguments;
+  std::vector<std::size_t> lengths;
+  for (const std::string_view word : words) {
+    arguments.push_back(word.data());
+    lengths.push_back(word.size());
+  }
+  char* formatted = nullptr;
+  const auto size =
+      redisFormatCommandArgv(&formatted, int(arguments.size()), arguments.data(), lengths.data());
+  if (size < 0) {
+    throw std::bad_alloc();
+  }
+  std::string command(formatted, std::size_t(size));
+  std::free(formatted);
+  return command;
+}
+
+std::string to_decimal(double value) {
+  std::array<char, kMaxDecimalSize> text;
+  char* const end =
+      std::to_chars(text.data(), text.data() + text.size(), value, std::chars_format::fixed).ptr;
+  return {text.data(), end};
+}
+
+std::optional<double> parse_total(std::string_view text) {
+  double total = 0;
+  const char* const end = text.data() + text.size();
+  const auto [stop, ec] = std::from_chars(text.data(), end, total);
+  if (ec != std::errc() || stop != end || !std::isfinite(total)) {
+    return std::nullopt;
+  }
+  return total;
+}
+
+bool says_rejected(std::string_view error) {
+  return error.substr(0, 4) == "BUSY" || error.substr(0, 3) == "ERR";
+}
+
+CounterProtocolReply classify(const redisReply& reply) {
+  using Kind = CounterProtocolReply::Kind;
+  const std::string_view text(reply.str ? reply.str : "", reply.str ? reply.len : 0);
+  if (reply.type == REDIS_REPLY_STATUS) {
+    return {Kind::kStatus, 0};
+  }
+  if (reply.type == REDIS_REPLY_ERROR && says_rejected(text)) {
+    return {Kind::kRejected, 0};
+  }
+  if (reply.type == REDIS_REPLY_STRING) {
+    if (const std::optional<double> total = parse_total(text)) {
+      return {Kind::kTotal, *total};
+    }
+  }
+  return {Kind::kOther, 0};
+}
+
+}  // namespace
+
+std::string encode_add_command(const AddToCounter& addition) {
+  const Micros lifetime_ms = std::clamp<Micros>(addition.forget_after / kMicrosPerMillisecond,
+                                                kMinLifetimeMs, kMaxLifetimeMs);
+  return encode_command({"CNT.ADD", std::to_string(addition.name), to_decimal(addition.amount),
+                         std::to_string(lifetime_ms)});
+}
+
+std::string encode_ping_command() {
+  return encode_command({"PING"});
+}
+
+CounterReplyParser::CounterReplyParser() : reader_(redisReaderCreate()) {
+  if (!reader_) {
+    throw std::bad_alloc();
+  }
+  // Without this, a reply that claims to be a list of billions would have the reader allocate it.
+  // No call has a list for a reply.
+  reply_functions_ = *reader_->fn;
+  reply_functions_.createArray = [](const redisReadTask*, int) -> void* { return nullptr; };
+  reader_->fn = &reply_functions_;
+}
+
+bool CounterReplyParser::feed(std::string_view bytes) {
+  return redisReaderFeed(reader_.get(), bytes.data(), bytes.size()) == REDIS_OK;
+}
+
+CounterReplyParser::Result CounterReplyParser::next() {
+  void* raw = nullptr;
+  if (redisReaderGetReply(reader_.get(), &raw) != REDIS_OK) {
+    return {Status::kMalformed, {}};
+  }
+  if (!raw) {
+    return {Status::kNeedMoreBytes, {}};
+  }
+  const std::unique_ptr<void, void (*)(void*)> owner(raw, freeReplyObject);
+  return {Status::kReply, classify(*static_cast<const redisReply*>(raw))};
+}
+
+}  // namespace quota_gateway::net
