--- a/src/net/hot_restart/hot_restart.hpp
+++ b/src/net/hot_restart/hot_restart.hpp
@@ -1,6 +1,10 @@
-// How the old and the new process of one gateway meet, by a socket in the folder that they share.
-// The old one hands over the very socket on which clients connect, so that no connection falls
-// between them; each then holds the link until the other has gone.
+// How two processes of one gateway, the parent that serves and the child that replaces it, meet at
+// a socket in the directory that they share. The parent passes the very socket on which clients
+// connect to the child, so that no connection is lost between them. Each then holds the link until
+// the other has gone.
+//
+// GatewayServer owns it and decides what to do at each change. A process may be the child of an
+// older one and the parent of a younger one at once.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,49 +16,59 @@
 #include <string>
 
 #include "net/event_loop/timers.hpp"
+#include "net/hot_restart/packet_socket.hpp"
 
 namespace quota_gateway::net {
 
 class HotRestart {
  public:
-  // `folder` empty: no process is looked for, and none can follow. `changed` follows each change of
-  // what predecessor(), successor() and taken() tell, never from within the constructor.
-  HotRestart(boost::asio::io_context& io, Timers& timers, const std::string& folder,
-             const std::string& name, const boost::asio::ip::tcp::endpoint& clients,
-             std::function<void()> changed);
-  ~HotRestart();
-
-  // The predecessor's listening socket, once; -1: there is none. Whoever takes it closes it.
+  // Looks for a parent, which may block for up to 0.5 s. With an empty `directory` no parent is
+  // looked for, and no child can follow. Processes belong together if they have the directory,
+  // `gateway_name` and `client_address`, on which clients connect, in common. `on_change` follows
+  // each change of has_parent(), has_child() and child_accepting(), never from within the
+  // constructor.
+  HotRestart(boost::asio::io_context& io, Timers& timers, const std::string& directory,
+             const std::string& gateway_name, const boost::asio::ip::tcp::endpoint& client_address,
+             std::function<void()> on_change);
+
+  // The parent's listening socket, at the first call after a parent was found. The caller closes
+  // it.
   std::optional<int> take_inherited_listener();
-  // From now on a new process finds us, and is given `listening`.
-  void listen_for_child(int listening);
-  // The predecessor may leave new clients to us.
+  // From now on a child finds this process and is given `listening_socket`, which must stay open as
+  // long as this object lives.
+  void listen_for_child(int listening_socket);
+  // Tells the parent, if any, to leave new clients to this process.
   void notify_parent_ready();
 
-  bool has_parent() const { return bool(predecessor_); }
-  bool has_child() const { return bool(successor_); }
-  // A successor takes the new clients.
-  bool child_accepting() const { return taken_; }
+  bool has_parent() const { return bool(parent_); }
+  bool has_child() const { return bool(child_); }
+  // The child accepts new clients, so that this process must not.
+  bool child_accepting() const { return child_accepting_; }
 
  private:
   using Descriptor = boost::asio::posix::stream_descriptor;
-  using Link = std::unique_ptr<Descriptor>;
-  void find_predecessor();
-  void watch_predecessor();
-  void accept();
-  void greet(std::shared_ptr<Descriptor> guest);
-  void watch_successor();
+
+  void find_parent();
+  void watch_parent();
+  void accept_child();
+  void greet_child(const std::shared_ptr<Descriptor>& candidate);
+  void on_child_identity(Descriptor& candidate);
+  void watch_child();
+  void on_child_packet();
 
   boost::asio::io_context& io_;
   Timers& timers_;
-  const std::string path_, identity_;
-  const boost::asio::ip::tcp::endpoint clients_;
-  std::function<void()> changed_;
-  int inherited_ = -1;  // a listening socket that nobody has taken yet
-  int listening_ = -1;  // of the clients; not ours
-  std::unique_ptr<Descriptor> door_;
-  Link predecessor_, successor_;
-  bool taken_ = false;
+  const std::string socket_path_;  // empty: no hot restart
+  const std::string identity_packet_;
+  const boost::asio::ip::tcp::endpoint client_address_;
+  std::function<void()> on_change_;
+
+  OwnedDescriptor inherited_listener_;   // until it is taken
+  std::optional<int> listening_socket_;  // of the clients; another owns it
+  std::unique_ptr<Descriptor> child_acceptor_;
+  std::unique_ptr<Descriptor> parent_;
+  std::unique_ptr<Descriptor> child_;
+  bool child_accepting_ = false;
 };
 
 }  // namespace quota_gateway::net
--- a/tests/net/hot_restart/hot_restart_test.cpp
+++ b/tests/net/hot_restart/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// Two real processes of one gateway, the second started while the first serves.
+// Two real processes of one gateway, the child started while its parent serves.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -7,169 +7,206 @@
 #include <cstring>
 #include <filesystem>
 
+#include "net/hot_restart/packet_socket.hpp"
 #include "support/process.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
 
-class SuccessionTest : public ::testing::Test {
+class HotRestartTest : public ::testing::Test {
  protected:
-  SuccessionTest() {
-    char name[] = "/tmp/quota-gateway-folder-XXXXXX";
-    folder = ::mkdtemp(name);
+  HotRestartTest() {
+    directory = "/tmp/quota-gateway-folder-XXXXXX";
+    EXPECT_NE(::mkdtemp(directory.data()), nullptr);
     discovery.first = list(42, true, entry("s1", server.text()));
   }
-  ~SuccessionTest() override { std::filesystem::remove_all(folder); }
-  std::string file() const { return folder + "/cottonroad.sock"; }
-  std::string configured(std::uint16_t mgmt) {
+  ~HotRestartTest() override { std::filesystem::remove_all(directory); }
+  std::string socket_file() const { return directory + "/cottonroad.sock"; }
+  std::string config_with_admin_port(std::uint16_t admin_port) {
     return config(port, server, discovery,
-                  R"("mgmt":"127.0.0.1:)" + std::to_string(mgmt) + R"(",)");
+                  R"("mgmt":"127.0.0.1:)" + std::to_string(admin_port) + R"(",)");
   }
-  bool ready(std::uint16_t mgmt) {
-    Client c(io, {asio::ip::address_v4::loopback(), mgmt});
-    c.send("GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
-    const auto answer = c.receive();
-    return answer && answer->result_int() == 200;
+  // Whether the process with that admin port says that it serves.
+  bool ready(std::uint16_t admin_port) {
+    Client operator_connection(io, {asio::ip::address_v4::loopback(), admin_port});
+    operator_connection.send("GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
+    const auto response = operator_connection.receive();
+    return response && response->result_int() == 200;
   }
   Client client() { return {io, {asio::ip::address_v4::loopback(), port}}; }
-  // The status of a request, and whether the connection is to go on.
-  std::pair<int, bool> ask(Client& c) {
-    c.send(get(label("t", ++asked)));
-    const auto answer = c.receive();
-    return answer ? std::pair(int(answer->result_int()), answer->keep_alive())
-                  : std::pair(0, false);
+  struct RequestResult {
+    int status = 0;  // 0: the connection ended without a response
+    bool keep_alive = false;
+    bool operator==(const RequestResult&) const = default;
+  };
+  RequestResult send_request(Client& connection) {
+    connection.send(get(label("t", ++last_request)));
+    const auto response = connection.receive();
+    if (!response) {
+      return {};
+    }
+    return {int(response->result_int()), response->keep_alive()};
   }
-  int served(int n) {
-    int out = 0;
-    for (int i = 0; i < n; ++i) {
-      Client c = client();
-      const int status = ask(c).first;
+  // Of so many requests, each on a connection of its own, how many succeed.
+  int count_served(int requests) {
+    int served = 0;
+    for (int i = 0; i < requests; ++i) {
+      Client connection = client();
+      const int status = send_request(connection).status;
       if (status != 200) {
         ADD_FAILURE() << status;
       }
-      out += status == 200;
+      served += status == 200 ? 1 : 0;
     }
-    return out;
+    return served;
   }
 
   asio::io_context io;
   FakeServer server{io};
   FakeDiscovery discovery{io};
-  std::string folder;
+  std::string directory;
   const std::uint16_t port = free_port(io);
-  const std::uint16_t old_mgmt = free_port(io), new_mgmt = free_port(io);
-  int asked = 0;
+  const std::uint16_t parent_admin_port = free_port(io);
+  const std::uint16_t child_admin_port = free_port(io);
+  int last_request = 0;
 };
 
-TEST_F(SuccessionTest, NoConnectionFallsBetweenTheOldAndTheNewProcess) {
-  Process old(configured(old_mgmt), folder);
-  old.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(old_mgmt); }));
-  Client kept = client();
-  Client idle = client();
-  EXPECT_EQ(ask(kept), std::pair(200, true));
-  EXPECT_EQ(ask(idle), std::pair(200, true));
-  Process young(configured(new_mgmt), folder);
-  young.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(new_mgmt); }));
-  EXPECT_EQ(served(2), 2);
-  // Those that the old one has are answered there, and sent to the new one.
-  ASSERT_TRUE(until(io, [&] { return !ready(old_mgmt); }));
-  EXPECT_EQ(ask(kept), std::pair(200, false));
-  EXPECT_TRUE(kept.ended());
-  // What comes while the old one ends and the new one stands still waits in the queue that both
-  // hold.
-  young.kill(SIGSTOP);
+TEST_F(HotRestartTest, NoConnectionIsLostBetweenParentAndChild) {
+  Process parent(config_with_admin_port(parent_admin_port), directory);
+  parent.log_until("ready");
+  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  Client kept_connection = client();
+  Client idle_connection = client();
+  EXPECT_EQ(send_request(kept_connection), (RequestResult{200, true}));
+  EXPECT_EQ(send_request(idle_connection), (RequestResult{200, true}));
+  Process child(config_with_admin_port(child_admin_port), directory);
+  child.log_until("ready");
+  ASSERT_TRUE(until(io, [&] { return ready(child_admin_port); }));
+  EXPECT_EQ(count_served(2), 2);
+  // The parent's connections are answered and closed there, so that clients reconnect to the child.
+  ASSERT_TRUE(until(io, [&] { return !ready(parent_admin_port); }));
+  EXPECT_EQ(send_request(kept_connection), (RequestResult{200, false}));
+  EXPECT_TRUE(kept_connection.ended());
+  // What connects while the parent ends and the child is stopped waits in the queue that both
+  // share.
+  child.kill(SIGSTOP);
   Client between = client();
   between.send(get("between"));
-  old.terminate();
-  EXPECT_EQ(old.exit_code(), 0);
-  EXPECT_TRUE(idle.ended());
-  young.kill(SIGCONT);
-  const auto answer = between.receive();
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->result_int(), 200U);
-  EXPECT_EQ(served(2), 2);
-  // And the next one finds it.
-  Process third(configured(old_mgmt), folder);
-  ASSERT_NE(third.log_until("1 other processes").find("1 other"), std::string::npos);
+  parent.terminate();
+  EXPECT_EQ(parent.exit_code(), 0);
+  EXPECT_TRUE(idle_connection.ended());
+  child.kill(SIGCONT);
+  const auto response = between.receive();
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->result_int(), 200U);
+  EXPECT_EQ(count_served(2), 2);
+  // The child has become the parent of the next process.
+  Process grandchild(config_with_admin_port(parent_admin_port), directory);
+  ASSERT_NE(grandchild.log_until("1 other processes").find("1 other"), std::string::npos);
 }
 
-TEST_F(SuccessionTest, TheOldProcessServesUntilTheNewOneIsFitTo) {
-  Process old(configured(old_mgmt), folder);
-  old.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(old_mgmt); }));
-  FakeDiscovery mute(io);
-  mute.mute = true;
-  FakeServer none(io);
-  std::string blind =
-      config(port, none, mute, R"("mgmt":"127.0.0.1:)" + std::to_string(new_mgmt) + R"(",)");
+TEST_F(HotRestartTest, TheParentServesUntilTheChildIsReady) {
+  Process parent(config_with_admin_port(parent_admin_port), directory);
+  parent.log_until("ready");
+  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  FakeDiscovery mute_discovery(io);
+  mute_discovery.mute = true;
+  FakeServer unused_server(io);
+  std::string config_without_endpoints =
+      config(port, unused_server, mute_discovery,
+             R"("mgmt":"127.0.0.1:)" + std::to_string(child_admin_port) + R"(",)");
   const std::string phase = R"("phase":"up")";
-  blind.replace(blind.find(phase), phase.size(), R"("phase":"draining")");
-  Process young(blind, folder);
-  young.log_until("ready");
-  EXPECT_FALSE(ready(new_mgmt));
-  EXPECT_EQ(served(3), 3);
-  young.kill(SIGKILL);  // midway
-  EXPECT_EQ(served(3), 3);
-  ASSERT_NE(old.log_until("0 other processes").find("0 other"), std::string::npos);
-  EXPECT_TRUE(ready(old_mgmt));
+  config_without_endpoints.replace(config_without_endpoints.find(phase), phase.size(),
+                                   R"("phase":"draining")");
+  Process child(config_without_endpoints, directory);
+  child.log_until("ready");
+  EXPECT_FALSE(ready(child_admin_port));
+  EXPECT_EQ(count_served(3), 3);
+  child.kill(SIGKILL);  // before it is ready
+  EXPECT_EQ(count_served(3), 3);
+  ASSERT_NE(parent.log_until("0 other processes").find("0 other"), std::string::npos);
+  EXPECT_TRUE(ready(parent_admin_port));
 }
 
-TEST_F(SuccessionTest, AnOldProcessThatDiesLeavesTheQueueToTheNewOne) {
-  Process old(configured(old_mgmt), folder);
-  old.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(old_mgmt); }));
-  Process young(configured(new_mgmt), folder);
-  young.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(new_mgmt); }));
-  old.kill(SIGKILL);
-  EXPECT_EQ(served(3), 3);
-  // Its file is still there; who starts after both are gone listens on its own.
-  young.kill(SIGKILL);
-  young.exit_code();
-  ASSERT_TRUE(std::filesystem::exists(file()));
-  Process third(configured(old_mgmt), folder);
-  third.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(old_mgmt); }));
-  EXPECT_EQ(served(1), 1);
+TEST_F(HotRestartTest, AChildServesOnWhenItsParentDies) {
+  Process parent(config_with_admin_port(parent_admin_port), directory);
+  parent.log_until("ready");
+  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  Process child(config_with_admin_port(child_admin_port), directory);
+  child.log_until("ready");
+  ASSERT_TRUE(until(io, [&] { return ready(child_admin_port); }));
+  parent.kill(SIGKILL);
+  EXPECT_EQ(count_served(3), 3);
+  // Their socket file is still there; a process that starts when both are gone listens on its own.
+  child.kill(SIGKILL);
+  child.exit_code();
+  ASSERT_TRUE(std::filesystem::exists(socket_file()));
+  Process grandchild(config_with_admin_port(parent_admin_port), directory);
+  grandchild.log_until("ready");
+  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  EXPECT_EQ(count_served(1), 1);
 }
 
-TEST_F(SuccessionTest, WhateverIsInTheFolderAProcessStarts) {
+TEST_F(HotRestartTest, StartsWhateverIsAtTheSocketPath) {
   const auto starts = [&] {
-    Process p(configured(old_mgmt), folder);
-    p.log_until("ready");
-    return until(io, [&] { return ready(old_mgmt); }) && served(1) == 1;
+    Process process(config_with_admin_port(parent_admin_port), directory);
+    process.log_until("ready");
+    return until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1;
   };
-  std::ofstream(file()) << "half a wri";
+  std::ofstream(socket_file()) << "half a wri";
   EXPECT_TRUE(starts()) << "a file";
-  std::filesystem::remove_all(file());
-  std::filesystem::create_directory(file());
+  std::filesystem::remove_all(socket_file());
+  std::filesystem::create_directory(socket_file());
   EXPECT_TRUE(starts()) << "a folder";
-  std::filesystem::remove_all(file());
-  // A stranger: it takes the connection, and says nothing or what nobody understands.
-  for (const std::string& says :
-       {std::string(), std::string("hello"), std::string("quota_gateway/1 welcome")}) {
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    std::strncpy(at.sun_path, file().c_str(), sizeof at.sun_path - 1);
-    std::filesystem::remove_all(file());
+  std::filesystem::remove_all(socket_file());
+  // A stranger: it accepts the connection and sends nothing, or a packet without a listener.
+  for (const std::string& stranger_text :
+       {std::string(), std::string("hello"), std::string("cottonroad/1 welcome")}) {
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    std::strncpy(address.sun_path, socket_file().c_str(), sizeof address.sun_path - 1);
+    std::filesystem::remove_all(socket_file());
     const int stranger = ::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    ASSERT_EQ(::bind(stranger, reinterpret_cast<const sockaddr*>(&at), sizeof at), 0);
+    ASSERT_EQ(::bind(stranger, reinterpret_cast<const sockaddr*>(&address), sizeof address), 0);
     ASSERT_EQ(::listen(stranger, 4), 0);
-    Process p(configured(old_mgmt), folder);
-    int guest = -1;
-    ASSERT_TRUE(until(io, [&] { return (guest = ::accept(stranger, nullptr, nullptr)) >= 0; }));
-    if (!says.empty()) {
-      ::send(guest, says.data(), says.size(), MSG_NOSIGNAL);
+    Process process(config_with_admin_port(parent_admin_port), directory);
+    int connected_child = -1;
+    ASSERT_TRUE(
+        until(io, [&] { return (connected_child = ::accept(stranger, nullptr, nullptr)) >= 0; }));
+    if (!stranger_text.empty()) {
+      ::send(connected_child, stranger_text.data(), stranger_text.size(), MSG_NOSIGNAL);
     }
-    p.log_until("ready");
-    EXPECT_TRUE(until(io, [&] { return ready(old_mgmt); }) && served(1) == 1)
-        << "a stranger: " << says;
-    ::close(guest);
+    process.log_until("ready");
+    EXPECT_TRUE(until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1)
+        << "a stranger: " << stranger_text;
+    ::close(connected_child);
     ::close(stranger);
   }
 }
 
+TEST_F(HotRestartTest, InheritsTheListenerFromAParentOfAnOlderVersion) {
+  // Guards against other packets than those of the versions in service, which would not answer.
+  tcp::acceptor listener(io, {asio::ip::address_v4::loopback(), port});
+  const OwnedDescriptor socket = listen_packet_socket(socket_file());
+  ASSERT_TRUE(socket.is_open());
+  Process child(config_with_admin_port(child_admin_port), directory);
+  OwnedDescriptor link;
+  ASSERT_TRUE(until(io, [&] {
+    link = accept_packet_socket(socket.get());
+    return link.is_open();
+  }));
+  const Packet identity = receive_packet_within(link.get(), std::chrono::seconds(20));
+  EXPECT_EQ(identity.text, "cottonroad/1 n0 127.0.0.1:" + std::to_string(port));
+  ASSERT_TRUE(send_packet(link.get(), "cottonroad/1 welcome", listener.native_handle()));
+  ASSERT_NE(child.log_until("1 other processes").find("1 other"), std::string::npos);
+  std::string ready_packet;
+  ASSERT_TRUE(until(io, [&] {
+    ready_packet = receive_packet(link.get()).text;
+    return !ready_packet.empty();
+  }));
+  EXPECT_EQ(ready_packet, "cottonroad/1 ready");
+  EXPECT_EQ(count_served(1), 1);
+}
+
 }  // namespace
 }  // namespace quota_gateway::net::testing
