--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -1,42 +1,47 @@
-// Reads a gateway's configuration, in which the list of servers may be far larger than all the
-// rest.
+// Reads a gateway's configuration file, in which the list of endpoints may be far larger than all
+// the rest: 170,000 of them as a JSON tree took 400 MB. So the file is read in chunks, and the
+// endpoints never become part of a tree.
+//
+// main.cpp owns a loader while it reads the file, at the start at once and at SIGHUP a chunk at a
+// time between other work. parse_config() then reads the tree.
 #pragma once
 
 #include <istream>
 #include <nlohmann/json.hpp>
+#include <string>
 
-#include "net/config/gateway_config.hpp"
 #include "net/discovery/endpoint_list_parser.hpp"
 
 namespace quota_gateway::net {
 
 struct ConfigFile {
-  nlohmann::json tree;  // of the members of `known`, one of each shape: of keys and kinds of values
+  // All of the file, but for the members of `known`: of these, one of each shape, which is its keys
+  // and the kinds of their values. So check_keys_kept() can compare two files.
+  nlohmann::json tree;
+  // The file's list of endpoints under `known`. Without members if they were only checked.
   EndpointList known;
 };
 
-enum class KnownMembers { kKeep, kCheckOnly };
-
-// Reads a file piece by piece, without a tree of the members of `known`: of 170,000 it took 400 MB.
-// All of this throws std::exception with a message of one line.
 class ConfigLoader {
  public:
-  enum class KnownMembers { kKeep, kCheckOnly };
-  ConfigLoader(std::istream& file, KnownMembers known);
-  // Reads on for about a millisecond. False: that was all.
+  enum class KnownMembers {
+    kKeep,
+    kCheckOnly,  // for a file whose endpoints are not used, as at SIGHUP
+  };
+
+  // `file` must outlive the loader.
+  ConfigLoader(std::istream& file, KnownMembers known_members);
+
+  // Reads and parses the next chunk, which takes about a millisecond. False: the end of the file
+  // was reached before. Throws ConfigError or another std::exception with a message of one line.
   bool parse_chunk();
-  // Once all is read.
+  // Call it once, after parse_chunk() returned false. Throws as that does.
   ConfigFile finish();
 
  private:
   std::istream& file_;
-  EndpointListParser reader_;
-  std::string piece_;
+  EndpointListParser parser_;
+  std::string chunk_;
 };
-// All but `known`.
-GatewayConfig parse_config(const nlohmann::json& tree);
-// Throws if a key that `was` had is missing. Most have a value to fall back on, which is right for
-// a gateway that never knew them, but not what the writer of a changed file meant.
-void check_keys_kept(const nlohmann::json& was, const nlohmann::json& is);
 
 }  // namespace quota_gateway::net
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -13,7 +13,9 @@
 #include <string>
 #include <utility>
 
+#include "net/config/config_key_check.hpp"
 #include "net/config/config_loader.hpp"
+#include "net/config/config_parser.hpp"
 #include "net/server/gateway_server.hpp"
 
 namespace {
