--- /dev/null
+++ b/src/net/admin/admin_connection.cpp
@@ -0,0 +1,173 @@
+#include "net/admin/admin_connection.hpp"
+
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/write.hpp>
+#include <cstdint>
+#include <string_view>
+#include <utility>
+
+#include "net/http/framing.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace asio = boost::asio;
+namespace http = boost::beast::http;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+constexpr std::uint32_t kMaxHeaderSize = 4 << 10;
+constexpr std::uint64_t kMaxBodySize = 4 << 10;
+// From the connection to the end of the request.
+constexpr Micros kRequestTimeout = 2'500'000;
+// For the operator's tool to read the response before the connection closes.
+constexpr Micros kLingerTime = 500'000;
+
+constexpr int kHttp11 = 11;
+
+std::string_view path_of(std::string_view target) {
+  return target.substr(0, target.find('?'));
+}
+
+}  // namespace
+
+AdminConnection::AdminConnection(tcp::socket socket, Timers& timers, const AdminHandlers& handlers,
+                                 std::function<void(AdminConnection&)> on_close)
+    : socket_(std::move(socket)),
+      timers_(timers),
+      handlers_(handlers),
+      on_close_(std::move(on_close)) {
+  parser_.header_limit(kMaxHeaderSize);
+  parser_.body_limit(kMaxBodySize);
+}
+
+void AdminConnection::start() {
+  timers_.after(kRequestTimeout, [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) {
+      self->respond(408, "no whole call in time\n");
+    }
+  });
+  read();
+}
+
+void AdminConnection::close() {
+  error_code ignored;
+  socket_.close(ignored);
+  on_close_(*this);
+}
+
+void AdminConnection::read() {
+  socket_.async_read_some(asio::buffer(read_buffer_),
+                          [this, self = shared_from_this()](error_code ec, std::size_t size) {
+                            if (!socket_.is_open()) {
+                              return;
+                            }
+                            if (ec) {
+                              return close();
+                            }
+                            // What follows the request is read and dropped. Without this, closing
+                            // would reset the connection and lose the response.
+                            if (!responded_) {
+                              parse(size);
+                            }
+                            read();
+                          });
+}
+
+void AdminConnection::parse(std::size_t received) {
+  unparsed_.append(read_buffer_.data(), received);
+  while (!unparsed_.empty() && !parser_.is_done()) {
+    error_code ec;
+    const std::size_t parsed = parser_.put(asio::buffer(unparsed_), ec);
+    unparsed_.erase(0, parsed);
+    const bool needs_more = ec == http::error::need_more;
+    if (ec == http::error::header_limit || ec == http::error::body_limit) {
+      return respond_too_large();
+    }
+    if (ec && !needs_more) {
+      return respond(400, ec.message() + "\n");
+    }
+    if (parser_.is_header_done() && !parser_.eager() && !accept_header()) {
+      return;
+    }
+    if (needs_more) {
+      if (unparsed_.size() > kMaxHeaderSize) {
+        respond_too_large();
+      }
+      return;
+    }
+  }
+  if (parser_.is_done()) {
+    respond_to_request();
+  }
+}
+
+// The parser stops behind the header first, so that a body over the limit is not waited for.
+bool AdminConnection::accept_header() {
+  parser_.eager(true);
+  try {
+    check_framing(parser_.get(), parser_.get().version() == kHttp11);
+    return true;
+  } catch (const HttpError& e) {
+    respond(int(e.status()), std::string(e.what()) + "\n");
+    return false;
+  }
+}
+
+void AdminConnection::respond_to_request() {
+  const auto& request = parser_.get();
+  const std::string_view path = path_of({request.target().data(), request.target().size()});
+  const bool asks_readiness = path == "/ops/readiness";
+  const bool asks_stats = path == "/ops/stats";
+  if (!asks_readiness && !asks_stats) {
+    return respond(404, "no such call\n");
+  }
+  if (request.method() != http::verb::get) {
+    return respond(405, "only GET\n", "\r\nAllow: GET");
+  }
+  if (asks_stats) {
+    return respond(200, handlers_.render_stats());
+  }
+  if (handlers_.is_ready()) {
+    return respond(200, "ready\n");
+  }
+  respond(503, "not ready\n");
+}
+
+void AdminConnection::respond_too_large() {
+  respond(413, "the call is too large\n");
+}
+
+void AdminConnection::respond(int status, const std::string& body,
+                              const std::string& extra_header) {
+  if (std::exchange(responded_, true)) {
+    return;
+  }
+  const auto reason = http::obsolete_reason(http::status(status));
+  response_ = "HTTP/1.1 " + std::to_string(status) + " " +
+              std::string(reason.data(), reason.size()) +
+              "\r\nContent-Type: text/plain\r\nCache-Control: no-store\r\nConnection: "
+              "close\r\nContent-Length: " +
+              std::to_string(body.size()) + extra_header + "\r\n\r\n" + body;
+  asio::async_write(
+      socket_, asio::buffer(response_),
+      [this, self = shared_from_this()](error_code ec, std::size_t) { on_response_written(ec); });
+  timers_.after(kLingerTime, [weak = weak_from_this()] {
+    if (const auto self = weak.lock(); self && self->socket_.is_open()) {
+      self->close();
+    }
+  });
+}
+
+void AdminConnection::on_response_written(error_code ec) {
+  if (!socket_.is_open()) {
+    return;
+  }
+  if (ec) {
+    return close();
+  }
+  error_code ignored;
+  socket_.shutdown(tcp::socket::shutdown_send, ignored);
+}
+
+}  // namespace quota_gateway::net
--- a/src/net/admin/admin_server.hpp
+++ b/src/net/admin/admin_server.hpp
@@ -1,7 +1,8 @@
-// The operators' door: a listener of its own beside the clients', one call a connection, answered
-// at once.
+// The HTTP server for operators, on an address of its own beside the clients': readiness at
+// /ops/readiness, figures at /ops/stats. GatewayServer owns it and provides both.
 #pragma once
 
+#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
 #include <functional>
@@ -9,33 +10,38 @@
 #include <memory>
 #include <string>
 
+#include "net/admin/admin_connection.hpp"
 #include "net/event_loop/timers.hpp"
 
 namespace quota_gateway::net {
 
-// Callers at a time. Their descriptors are put by, so that clients can't take them; a caller past
-// that many takes the place of the one that has kept its connection longest, so that slow callers
-// can't either.
+// Connections at a time. Their file descriptors are reserved, so that clients can't use them up. A
+// connection past that many closes the oldest one, so that slow tools can't use them up either.
 constexpr std::size_t kMaxAdminConnections = 8;
 
 class AdminServer {
  public:
-  AdminServer(boost::asio::io_context& io, Timers& timers, const boost::asio::ip::tcp::endpoint& at,
-              std::function<bool()> ready, std::function<std::string()> figures);
-  ~AdminServer();
+  // Listens at `address`; port 0: at any free port. If it can't, it logs that and retries every
+  // 0.5 s. `timers` must outlive the server, and its event loop must not run after the server is
+  // gone.
+  AdminServer(boost::asio::io_context& io, Timers& timers,
+              const boost::asio::ip::tcp::endpoint& address, std::function<bool()> is_ready,
+              std::function<std::string()> render_stats);
+
+  // Where it listens. Throws boost::system::system_error if it doesn't yet.
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
-  class AdminConnection;
   void listen();
   void accept();
+  void add_connection(boost::asio::ip::tcp::socket socket);
+  void remove_connection(const AdminConnection& closed);
 
   Timers& timers_;
-  const boost::asio::ip::tcp::endpoint at_;
-  std::function<bool()> ready_;
-  std::function<std::string()> figures_;
+  const boost::asio::ip::tcp::endpoint configured_address_;
+  const AdminHandlers handlers_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::list<std::shared_ptr<AdminConnection>> callers_;  // in the order in which they came
+  std::list<std::shared_ptr<AdminConnection>> connections_;  // the oldest first
 };
 
 }  // namespace quota_gateway::net
