--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -15,7 +15,7 @@
   AdminServerTest() {
     rig.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
   }
-  Client connect() { return {rig.io, *rig.driver->operators_address()}; }
+  Client connect() { return {rig.io, *rig.driver->admin_address()}; }
   struct AdminResponse {
     int status = 0;  // 0: the connection ended without a response
     std::string body;
@@ -54,7 +54,7 @@
 TEST_F(AdminServerTest, DoesNotListenWithoutAConfiguredAddress) {
   rig.config.admin_address.reset();
   rig.start();
-  EXPECT_FALSE(rig.driver->operators_address());
+  EXPECT_FALSE(rig.driver->admin_address());
 }
 
 TEST_F(AdminServerTest, AnAddressInUseDoesNotKeepTheGatewayFromServing) {
@@ -121,7 +121,7 @@
   rig.start();
   std::list<Client> slow_connections;
   for (std::size_t i = 0; i < 3 * kMaxAdminConnections; ++i) {
-    slow_connections.emplace_back(rig.io, *rig.driver->operators_address()).send("GET /ops/sta");
+    slow_connections.emplace_back(rig.io, *rig.driver->admin_address()).send("GET /ops/sta");
     EXPECT_GE(stat("targets"), 1);
   }
   EXPECT_TRUE(slow_connections.front().ended());
@@ -229,8 +229,8 @@
 TEST_F(AdminServerTest, CountsAcceptedAndRejectedReloads) {
   rig.start();
   rig.driver->reload(rig.config);
-  rig.driver->reload_failed();
-  rig.driver->reload_failed();
+  rig.driver->on_reload_rejected();
+  rig.driver->on_reload_rejected();
   EXPECT_EQ(stat("reload_success"), 1);
   EXPECT_EQ(stat("reload_failure"), 2);
 }
