--- a/src/net/server/action_executor.cpp
+++ b/src/net/server/action_executor.cpp
@@ -16,7 +16,7 @@
 void ActionExecutor::use_counter(std::shared_ptr<CounterClient> counter) {
   const auto previous = std::exchange(counter_, std::move(counter));
   if (previous) {
-    previous->retire();
+    previous->close_when_idle();
   }
 }
 
--- a/src/net/server/config_reloader.cpp
+++ b/src/net/server/config_reloader.cpp
@@ -5,6 +5,7 @@
 #include <iostream>
 #include <utility>
 
+#include "net/config/config_key_check.hpp"
 #include "net/server/config_source.hpp"
 
 namespace quota_gateway::net {
@@ -20,7 +21,7 @@
   run_step([this] {
     loader_.reset();
     file_ = open_config_file();
-    loader_.emplace(file_, ConfigLoader::Known::kOnlyChecked);
+    loader_.emplace(file_, ConfigLoader::KnownMembers::kCheckOnly);
     if (!chunk_posted_) {
       post_next_chunk();
     }
@@ -40,7 +41,7 @@
 }
 
 void ConfigReloader::read_chunk() {
-  if (loader_->step()) {
+  if (loader_->parse_chunk()) {
     post_next_chunk();
   } else {
     apply();
@@ -50,7 +51,7 @@
 void ConfigReloader::apply() {
   ConfigFile file = loader_->finish();
   loader_.reset();
-  check_complete(applied_tree_, file.tree);
+  check_keys_kept(applied_tree_, file.tree);
   server_.reload(make_config(file.tree));
   applied_tree_ = std::move(file.tree);
   std::cerr << gateway_name_ << ": configuration reloaded\n";
--- a/src/net/server/config_source.cpp
+++ b/src/net/server/config_source.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 #include <string>
 
+#include "net/config/config_parser.hpp"
 #include "net/discovery/endpoint_list_parser.hpp"
 #include "net/discovery/socket_address.hpp"
 
@@ -32,8 +33,8 @@
 
 ConfigFile read_config_file() {
   auto file = open_config_file();
-  ConfigLoader loader(file, ConfigLoader::Known::kKept);
-  while (loader.step()) {
+  ConfigLoader loader(file, ConfigLoader::KnownMembers::kKeep);
+  while (loader.parse_chunk()) {
   }
   return loader.finish();
 }
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kMemoryPerClient = 256 << 10;
 
 std::size_t max_clients(const GatewayConfig& config) {
-  const std::size_t by_sockets = config.max_sockets / 2 - kMostCallers;
+  const std::size_t by_sockets = config.max_sockets / 2 - kMaxAdminConnections;
   const std::size_t by_memory = config.memory_limit_mb * (1 << 20) / kMemoryPerClient;
   return std::max<std::size_t>(16, std::min(by_sockets, by_memory));
 }
--- a/src/net/server/handover_coordinator.cpp
+++ b/src/net/server/handover_coordinator.cpp
@@ -17,17 +17,17 @@
                    config.listen_address, [this] { on_processes_changed(); }) {}
 
 void HandoverCoordinator::start() {
-  if (hot_restart_.predecessor()) {
-    clients_.adopt(listen_address_, hot_restart_.take_listening());
+  if (hot_restart_.has_parent()) {
+    clients_.adopt(listen_address_, hot_restart_.take_inherited_listener().value_or(-1));
   } else {
     clients_.listen(listen_address_);
   }
-  hot_restart_.wait_for_successor(clients_.listening_socket());
+  hot_restart_.listen_for_child(clients_.listening_socket());
   on_processes_changed();
 }
 
 void HandoverCoordinator::on_processes_changed() {
-  const int peer_count = int(hot_restart_.predecessor()) + int(hot_restart_.successor());
+  const int peer_count = int(hot_restart_.has_parent()) + int(hot_restart_.has_child());
   if (peer_count != peer_count_) {
     peer_count_ = peer_count;
     std::cerr << "hot restart: " << peer_count << " other processes\n";
@@ -36,9 +36,9 @@
   // The limits are those of one gateway, however many processes it has.
   pool_.set_max_connections(
       std::max<std::size_t>(1, max_connections_ / std::size_t(1 + peer_count)));
-  if (hot_restart_.taken()) {
+  if (hot_restart_.child_accepting()) {
     clients_.hand_over_new_clients();
-  } else if (hot_restart_.predecessor()) {
+  } else if (hot_restart_.has_parent()) {
     open_if_ready();
   } else if (!clients_.is_accepting()) {
     clients_.start_accepting();
@@ -47,12 +47,12 @@
 
 // Until this process is ready, the parent goes on accepting the new clients.
 void HandoverCoordinator::open_if_ready() {
-  if (!hot_restart_.predecessor() || clients_.is_accepting() || hot_restart_.taken() ||
+  if (!hot_restart_.has_parent() || clients_.is_accepting() || hot_restart_.child_accepting() ||
       !endpoint_lists_.is_ready()) {
     return;
   }
   clients_.start_accepting();
-  hot_restart_.ready();
+  hot_restart_.notify_parent_ready();
 }
 
 }  // namespace quota_gateway::net
