--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -1,109 +1,89 @@
-// Client connections: parses requests, answers /_health, writes answers.
+// Accepts client connections, bounds how many there are, and passes responses to the right one.
+// Owns the listening socket and the client sessions. Used by the gateway server, on its event loop.
 #pragma once
 
-#include <array>
+#include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <functional>
+#include <cstddef>
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
 #include <unordered_map>
 
-#include "net/client/request_validator.hpp"
+#include "net/client/client_callbacks.hpp"
+#include "net/client/client_session.hpp"
 #include "net/event_loop/timers.hpp"
-#include "quota_gateway/gateway.hpp"
+#include "quota_gateway/settings.hpp"
+#include "quota_gateway/time.hpp"
 
 namespace quota_gateway::net {
 
-// A complete response to a client.
-struct ClientResponse {
-  int status = 502;
-  std::optional<Micros> retry_after;  // Retry-After, at least 1 ms is sent
-  std::string body;
-};
-
-// Identifies one client connection; never used twice.
-using ClientId = std::uint64_t;
-
-// What the listener reports. Every callback runs on the event loop. A callback may call any
-// function of the listener, except on_request, which must not call one for the client that it was
-// given.
-struct ClientListenerCallbacks {
-  // A valid request has arrived. Returns the id under which the other callbacks name the request,
-  // or nullopt to reject it because a request with its trace id is open. Of a long body only the
-  // beginning may be there; the rest comes by request_body_piece().
-  std::function<std::optional<std::uint64_t>(ClientId client, ClientRequest)> on_request;
-  // The client of an unanswered or partly answered request has disconnected.
-  std::function<void(std::uint64_t request)> on_client_disconnected;
-  // The piece that request_body_piece() asked for.
-  std::function<void(std::uint64_t request, const std::string& piece, bool last)> on_body_piece;
-  // The last piece of the response has been written to the socket.
-  std::function<void(std::uint64_t request)> on_piece_sent;
-  // Whether load balancers may send clients here, as /_health says.
-  std::function<bool()> is_serving = [] { return true; };
-};
-
-class ClientListener {
+class ClientListener final : private ClientSessionOwner {
  public:
+  // `io`, `timers`, `clock` and `settings` must outlive the listener; `settings` may change.
   ClientListener(boost::asio::io_context& io, Timers& timers, const Clock& clock,
-                 const Settings& settings, std::size_t most_clients,
+                 const Settings& settings, std::size_t max_clients,
                  ClientListenerCallbacks callbacks);
-  ~ClientListener();
 
-  // Opens the clients' address, or goes on with a socket that listens there; nobody is let in
-  // before open().
-  void listen(const boost::asio::ip::tcp::endpoint& at);
-  void adopt(const boost::asio::ip::tcp::endpoint& at, int listening);
+  // Opens `address`. Clients may connect, but none is accepted before start_accepting(). Throws
+  // boost::system::system_error if the address can't be opened.
+  void listen(const boost::asio::ip::tcp::endpoint& address);
+  // In place of listen(): uses a socket that listens at `address` already. Takes over ownership.
+  void adopt(const boost::asio::ip::tcp::endpoint& address, int listening_socket);
   int listening_socket() { return acceptor_.native_handle(); }
+  boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+
   void start_accepting();
-  bool is_accepting() const { return open_; }
-  // Leaves new clients to the process that listens on the same socket, and sends those we have
-  // there with their next answer.
+  bool is_accepting() const { return is_accepting_; }
+  // Leaves new clients to another process that listens on the same socket, and closes each present
+  // connection with its next response, so that its client connects to that process.
   void hand_over_new_clients();
-  boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  // The one answer to the request that the client waits for; nobody is there to hear it if it has
-  // gone.
-  void respond(ClientId client, ClientResponse response);
-  // One that comes in pieces, each after the one before was told sent; of so many bytes, where that
-  // is known.
-  void begin_response(std::uint64_t client, std::optional<std::uint64_t> length, std::string piece);
-  void send_body_piece(std::uint64_t client, std::string piece);
-  void finish_response(std::uint64_t client);
-  // Breaks it off, so that the client can tell.
-  void abort_response(std::uint64_t client);
-  // Asks for the next piece of the request's body.
-  void request_body_piece(std::uint64_t client);
-  // Closes connections between requests. New ones are taken to the end; each has one answer.
+
+  // Each of the following has no effect if the client has disconnected.
+  //
+  // The complete response to the request that the client waits for.
+  void respond(ClientId client, const ClientResponse& response);
+  // Begins a 200 response whose body is streamed, with its first piece, which may be empty.
+  // `content_length` counts the whole body, where that is known. on_piece_sent follows; only then
+  // may send_body_piece() or finish_response() be called, and so on for each piece.
+  void begin_response(ClientId client, std::optional<std::uint64_t> content_length,
+                      const std::string& piece);
+  void send_body_piece(ClientId client, std::string piece);
+  void finish_response(ClientId client);
+  // Resets the connection amid a streamed response, so that the client notices.
+  void abort_response(ClientId client);
+  // Asks for the next piece of the request's body; on_body_piece follows, never from within.
+  void request_body_piece(ClientId client);
+
+  // Closes connections between requests, and each other one with its next response. Goes on
+  // accepting.
   void drain();
-  // Nothing is being read, held, written or still on its way to who reads it, nor lies unread, also
-  // of those that nobody has let in yet.
+  // Whether nothing is being read, awaited, written, or still on its way to its reader, and nothing
+  // lies unread, also of clients that are not accepted yet.
   bool is_idle();
 
  private:
-  class ClientSession;
+  using Sessions = std::unordered_map<ClientId, std::shared_ptr<ClientSession>>;
+
+  void on_session_closed(ClientId client) override;
+  void on_session_idle() override;
+  std::size_t buffered_bytes() const override;
+
   void accept();
-  std::shared_ptr<ClientSession> find(std::uint64_t client) const;
-  bool evict();
-  void trim_idle();
-  void erase(std::uint64_t client);
-  std::size_t ahead() const;  // bytes read of what clients sent ahead
-  void sweep();
+  void on_accepted(boost::system::error_code ec, boost::asio::ip::tcp::socket socket);
+  std::shared_ptr<ClientSession> find(ClientId client) const;
+  bool evict_session();
+  void enforce_timeouts();
 
-  boost::asio::io_context& io_;
   Timers& timers_;
-  const Clock& clock_;
-  const Settings& settings_;
-  const std::size_t most_clients_;
-  ClientListenerCallbacks callbacks_;
+  const std::size_t max_clients_;
+  ClientSessionContext context_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<ClientSession>> sessions_;
-  std::uint64_t last_ = 0;
-  bool draining_ = false;
-  bool open_ = false;     // new clients are let in
-  bool leaving_ = false;  // they, and those we have, go to another process
-  bool accepting_ = false;
-  std::array<char, 64 << 10>
-      scratch_;  // what is being read, and what clients send that nobody reads
+  Sessions sessions_;
+  ClientId last_client_ = 0;
+  bool is_accepting_ = false;
+  bool accept_pending_ = false;
 };
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/client/request_reader.cpp
@@ -0,0 +1,140 @@
+#include "net/client/request_reader.hpp"
+
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/core/string.hpp>
+#include <utility>
+
+namespace quota_gateway::net {
+namespace {
+
+namespace http = boost::beast::http;
+using boost::system::error_code;
+
+constexpr std::uint32_t kMaxHeaderBytes = 8 << 10;
+constexpr unsigned kHttp11 = 11;
+
+http::status status_of(const error_code& ec) {
+  const bool too_large = ec == http::error::body_limit || ec == http::error::header_limit;
+  return too_large ? http::status::payload_too_large : http::status::bad_request;
+}
+
+}  // namespace
+
+void RequestReader::release_memory(std::size_t max_kept_bytes) {
+  if (input_.empty() && input_.capacity() > max_kept_bytes) {
+    input_ = {};
+  }
+}
+
+void RequestReader::start_message() {
+  parser_.emplace();
+  parser_->header_limit(kMaxHeaderBytes);
+  parser_->body_limit(kMaxBodyBytes);
+}
+
+error_code RequestReader::parse_input(std::size_t& parsed_bytes) {
+  error_code ec;
+  parsed_bytes = parser_->put(boost::asio::buffer(input_), ec);
+  input_.erase(0, parsed_bytes);
+  return ec;
+}
+
+RequestReader::Progress RequestReader::advance() {
+  std::size_t parsed_bytes = 0;
+  const error_code ec = parse_input(parsed_bytes);
+  const bool needs_input = ec == http::error::need_more;
+  if (ec && !needs_input) {
+    throw HttpError(ec.message(), status_of(ec));
+  }
+  // The parser stops behind the head, which is checked before the rest: that may be long, or may
+  // never arrive.
+  if (parser_->is_header_done() && !parser_->eager()) {
+    check_head();
+  }
+  if (is_ready()) {
+    return Progress::kMessageReady;
+  }
+  if (!needs_input && parsed_bytes > 0) {
+    return Progress::kAdvanced;
+  }
+  if (input_.size() > kMaxHeaderBytes) {
+    throw HttpError("header too large", http::status::payload_too_large);
+  }
+  return Progress::kNeedsInput;
+}
+
+bool RequestReader::is_ready() {
+  return parser_->is_done() || (request_ && parser_->get().body().size() > kMaxBufferedBodyBytes);
+}
+
+void RequestReader::check_head() {
+  parser_->eager(true);
+  const auto& head = parser_->get();
+  keep_alive_ = head.keep_alive();
+  is_http11_ = head.version() == kHttp11;
+  check_framing(head, is_http11_);
+  if (head.method() == http::verb::get && head.target() == "/_health") {
+    if (parser_->content_length().value_or(0) > 0) {
+      throw HttpError("a body where none belongs");
+    }
+    return;
+  }
+  request_ = validate_request(head, settings_);
+  expects_continue_ =
+      !parser_->is_done() && boost::beast::iequals(head[http::field::expect], "100-continue");
+}
+
+bool RequestReader::take_expects_continue() {
+  return std::exchange(expects_continue_, false);
+}
+
+ClientRequest RequestReader::take_request() {
+  ClientRequest request = std::move(*request_);
+  request_.reset();
+  ForwardedRequest& forwarded = request.forwarded;
+  forwarded.body = std::exchange(parser_->get().body(), {});
+  if (request.idempotent && !forwarded.body.empty()) {
+    throw HttpError("a body where none belongs");
+  }
+  forwarded.body_complete = parser_->is_done();
+  if (const auto length = parser_->content_length()) {
+    forwarded.content_length = *length;
+  }
+  body_incomplete_ = !forwarded.body_complete;
+  if (!body_incomplete_) {
+    parser_.reset();
+  }
+  return request;
+}
+
+std::optional<BodyPiece> RequestReader::take_body_piece() {
+  while (!input_.empty() && !parser_->is_done()) {
+    std::size_t parsed_bytes = 0;
+    const error_code ec = parse_input(parsed_bytes);
+    if (ec && ec != http::error::need_more) {
+      throw HttpError(ec.message(), status_of(ec));
+    }
+    if (parsed_bytes == 0) {
+      break;
+    }
+  }
+  const bool is_last = parser_->is_done();
+  if (!is_last && parser_->get().body().empty()) {
+    return std::nullopt;
+  }
+  BodyPiece piece{std::exchange(parser_->get().body(), {}), is_last};
+  body_incomplete_ = !is_last;
+  if (is_last) {
+    parser_.reset();
+  }
+  return piece;
+}
+
+void RequestReader::end_message() {
+  parser_.reset();
+  request_.reset();
+  body_incomplete_ = false;
+  expects_continue_ = false;
+}
+
+}  // namespace quota_gateway::net
--- a/src/net/client/request_validator.cpp
+++ b/src/net/client/request_validator.cpp
@@ -1,10 +1,13 @@
 #include "net/client/request_validator.hpp"
 
 #include <algorithm>
-#include <array>
 #include <charconv>
 #include <cmath>
+#include <iterator>
+#include <optional>
+#include <string>
 #include <string_view>
+#include <vector>
 
 namespace quota_gateway::net {
 namespace {
@@ -12,178 +15,241 @@
 namespace http = boost::beast::http;
 using Request = http::request<IncrementalBody>;
 
-constexpr std::size_t kMostId = 128;              // bytes of an id or a key
-constexpr std::uint64_t kCustomers = 1ULL << 33;  // customers are numbers below this
-constexpr double kMostNumber = 1e15;              // of a header; what is larger is no honest figure
+constexpr std::size_t kMaxIdBytes = 128;  // of a trace id, an idempotency key or a host
+constexpr std::size_t kCustomerDigits = 16;
+constexpr int kHexadecimal = 16;
+constexpr std::uint64_t kCustomerIdEnd = 1ULL << 33;  // customers are numbers below this
+constexpr double kMaxHeaderNumber = 1e15;             // no valid header has a larger one
+constexpr double kMicrosPerMilli = 1000;
 
-std::string_view view(boost::beast::string_view s) {
-  return {s.data(), s.size()};
+std::string_view to_std(boost::beast::string_view text) {
+  return {text.data(), text.size()};
 }
 
-double number(std::string_view text, const char* what) {
+// Without blanks and control bytes. Without this, a forwarded value could end a header line early.
+bool is_visible_ascii(std::string_view text) {
+  return std::all_of(text.begin(), text.end(),
+                     [](char character) { return character > ' ' && character < 0x7f; });
+}
+
+double parse_number(std::string_view text, const char* header) {
   double value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value);
-  if (ec != std::errc() || stop != end || !std::isfinite(value) || std::abs(value) > kMostNumber) {
-    throw HttpError(std::string("bad ") + what);
+  const bool parsed = ec == std::errc() && stop == end;
+  if (!parsed || !std::isfinite(value) || std::abs(value) > kMaxHeaderNumber) {
+    throw HttpError(std::string("bad ") + header);
   }
   return value;
 }
 
-int whole(double value, int least, int most, const char* what) {
-  if (value < least || value > most || value != std::floor(value)) {
-    throw HttpError(std::string("bad ") + what);
+int to_integer(double value, int min, int max, const char* parameter) {
+  if (value < min || value > max || value != std::floor(value)) {
+    throw HttpError(std::string("bad ") + parameter);
   }
   return int(value);
 }
 
-// Neither blanks nor control bytes: what is passed on must not end a line of ours.
-bool is_plain(std::string_view text) {
-  return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 0x7f; });
-}
-
-// The one value of a field. Said twice, nobody knows which one the next reader takes.
-template <typename Name>
-std::string_view field(const Request& r, Name name, const char* what, bool needed = true) {
-  const auto [first, last] = r.equal_range(name);
+// The value of a header, empty if it is missing. A repeated header is rejected: without this,
+// another reader of the request could use its other value.
+std::string_view single_header(const Request& request, const char* name) {
+  const auto [first, last] = request.equal_range(name);
   if (first == last) {
-    if (needed) {
-      throw HttpError(std::string("no ") + what);
-    }
     return {};
   }
   if (std::next(first) != last) {
-    throw HttpError(std::string("more than one ") + what);
+    throw HttpError(std::string("more than one ") + name);
   }
-  const auto value = view(first->value());
-  if (needed && value.empty()) {
-    throw HttpError(std::string("no ") + what);
+  return to_std(first->value());
+}
+
+std::string_view required_header(const Request& request, const char* name) {
+  const auto value = single_header(request, name);
+  if (value.empty()) {
+    throw HttpError(std::string("no ") + name);
   }
   return value;
 }
 
-std::string plain_field(const Request& r, const char* name, bool needed) {
-  const auto value = field(r, name, name, needed);
-  if (value.size() > kMostId || !is_plain(value)) {
-    throw HttpError(std::string("bad ") + name);
+// A copy of a header's value that is safe to forward.
+std::string checked_id(std::string_view value, const char* header) {
+  if (value.size() > kMaxIdBytes || !is_visible_ascii(value)) {
+    throw HttpError(std::string("bad ") + header);
   }
   return std::string(value);
 }
 
-// No longer than the class allows: what is held beyond that earns nothing.
-Micros parse_patience(std::string_view text, const ClassSettings& cls) {
+std::string required_id(const Request& request, const char* header) {
+  return checked_id(required_header(request, header), header);
+}
+
+std::string idempotency_key(const Request& request, Idempotency idempotency) {
+  constexpr const char* kHeader = "Idempotency-Key";
+  return idempotency == Idempotency::kIdempotencyKey
+             ? required_id(request, kHeader)
+             : checked_id(single_header(request, kHeader), kHeader);
+}
+
+// "480m" or "480000u". At most the class's deadline: a response after that has no value.
+Micros parse_timeout(std::string_view text, const ClassSettings& request_class) {
+  constexpr const char* kHeader = "X-Expires-In";
   const char unit = text.back();
   if (unit != 'm' && unit != 'u') {
-    throw HttpError("bad X-Expires-In");
+    throw HttpError(std::string("bad ") + kHeader);
   }
-  const double value =
-      number(text.substr(0, text.size() - 1), "X-Expires-In") * (unit == 'm' ? 1000 : 1);
-  if (value < 1) {
-    throw HttpError("bad X-Expires-In");
+  text.remove_suffix(1);
+  const double timeout = parse_number(text, kHeader) * (unit == 'm' ? kMicrosPerMilli : 1);
+  if (timeout < 1) {
+    throw HttpError(std::string("bad ") + kHeader);
   }
-  return Micros(std::min(value, double(cls.deadline)));
+  return Micros(std::min(timeout, double(request_class.deadline)));
 }
 
-void parse_quota(std::string_view text, const Settings& settings, RequestArrived& out) {
-  constexpr std::array<std::string_view, 3> kNames{"units", "spread", "first"};
-  std::array<double, 3> values{};
-  std::array<bool, 3> said{};
+// The parameters of Quota-Info, as far as they are given.
+struct QuotaInfo {
+  std::optional<double> units;
+  std::optional<double> spread;
+  std::optional<double> first;
+
+  // The parameter of that name; null if the protocol has none, which is ignored.
+  std::optional<double>* find(std::string_view name) {
+    if (name == "units") {
+      return &units;
+    }
+    if (name == "spread") {
+      return &spread;
+    }
+    return name == "first" ? &first : nullptr;
+  }
+};
+
+void parse_quota_parameter(std::string_view parameter, QuotaInfo& info) {
+  constexpr const char* kHeader = "Quota-Info";
+  const auto equals = parameter.find('=');
+  if (equals == std::string_view::npos) {
+    throw HttpError(std::string("bad ") + kHeader);
+  }
+  const double value = parse_number(parameter.substr(equals + 1), kHeader);
+  std::optional<double>* known = info.find(parameter.substr(0, equals));
+  if (known == nullptr) {
+    return;
+  }
+  if (known->has_value()) {
+    throw HttpError(std::string("bad ") + kHeader);
+  }
+  *known = value;
+}
+
+// "units=2,spread=3,first=1", in any order, with blanks after a comma.
+QuotaInfo parse_quota_info(std::string_view text) {
+  QuotaInfo info;
   while (!text.empty()) {
     const auto comma = std::min(text.find(','), text.size());
-    std::string_view part = text.substr(0, comma);
+    std::string_view parameter = text.substr(0, comma);
     text.remove_prefix(std::min(comma + 1, text.size()));
-    part.remove_prefix(std::min(part.find_first_not_of(' '), part.size()));
-    const auto equals = part.find('=');
-    if (equals == std::string_view::npos) {
-      throw HttpError("bad Quota-Info");
-    }
-    const double value = number(part.substr(equals + 1), "Quota-Info");
-    for (std::size_t i = 0; i < kNames.size(); ++i) {
-      if (part.substr(0, equals) == kNames[i]) {
-        if (std::exchange(said[i], true)) {
-          throw HttpError("bad Quota-Info");
-        }
-        values[i] = value;
-      }
-    }
+    parameter.remove_prefix(std::min(parameter.find_first_not_of(' '), parameter.size()));
+    parse_quota_parameter(parameter, info);
   }
-  if (!said[0] || !said[1] || !said[2]) {
+  return info;
+}
+
+void apply_quota_info(std::string_view text, const Settings& settings, RequestArrived& arrived) {
+  const QuotaInfo info = parse_quota_info(text);
+  if (!info.units || !info.spread || !info.first) {
     throw HttpError("bad Quota-Info");
   }
-  out.units = values[0];
-  if (out.units <= 0 || out.units > settings.max_request_units) {
+  if (*info.units <= 0 || *info.units > settings.max_request_units) {
     throw HttpError("units are out of range");
   }
-  out.gateway_subset_size = whole(values[1], 1, settings.gateway_count, "spread");
-  out.gateway_subset_start = whole(values[2], 0, settings.gateway_count - 1, "first");
+  arrived.units = *info.units;
+  arrived.gateway_subset_size = to_integer(*info.spread, 1, settings.gateway_count, "spread");
+  arrived.gateway_subset_start = to_integer(*info.first, 0, settings.gateway_count - 1, "first");
 }
 
-// In one spelling, so that a customer has one quota however it is written.
+// In lower case, so that a customer has one quota however its clients spell it.
 std::string parse_customer(std::string_view text) {
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, ec] = std::from_chars(text.data(), end, value, 16);
-  if (text.size() != 16 || ec != std::errc() || stop != end || value >= kCustomers) {
+  const auto [stop, ec] = std::from_chars(text.data(), end, value, kHexadecimal);
+  const bool parsed = ec == std::errc() && stop == end;
+  if (text.size() != kCustomerDigits || !parsed || value >= kCustomerIdEnd) {
     throw HttpError("no customer in the path");
   }
-  std::string out(text);
-  std::transform(out.begin(), out.end(), out.begin(),
-                 [](char c) { return c >= 'A' && c <= 'F' ? c + 32 : c; });
-  return out;
+  std::string customer(text);
+  std::transform(customer.begin(), customer.end(), customer.begin(), [](char digit) {
+    const bool upper = digit >= 'A' && digit <= 'F';
+    return upper ? char(digit - 'A' + 'a') : digit;
+  });
+  return customer;
 }
 
 template <typename Named>
-const Named& named(const std::vector<Named>& all, std::string_view name, const char* what) {
-  const auto it =
-      std::find_if(all.begin(), all.end(), [&](const Named& n) { return n.name == name; });
-  if (it == all.end()) {
-    throw HttpError(std::string("no such ") + what);
+const Named& find_named(const std::vector<Named>& all, std::string_view name, const char* kind) {
+  const auto found = std::find_if(all.begin(), all.end(),
+                                  [&](const Named& candidate) { return candidate.name == name; });
+  if (found == all.end()) {
+    throw HttpError(std::string("no such ") + kind);
   }
-  return *it;
+  return *found;
 }
 
-void check_method(const Request& r, const ClassSettings& cls) {
-  const bool safe = cls.idempotency == Idempotency::kIdempotent;
-  if (r.method() != (safe ? http::verb::get : http::verb::post)) {
+// "/CLASS/.../CUSTOMER", without the query.
+struct RequestPath {
+  std::string_view request_class;
+  std::string_view customer;
+};
+
+RequestPath split_path(std::string_view target) {
+  const std::string_view path = target.substr(0, target.find('?'));
+  const auto last_slash = path.rfind('/');
+  if (path.empty() || path[0] != '/' || last_slash == 0 || !is_visible_ascii(target)) {
+    throw HttpError("bad path");
+  }
+  return {path.substr(1, path.find('/', 1) - 1), path.substr(last_slash + 1)};
+}
+
+void check_method(const Request& request, bool idempotent) {
+  if (request.method() != (idempotent ? http::verb::get : http::verb::post)) {
     throw HttpError("the method does not fit the class");
   }
-  const auto length = r[http::field::content_length];
-  if (safe && length.find_first_not_of('0') != length.npos) {
-    throw HttpError("a body where none belongs");
+  if (idempotent) {
+    const auto length = request[http::field::content_length];
+    if (length.find_first_not_of('0') != boost::beast::string_view::npos) {
+      throw HttpError("a body where none belongs");
+    }
+    return;
   }
-  if (!safe && r.count(http::field::content_length) == 0 &&
-      r.count(http::field::transfer_encoding) == 0) {
+  if (request.count(http::field::content_length) == 0 &&
+      request.count(http::field::transfer_encoding) == 0) {
     throw HttpError("no length", http::status::length_required);
   }
 }
 
 }  // namespace
 
-ClientRequest parse_request(const Request& r, const Settings& settings) {
-  ClientRequest out;
-  RequestArrived& a = out.arrived;
-  const std::string_view target = view(r.target());
-  const std::string_view path = target.substr(0, target.find('?'));
-  const auto slash = path.rfind('/');
-  if (path.empty() || path[0] != '/' || slash == 0 || !is_plain(target)) {
-    throw HttpError("bad path");
-  }
-  a.customer = parse_customer(path.substr(slash + 1));
-  const auto& cls = named(settings.classes, path.substr(1, path.find('/', 1) - 1), "class");
-  a.request_class = cls.name;
-  check_method(r, cls);
-  out.forwarded.trace_id = plain_field(r, "X-Trace-Id", true);
-  out.forwarded.idempotency_key =
-      plain_field(r, "Idempotency-Key", cls.idempotency == Idempotency::kIdempotencyKey);
-  out.forwarded.host = plain_field(r, "Host", true);
-  out.timeout = parse_patience(field(r, "X-Expires-In", "X-Expires-In"), cls);
-  a.plan = named(settings.plans, field(r, "Plan", "Plan"), "plan").name;
-  parse_quota(field(r, "Quota-Info", "Quota-Info"), settings, a);
-  a.is_client_retry = r["X-Second-Try"] == "1";
-  out.idempotent = cls.idempotency == Idempotency::kIdempotent;
-  out.forwarded.method = std::string(view(r.method_string()));
-  out.forwarded.target = std::string(target);
-  return out;
+ClientRequest validate_request(const Request& request, const Settings& settings) {
+  ClientRequest result;
+  RequestArrived& arrived = result.arrived;
+  ForwardedRequest& forwarded = result.forwarded;
+
+  const std::string_view target = to_std(request.target());
+  const RequestPath path = split_path(target);
+  arrived.customer = parse_customer(path.customer);
+  const ClassSettings& request_class = find_named(settings.classes, path.request_class, "class");
+  arrived.request_class = request_class.name;
+  result.idempotent = request_class.idempotency == Idempotency::kIdempotent;
+  check_method(request, result.idempotent);
+
+  forwarded.trace_id = required_id(request, "X-Trace-Id");
+  forwarded.idempotency_key = idempotency_key(request, request_class.idempotency);
+  forwarded.host = required_id(request, "Host");
+  result.timeout = parse_timeout(required_header(request, "X-Expires-In"), request_class);
+  arrived.plan = find_named(settings.plans, required_header(request, "Plan"), "plan").name;
+  apply_quota_info(required_header(request, "Quota-Info"), settings, arrived);
+  arrived.is_client_retry = request["X-Second-Try"] == "1";
+  forwarded.method = std::string(to_std(request.method_string()));
+  forwarded.target = std::string(target);
+  return result;
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/http/framing.hpp
+++ b/src/net/http/framing.hpp
@@ -54,8 +54,8 @@
     reader(boost::beast::http::header<IsRequest, Fields>& /*head*/, value_type& body)
         : body_(body) {}
 
-    void init(const boost::optional<std::uint64_t>& /*content_length*/,
-              boost::system::error_code& ec) {
+    static void init(const boost::optional<std::uint64_t>& /*content_length*/,
+                     boost::system::error_code& ec) {
       ec = {};
     }
 
@@ -70,7 +70,7 @@
       return size;
     }
 
-    void finish(boost::system::error_code& ec) { ec = {}; }
+    static void finish(boost::system::error_code& ec) { ec = {}; }
 
    private:
     value_type& body_;
--- a/src/net/server/request_dispatcher.cpp
+++ b/src/net/server/request_dispatcher.cpp
@@ -203,7 +203,7 @@
   Request& request = entry->second;
   request.response_started = true;
   complete_attempt(entry, key, result);
-  clients_.begin_response(request.client, length, std::move(result.body));
+  clients_.begin_response(request.client, length, result.body);
 }
 
 void RequestDispatcher::on_response_piece(AttemptKey key, std::string piece) {
@@ -347,7 +347,7 @@
 
 void RequestDispatcher::answer(Request& request, ClientResponse answer) {
   if (try_finish(request, outcome_of(answer.status))) {
-    clients_.respond(request.client, std::move(answer));
+    clients_.respond(request.client, answer);
   }
 }
 
--- /dev/null
+++ b/tests/net/client/request_reader_test.cpp
@@ -0,0 +1,103 @@
+// From a connection's bytes to requests.
+#include "net/client/request_reader.hpp"
+
+#include <gtest/gtest.h>
+
+#include <string>
+
+namespace quota_gateway::net {
+namespace {
+
+Settings test_settings() {
+  Settings settings;
+  settings.gateway_count = 1;
+  settings.max_request_units = 100;
+  ClassSettings write;
+  write.name = "write";
+  settings.classes = {write};
+  PlanSettings plan;
+  plan.name = "team";
+  settings.plans = {plan};
+  return settings;
+}
+
+std::string request_head(std::size_t content_length) {
+  return "POST /write/0000000000000001 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: t1\r\n"
+         "Plan: team\r\nX-Expires-In: 480m\r\nQuota-Info: units=1,spread=1,first=0\r\n"
+         "Content-Length: " +
+         std::to_string(content_length) + "\r\n\r\n";
+}
+
+class RequestReaderTest : public ::testing::Test {
+ protected:
+  // Parses `input` until a message is ready or more input is needed.
+  RequestReader::Progress feed(const std::string& input) {
+    reader_.append_input(input.data(), input.size());
+    if (!reader_.is_message_open()) {
+      reader_.start_message();
+    }
+    auto progress = RequestReader::Progress::kNeedsInput;
+    while (reader_.has_input()) {
+      progress = reader_.advance();
+      if (progress != RequestReader::Progress::kAdvanced) {
+        return progress;
+      }
+    }
+    return RequestReader::Progress::kNeedsInput;
+  }
+
+  Settings settings_ = test_settings();
+  RequestReader reader_{settings_};
+};
+
+TEST_F(RequestReaderTest, ARequestIsReadyOnceItsBodyIsComplete) {
+  EXPECT_EQ(feed(request_head(5)), RequestReader::Progress::kNeedsInput);
+  EXPECT_TRUE(reader_.has_valid_head());
+  EXPECT_EQ(feed("hello+next"), RequestReader::Progress::kMessageReady);
+  const ClientRequest request = reader_.take_request();
+  EXPECT_EQ(request.forwarded.body, "hello");
+  EXPECT_TRUE(request.forwarded.body_complete);
+  EXPECT_EQ(request.forwarded.content_length, 5U);
+  EXPECT_FALSE(reader_.is_body_incomplete());
+  EXPECT_EQ(reader_.buffered_bytes(), 5U);  // the next message
+}
+
+TEST_F(RequestReaderTest, ALongBodyIsTakenInPieces) {
+  const std::string beginning(kMaxBufferedBodyBytes + 1, 'x');
+  feed(request_head(beginning.size() + 4));
+  EXPECT_EQ(feed(beginning), RequestReader::Progress::kMessageReady);
+  EXPECT_EQ(reader_.take_request().forwarded.body, beginning);
+  EXPECT_TRUE(reader_.is_body_incomplete());
+  EXPECT_FALSE(reader_.take_body_piece().has_value());
+
+  reader_.append_input("ab", 2);
+  const auto piece = reader_.take_body_piece();
+  ASSERT_TRUE(piece.has_value());
+  EXPECT_EQ(piece->bytes, "ab");
+  EXPECT_FALSE(piece->is_last);
+
+  reader_.append_input("cd", 2);
+  const auto last = reader_.take_body_piece();
+  ASSERT_TRUE(last.has_value());
+  EXPECT_EQ(last->bytes, "cd");
+  EXPECT_TRUE(last->is_last);
+  EXPECT_FALSE(reader_.is_message_open());
+}
+
+TEST_F(RequestReaderTest, AHeadBeyondTheLimitIsRejected) {
+  try {
+    feed("GET /" + std::string(std::size_t{9} << 10, 'x'));
+    FAIL();
+  } catch (const HttpError& e) {
+    EXPECT_EQ(e.status(), boost::beast::http::status::payload_too_large);
+  }
+}
+
+TEST_F(RequestReaderTest, AHealthCheckNeedsNoHeaders) {
+  EXPECT_EQ(feed("GET /_health HTTP/1.0\r\n\r\n"), RequestReader::Progress::kMessageReady);
+  EXPECT_TRUE(reader_.is_health_check());
+  EXPECT_FALSE(reader_.keeps_alive());
+}
+
+}  // namespace
+}  // namespace quota_gateway::net
