--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -290,9 +290,9 @@
 }
 
 // Calls as fast as answers come, so many at a time, each name once.
-class AdminConnection {
+class CounterCaller {
  public:
-  AdminConnection(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint to)
+  CounterCaller(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint to)
       : timers_(io, clock_),
         counter_(
             std::make_shared<net::CounterClient>(io, timers_, clock_, to, 20'000'000, 5'000'000,
@@ -331,7 +331,7 @@
   Machine tier;
   Machine source;
   auto& counter = tier.host<CounterServer>(CounterServer::Options{});
-  auto& caller = source.host<AdminConnection>(counter.address());
+  auto& caller = source.host<CounterCaller>(counter.address());
   const auto wait_for = [&](std::int64_t calls) {
     while (source.run([&] { return caller.done(); }) < calls) {
       if (until.left() == 0) {
--- a/scale/process_slopes.cpp
+++ b/scale/process_slopes.cpp
@@ -390,9 +390,9 @@
 };
 
 // Requests at a rate, each on a connection of its own for the time, from when it was due.
-class AdminConnection {
+class CounterCaller {
  public:
-  AdminConnection(asio::io_context& io, tcp::endpoint to, double rate, std::size_t count)
+  CounterCaller(asio::io_context& io, tcp::endpoint to, double rate, std::size_t count)
       : io_(io), timer_(io), to_(std::move(to)), rate_(rate), count_(count), begun_(steady_now()) {
     next();
   }
@@ -706,7 +706,7 @@
                 const std::function<void()>& meanwhile) {
   Machine clients;
   const auto count = std::size_t(kRequestsPerS * seconds);
-  AdminConnection& caller = clients.host<AdminConnection>(std::move(to), kRequestsPerS, count);
+  CounterCaller& caller = clients.host<CounterCaller>(std::move(to), kRequestsPerS, count);
   meanwhile();
   until(seconds + 10, [&] { return clients.run([&] { return caller.over(); }); });
   const auto waited = clients.run([&] { return caller.waited_ms(); });
