--- a/src/net/server/request_dispatcher.cpp
+++ b/src/net/server/request_dispatcher.cpp
@@ -256,9 +256,8 @@
   // flight at once.
   if (request.finished || request.body_forwarded || deadline <= now ||
       request.attempts_in_flight > 1 || int(request.attempts.size()) > settings_.max_attempts) {
-    boost::asio::post(loop_.io, [this, key] {
-      on_attempt_complete(key, attempt_result(Outcome::kNotSent));
-    });
+    boost::asio::post(loop_.io,
+                      [this, key] { on_attempt_complete(key, attempt_result(Outcome::kNotSent)); });
     return;
   }
   attempt.time_limit = deadline - now;
