--- a/src/settings/settings_parser.hpp
+++ b/src/settings/settings_parser.hpp
@@ -9,8 +9,8 @@
 namespace quota_gateway {
 
 // Missing fields keep the defaults of Settings, unknown ones are skipped; values are not checked.
-// Throws JsonShapeError if `settings` is no object, nlohmann::json::type_error on a field of
+// Throws JsonShapeError if `json` is no object, nlohmann::json::type_error on a field of
 // another type.
-Settings parse_settings(const nlohmann::json& settings);
+Settings parse_settings(const nlohmann::json& json);
 
 }  // namespace quota_gateway
