--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -1,13 +1,14 @@
 #include "net/counter/counter_client.hpp"
 
-#include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/asio/write.hpp>
 #include <cmath>
-#include <iostream>
-#include <string_view>
+#include <string>
 #include <utility>
+#include <vector>
+
+#include "net/counter/counter_liveness.hpp"
 
 namespace quota_gateway::net {
 namespace {
@@ -15,19 +16,12 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
+using Reason = CounterDisconnectReason;
 
-constexpr Micros kMicrosPerMillisecond = 1000;
-constexpr Micros kLivenessCheckInterval = 100'000;
-// The counter closes connections that have been idle for 10 s or less.
-constexpr Micros kPingAfterIdle = 2'000'000;
-// Without a response to a call in flight for this long, the connection counts as dead.
-constexpr Micros kNoResponseTimeout = 1'500'000;
-constexpr Micros kMinBackoff = 50'000;
-constexpr Micros kMaxBackoff = 500'000;
+constexpr Micros kLivenessCheckInterval = 100'000;  // us
 constexpr std::size_t kMaxCallsInFlight = 4096;
 // No honest reply comes near it.
 constexpr std::size_t kMaxReplyBytes = 64 << 10;
-constexpr Micros kLogInterval = 10'000'000;
 
 }  // namespace
 
@@ -53,24 +47,21 @@
 void CounterClient::close_when_idle() {
   closing_ = true;
   if (state_ != State::kConnected) {
-    return disconnect(DisconnectReason::kClosedByOwner);
+    return disconnect({Reason::kClosedByOwner});
   }
   close_if_idle();
 }
 
 void CounterClient::close_if_idle() {
-  const bool idle = std::all_of(calls_.begin(), calls_.end(), [](const Call& call) {
-    return call.answered || call.kind == Call::Kind::kPing;
-  });
-  if (closing_ && state_ == State::kConnected && idle) {
-    disconnect(DisconnectReason::kClosedByOwner);
+  if (closing_ && state_ == State::kConnected && !calls_.any_needs_reply()) {
+    disconnect({Reason::kClosedByOwner});
   }
 }
 
 // ---- The connection
 
 void CounterClient::connect() {
-  const int generation = ++connection_generation_;
+  const Generation generation = ++connection_generation_;
   state_ = State::kConnecting;
   last_received_at_ = clock_.now();
   parser_.emplace();
@@ -82,175 +73,111 @@
   });
   timers_.after(connect_timeout_, [this, self = shared_from_this(), generation] {
     if (generation == connection_generation_ && state_ == State::kConnecting) {
-      disconnect(DisconnectReason::kConnectTimeout);
+      disconnect({Reason::kConnectTimeout});
     }
   });
 }
 
 void CounterClient::on_connected(error_code ec) {
   if (ec) {
-    return disconnect(DisconnectReason::kSocketError, ec);
+    return disconnect({Reason::kSocketError, ec});
   }
   error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
   state_ = State::kConnected;
   last_received_at_ = clock_.now();
-  // Both ends of a time without the counter are in the log, so that an incident can be dated.
-  if (disconnected_since_) {
-    const Micros outage = last_received_at_ - *disconnected_since_;
-    std::cerr << "counter: reconnected after " << outage / kMicrosPerMillisecond << " ms\n";
-  }
-  disconnected_since_.reset();
+  outage_log_.on_connected(last_received_at_);
   write_pending_commands();
   read();
 }
 
-void CounterClient::disconnect(DisconnectReason reason, error_code error) {
+void CounterClient::disconnect(const CounterDisconnect& cause) {
   error_code ignored;
   socket_.close(ignored);
   ++connection_generation_;
   state_ = State::kDisconnected;
-  std::deque<Call> calls;
-  calls.swap(calls_);
-  // How much of a pending write was sent is not known; all of it may have been added.
-  const std::size_t possibly_sent = written_ + write_buffer_.size();
-  write_buffer_.clear();
-  written_ = 0;
+  const std::vector<UnansweredCall> unanswered_calls = calls_.end_connection();
   const Micros now = clock_.now();
-  if (!disconnected_since_) {
-    disconnected_since_ = now;
+  if (!closing_) {
+    outage_log_.on_disconnected(cause, now);
+    reconnect_after_backoff(now);
   }
-  log_disconnect(now, reason, error);
-  reconnect_after_backoff(now);
-  for (Call& call : calls) {
-    const bool sent = call.command.empty() && call.end_offset <= possibly_sent;
-    finish(call, sent ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
-  }
-}
-
-void CounterClient::log_disconnect(Micros now, DisconnectReason reason, error_code error) {
-  const bool logged_lately = last_logged_at_ && now - *last_logged_at_ <= kLogInterval;
-  if (!closing_ && !logged_lately) {
-    last_logged_at_ = now;
-    std::cerr << "counter: " << describe(reason, error) << '\n';
-  }
-}
-
-std::string CounterClient::describe(DisconnectReason reason, error_code error) {
-  switch (reason) {
-    case DisconnectReason::kClosedByOwner:
-      return "closed";
-    case DisconnectReason::kConnectTimeout:
-      return "connecting timed out";
-    case DisconnectReason::kSocketError:
-      return error.message();
-    case DisconnectReason::kReplyParserFailed:
-      return "reply parser failed";
-    case DisconnectReason::kMalformedReply:
-      return "malformed reply";
-    case DisconnectReason::kReplyWithoutCall:
-      return "a reply without a call";
-    case DisconnectReason::kReplyWithoutTotal:
-      return "a reply without a total";
-    case DisconnectReason::kOversizedReply:
-      return "oversized reply";
-    case DisconnectReason::kNoResponse:
-      return "no response";
+  for (const UnansweredCall& unanswered : unanswered_calls) {
+    finish(unanswered);
   }
-  return "unknown reason";
 }
 
 void CounterClient::reconnect_after_backoff(Micros now) {
-  // Spread by the clock, so that gateways that lost the counter together do not return together.
-  const Micros spread = backoff_ > 0 ? now % (backoff_ / 2) : 0;
-  const Micros wait = backoff_ * 3 / 4 + spread;
-  backoff_ = std::clamp(2 * backoff_, kMinBackoff, kMaxBackoff);
-  if (closing_) {
-    return;
-  }
-  timers_.after(wait, [this, self = shared_from_this(), generation = connection_generation_] {
-    if (generation == connection_generation_ && !closing_) {
-      connect();
-    }
-  });
+  timers_.after(backoff_.next(now),
+                [this, self = shared_from_this(), generation = connection_generation_] {
+                  if (generation == connection_generation_ && !closing_) {
+                    connect();
+                  }
+                });
 }
 
 // ---- Calls
 
 void CounterClient::add(const AddToCounter& addition) {
-  Call call;
+  CounterCall call;
   call.counter_name = addition.name;
   call.created_at = clock_.now();
-  call.number = ++last_call_number_;
-  if (closing_ || state_ == State::kDisconnected || calls_.size() >= kMaxCallsInFlight ||
-      !std::isfinite(addition.amount)) {
-    asio::post(io_, [this, self = shared_from_this(), call]() mutable {
-      finish(call, CounterOutcome::kNotAdded);
-    });
-    return;
+  const bool accepts_calls =
+      !closing_ && state_ != State::kDisconnected && calls_.size() < kMaxCallsInFlight;
+  if (!accepts_calls || !std::isfinite(addition.amount)) {
+    return reject_call(call);
   }
+  const Micros timeout_at = call.created_at + call_timeout_;
   call.command = encode_add_command(addition);
-  timers_.at(call.created_at + call_timeout_,
-             [this, self = shared_from_this(), number = call.number] { on_call_timeout(number); });
-  calls_.push_back(std::move(call));
+  const std::uint64_t number = calls_.push(std::move(call));
+  timers_.at(timeout_at, [this, self = shared_from_this(), number] { on_call_timeout(number); });
   write_pending_commands();
 }
 
-// A call that was never handed to the socket is removed and known not to be added; one that was
-// stays in line for its reply.
+void CounterClient::reject_call(const CounterCall& call) {
+  asio::post(io_,
+             [this, self = shared_from_this(), call] { finish(call, CounterOutcome::kNotAdded); });
+}
+
 void CounterClient::on_call_timeout(std::uint64_t call_number) {
   if (closing_) {
     asio::post(io_, [this, self = shared_from_this()] { close_if_idle(); });
   }
-  const auto it =
-      std::lower_bound(calls_.begin(), calls_.end(), call_number,
-                       [](const Call& call, std::uint64_t number) { return call.number < number; });
-  if (it == calls_.end() || it->number != call_number || it->answered) {
-    return;
-  }
-  if (it->command.empty()) {
-    return finish(*it, CounterOutcome::kUnknown);
+  if (const std::optional<UnansweredCall> timed_out = calls_.time_out(call_number)) {
+    finish(*timed_out);
   }
-  Call call = std::move(*it);
-  calls_.erase(it);
-  finish(call, CounterOutcome::kNotAdded);
 }
 
-void CounterClient::finish(Call& call, CounterOutcome outcome, double total) {
-  if (call.answered || call.kind == Call::Kind::kPing) {
-    return;
+void CounterClient::finish(const UnansweredCall& unanswered) {
+  finish(unanswered.call,
+         unanswered.possibly_sent ? CounterOutcome::kUnknown : CounterOutcome::kNotAdded);
+}
+
+void CounterClient::finish(const CounterCall& call, CounterOutcome outcome, double total) {
+  if (call.needs_reply()) {
+    on_reply_({call.counter_name, total, outcome, clock_.now() - call.created_at});
   }
-  call.answered = true;
-  on_reply_({call.counter_name, total, outcome, clock_.now() - call.created_at});
 }
 
 // ---- Commands out, replies in
 
 void CounterClient::write_pending_commands() {
-  if (state_ != State::kConnected || !write_buffer_.empty()) {
+  if (state_ != State::kConnected || calls_.is_writing()) {
     return;
   }
-  for (Call& call : calls_) {
-    if (call.command.empty()) {
-      continue;
-    }
-    write_buffer_ += call.command;
-    call.command.clear();
-    call.end_offset = written_ + write_buffer_.size();
-  }
-  if (write_buffer_.empty()) {
+  const std::string& commands = calls_.begin_write();
+  if (commands.empty()) {
     return;
   }
-  asio::async_write(socket_, asio::buffer(write_buffer_),
+  asio::async_write(socket_, asio::buffer(commands),
                     [this, self = shared_from_this(), generation = connection_generation_](
                         error_code ec, std::size_t size) {
                       if (generation != connection_generation_) {
                         return;
                       }
-                      written_ += size;
-                      write_buffer_.clear();
+                      calls_.on_written(size);
                       if (ec) {
-                        return disconnect(DisconnectReason::kSocketError, ec);
+                        return disconnect({Reason::kSocketError, ec});
                       }
                       write_pending_commands();
                     });
@@ -264,43 +191,44 @@
                               return;
                             }
                             if (ec) {
-                              return disconnect(DisconnectReason::kSocketError, ec);
+                              return disconnect({Reason::kSocketError, ec});
                             }
-                            last_received_at_ = clock_.now();
-                            backoff_ = 0;
-                            parse_replies(size);
-                            if (generation != connection_generation_) {
-                              return;
-                            }
-                            close_if_idle();
+                            on_received(size);
                             if (generation == connection_generation_) {
                               read();
                             }
                           });
 }
 
+void CounterClient::on_received(std::size_t size) {
+  last_received_at_ = clock_.now();
+  backoff_.reset();
+  parse_replies(size);
+  close_if_idle();
+}
+
 void CounterClient::parse_replies(std::size_t received) {
   using Status = CounterReplyParser::Status;
   if (!parser_->feed({read_buffer_.data(), received})) {
-    return disconnect(DisconnectReason::kReplyParserFailed);
+    return disconnect({Reason::kReplyParserFailed});
   }
   while (true) {
     const CounterReplyParser::Result result = parser_->next();
     if (result.status == Status::kMalformed) {
-      return disconnect(DisconnectReason::kMalformedReply);
+      return disconnect({Reason::kMalformedReply});
     }
     if (result.status == Status::kNeedMoreBytes) {
       break;
     }
     if (calls_.empty()) {
-      return disconnect(DisconnectReason::kReplyWithoutCall);
+      return disconnect({Reason::kReplyWithoutCall});
     }
     if (!dispatch(result.reply)) {
-      return disconnect(DisconnectReason::kReplyWithoutTotal);
+      return disconnect({Reason::kReplyWithoutTotal});
     }
   }
   if (parser_->buffered_bytes() > kMaxReplyBytes) {
-    disconnect(DisconnectReason::kOversizedReply);
+    disconnect({Reason::kOversizedReply});
   }
 }
 
@@ -309,9 +237,8 @@
 // taken for that of another customer.
 bool CounterClient::dispatch(const CounterProtocolReply& reply) {
   using Kind = CounterProtocolReply::Kind;
-  Call call = std::move(calls_.front());
-  calls_.pop_front();
-  if (call.kind == Call::Kind::kPing) {
+  const CounterCall call = calls_.pop();
+  if (call.kind == CounterCall::Kind::kPing) {
     return reply.kind == Kind::kStatus;
   }
   switch (reply.kind) {
@@ -334,27 +261,29 @@
   if (closing_ && state_ == State::kDisconnected) {
     return;
   }
-  const Micros now = clock_.now();
   if (state_ == State::kConnected) {
-    if (!calls_.empty() &&
-        now - std::max(calls_.front().created_at, last_received_at_) > kNoResponseTimeout) {
-      // The counter may still hold the connection that we close, and it holds at most 32.
-      backoff_ = kMaxBackoff;
-      disconnect(DisconnectReason::kNoResponse);
-    } else if (calls_.empty() && now - last_received_at_ > kPingAfterIdle) {
-      send_ping(now);
+    switch (check_counter_liveness(clock_.now(), calls_.oldest_created_at(), last_received_at_)) {
+      case CounterLiveness::kAlive:
+        break;
+      case CounterLiveness::kIdle:
+        send_ping();
+        break;
+      case CounterLiveness::kUnresponsive:
+        // The counter may still hold the connection that we close, and it holds at most 32.
+        backoff_.set_longest();
+        disconnect({Reason::kNoResponse});
+        break;
     }
   }
   timers_.after(kLivenessCheckInterval, [this, self = shared_from_this()] { check_liveness(); });
 }
 
-void CounterClient::send_ping(Micros now) {
-  Call ping;
-  ping.kind = Call::Kind::kPing;
-  ping.created_at = now;
-  ping.number = ++last_call_number_;
+void CounterClient::send_ping() {
+  CounterCall ping;
+  ping.kind = CounterCall::Kind::kPing;
+  ping.created_at = clock_.now();
   ping.command = encode_ping_command();
-  calls_.push_back(std::move(ping));
+  calls_.push(std::move(ping));
   write_pending_commands();
 }
 
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -12,12 +12,13 @@
 #include <boost/system/error_code.hpp>
 #include <cstddef>
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <memory>
 #include <optional>
-#include <string>
 
+#include "net/counter/counter_backoff.hpp"
+#include "net/counter/counter_call_queue.hpp"
+#include "net/counter/counter_outage_log.hpp"
 #include "net/counter/counter_protocol.hpp"
 #include "net/event_loop/timers.hpp"
 #include "quota_gateway/gateway.hpp"
@@ -46,52 +47,30 @@
 
  private:
   enum class State { kDisconnected, kConnecting, kConnected };
-  enum class DisconnectReason {
-    kClosedByOwner,
-    kConnectTimeout,
-    kSocketError,
-    kReplyParserFailed,
-    kMalformedReply,
-    kReplyWithoutCall,
-    kReplyWithoutTotal,
-    kOversizedReply,
-    kNoResponse,
-  };
-  struct Call {
-    enum class Kind { kAdd, kPing };
-    Kind kind = Kind::kAdd;
-    std::int64_t counter_name = 0;
-    Micros created_at = 0;
-    // Answered by our time-out; the counter's reply, which may come later, is dropped.
-    bool answered = false;
-    // Grows from call to call, over all connections.
-    std::uint64_t number = 0;
-    // The encoded command. Empty once handed to the socket.
-    std::string command;
-    // Once handed to the socket: the offset of the command's end in the connection's byte stream.
-    std::size_t end_offset = 0;
-  };
-
-  static std::string describe(DisconnectReason reason, boost::system::error_code error);
+  // Grows when a connection begins or ends. A handler of an earlier generation must do nothing.
+  using Generation = int;
 
   void connect();
   void on_connected(boost::system::error_code ec);
   void reconnect_after_backoff(Micros now);
-  void disconnect(DisconnectReason reason, boost::system::error_code error = {});
-  void log_disconnect(Micros now, DisconnectReason reason, boost::system::error_code error);
+  void disconnect(const CounterDisconnect& cause);
   void close_if_idle();
 
   void write_pending_commands();
   void read();
+  void on_received(std::size_t size);
   void parse_replies(std::size_t received);
   // Gives `reply` to the call that has waited longest. False: it is no reply to a call.
   bool dispatch(const CounterProtocolReply& reply);
 
+  void reject_call(const CounterCall& call);
   void on_call_timeout(std::uint64_t call_number);
-  void finish(Call& call, CounterOutcome outcome, double total = 0);
+  void finish(const UnansweredCall& unanswered);
+  // Reports the outcome of a call, unless nobody waits for it.
+  void finish(const CounterCall& call, CounterOutcome outcome, double total = 0);
 
   void check_liveness();
-  void send_ping(Micros now);
+  void send_ping();
 
   boost::asio::io_context& io_;
   Timers& timers_;
@@ -102,21 +81,19 @@
   ReplyHandler on_reply_;
 
   boost::asio::ip::tcp::socket socket_;
-  std::optional<CounterReplyParser> parser_;  // of the current connection
+  // Of the current connection.
+  std::optional<CounterReplyParser> parser_;
   std::array<char, 4096> read_buffer_;
-  std::string write_buffer_;  // being written; empty: no write is pending
-  std::size_t written_ = 0;   // bytes of the connection's byte stream before `write_buffer_`
-  std::deque<Call> calls_;    // in the order in which they are written and answered
+  CounterCallQueue calls_;
 
   State state_ = State::kDisconnected;
-  bool closing_ = false;  // close_when_idle() was called
-  // Grows when a connection begins or ends. A handler of an earlier generation must do nothing.
-  int connection_generation_ = 0;
-  std::uint64_t last_call_number_ = 0;
-  Micros last_received_at_ = 0;  // or when connecting began or succeeded
-  Micros backoff_ = 0;           // 0: reconnect at once
-  std::optional<Micros> last_logged_at_;
-  std::optional<Micros> disconnected_since_;  // none: it is connected, or never was
+  // close_when_idle() was called.
+  bool closing_ = false;
+  Generation connection_generation_ = 0;
+  // Or when connecting began or succeeded.
+  Micros last_received_at_ = 0;
+  CounterBackoff backoff_;
+  CounterOutageLog outage_log_;
 };
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/counter/counter_liveness.cpp
@@ -0,0 +1,26 @@
+#include "net/counter/counter_liveness.hpp"
+
+#include <algorithm>
+
+namespace quota_gateway::net {
+namespace {
+
+// The counter closes connections that have been idle for 10 s or less.
+constexpr Micros kPingAfterIdle = 2'000'000;  // us
+// Without a response to a call in flight for this long, the connection counts as dead.
+constexpr Micros kNoResponseTimeout = 1'500'000;  // us
+
+}  // namespace
+
+CounterLiveness check_counter_liveness(Micros now, std::optional<Micros> oldest_call_at,
+                                       Micros last_received_at) {
+  if (!oldest_call_at) {
+    const bool is_ping_due = now - last_received_at > kPingAfterIdle;
+    return is_ping_due ? CounterLiveness::kIdle : CounterLiveness::kAlive;
+  }
+  const Micros waiting_since = std::max(*oldest_call_at, last_received_at);
+  const bool is_overdue = now - waiting_since > kNoResponseTimeout;
+  return is_overdue ? CounterLiveness::kUnresponsive : CounterLiveness::kAlive;
+}
+
+}  // namespace quota_gateway::net
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -43,9 +43,9 @@
 
 TEST(ConfigLoader, ThrowsOnMalformedFilesAlsoIfMembersAreOnlyChecked) {
   const std::string complete = file(fleet(1000));
-  const auto edited = [&](const std::string& from, const std::string& to) {
+  const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = complete;
-    return text.replace(text.rfind(from), from.size(), to);
+    return text.replace(text.rfind(from), from.size(), replacement);
   };
   for (const std::string& text :
        {std::string(), std::string("[]"), complete + "x", complete.substr(0, complete.size() - 1),
@@ -58,8 +58,8 @@
   }
 }
 
-TEST(ConfigLoader, AMemberWithoutAKeyThatAllMembersHadIsRejected) {
-  // Guards against a check of the first member alone, and against one of keys that only some had.
+TEST(ConfigKeyCheck, AMemberWithoutAKeyThatAllMembersHadIsRejected) {
+  // Every member counts, not only the first, and a key that only some members had is optional.
   const std::string with_cell =
       R"({"id":"a","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0})";
   const std::string without_cell = R"({"id":"b","phase":"up","host_port":"10.0.0.1:8","size":1.0})";
@@ -86,7 +86,7 @@
 }
 
 TEST(GatewayWithManyEndpoints, StartAndReloadStayWithinTheirMemory) {
-  // Guards against a tree of the known list: 401 MB at the start, 644 MB at SIGHUP.
+  // With the known list as a JSON tree the program took 401 MB at the start and 644 MB at SIGHUP.
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -120,9 +120,9 @@
   const std::string members = fleet(20'000);
   Process process(config(port, server, discovery, "", members));
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
-  const auto edited = [&](const std::string& from, const std::string& to) {
+  const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = members;
-    return text.replace(text.rfind(from), from.size(), to);
+    return text.replace(text.rfind(from), from.size(), replacement);
   };
   for (const std::string& broken :
        {edited(R"("cell":31,)", ""), edited(R"("size":1.0)", R"("size":"1.0")"),
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -68,10 +68,11 @@
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->stop();
-  while (add(1).outcome == CounterOutcome::kUnknown) {
-    continue;  // at most the call whose connection was reset
+  CounterOutcome outcome = CounterOutcome::kUnknown;
+  while (outcome == CounterOutcome::kUnknown) {  // at most the call whose connection was reset
+    outcome = add(1).outcome;
   }
-  EXPECT_EQ(replies.back().outcome, CounterOutcome::kNotAdded);
+  EXPECT_EQ(outcome, CounterOutcome::kNotAdded);
 }
 
 TEST_F(CounterClientTest, ACallWhoseConnectionIsResetMayHaveBeenAdded) {
@@ -85,8 +86,7 @@
   EXPECT_EQ(replies[1].outcome, CounterOutcome::kUnknown);
 }
 
-TEST_F(CounterClientTest, LateRepliesAreDroppedAndKeepTheirOrder) {
-  // Guards against taking a late reply for that of the next call.
+TEST_F(CounterClientTest, ALateReplyIsDroppedAndNotTakenForThatOfTheNextCall) {
   start_client(100'000);
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->silent = true;
@@ -96,14 +96,14 @@
   fake->last->write("$3\r\n222\r\n");  // the reply to call 2, after its time-out
   ASSERT_TRUE(until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].name, 3);
-  if (replies[2].outcome ==
-      CounterOutcome::kOk) {  // else the machine paused the test for a call's time-out
+  // A machine that pauses the test for longer than a call's time-out has the call time out instead.
+  if (replies[2].outcome == CounterOutcome::kOk) {
     EXPECT_DOUBLE_EQ(replies[2].total, 5);
   }
 }
 
 TEST_F(CounterClientTest, ReconnectsToACounterThatStopsResponding) {
-  // Guards against waiting for ever on a connection to a counter that vanished.
+  // Otherwise it would wait for ever on a connection to a counter that vanished.
   start_client(20'000);
   ASSERT_TRUE(next_call_succeeds_eventually());
   fake->silent = true;
@@ -127,7 +127,7 @@
 }
 
 TEST_F(CounterClientTest, AReplyWithoutATotalEndsTheConnection) {
-  // Guards against taking a later reply for the total of another customer.
+  // Otherwise a later reply could be taken for the total of another customer.
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   std::size_t expected_connections = 1;
@@ -142,8 +142,7 @@
 }
 
 TEST_F(CounterClientTest, CloseWhenIdleWaitsForTheRepliesToCallsInFlight) {
-  // Guards against calls in flight that are lost, or counted twice, when the counter's address
-  // changes.
+  // Otherwise calls in flight would be lost, or counted twice, when the counter's address changes.
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->silent = true;
@@ -168,9 +167,8 @@
   EXPECT_TRUE(until(io, [&] { return fake->last->over; }));
 }
 
-TEST_F(CounterClientTest, SurvivesInvalidReplies) {
-  // Guards against a total that is no number, and against a length that would have the parser
-  // allocate it.
+TEST_F(CounterClientTest, AnInvalidReplyLeavesItsCallUnknownAndTheNextConnectionWorks) {
+  // Among them totals that are no finite number, and lengths that a parser might allocate.
   start_client();
   for (const char* invalid_reply :
        {"$3\r\nnan\r\n", "$3\r\ninf\r\n", "$4\r\n12x4\r\n", "$-1\r\n", ":12\r\n", "+OK\r\n",
--- /dev/null
+++ b/tests/net/counter/counter_liveness_test.cpp
@@ -0,0 +1,36 @@
+// check_counter_liveness(): when an idle connection is pinged and when a silent one is given up.
+#include "net/counter/counter_liveness.hpp"
+
+#include <gtest/gtest.h>
+
+namespace quota_gateway::net::testing {
+namespace {
+
+constexpr Micros kReceivedAt = 100'000'000;
+
+TEST(CounterLiveness, AnIdleConnectionIsPingedAfterTwoSeconds) {
+  // The counter closes connections that have been idle for 10 s or less.
+  EXPECT_EQ(check_counter_liveness(kReceivedAt + 2'000'000, std::nullopt, kReceivedAt),
+            CounterLiveness::kAlive);
+  EXPECT_EQ(check_counter_liveness(kReceivedAt + 2'000'001, std::nullopt, kReceivedAt),
+            CounterLiveness::kIdle);
+}
+
+TEST(CounterLiveness, ACallWithoutAResponseForOneAndAHalfSecondsIsUnresponsive) {
+  const Micros called_at = kReceivedAt + 10'000'000;
+  EXPECT_EQ(check_counter_liveness(called_at + 1'500'000, called_at, kReceivedAt),
+            CounterLiveness::kAlive);
+  EXPECT_EQ(check_counter_liveness(called_at + 1'500'001, called_at, kReceivedAt),
+            CounterLiveness::kUnresponsive);
+}
+
+TEST(CounterLiveness, ResponsesToOtherCallsShowThatTheCounterIsAlive) {
+  const Micros called_at = kReceivedAt - 10'000'000;
+  EXPECT_EQ(check_counter_liveness(kReceivedAt + 1'500'000, called_at, kReceivedAt),
+            CounterLiveness::kAlive);
+  EXPECT_EQ(check_counter_liveness(kReceivedAt + 1'500'001, called_at, kReceivedAt),
+            CounterLiveness::kUnresponsive);
+}
+
+}  // namespace
+}  // namespace quota_gateway::net::testing
