--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -13,6 +13,7 @@
 
 #include "net/discovery/endpoint_list.hpp"
 #include "net/discovery/list_intake.hpp"
+#include "net/event_loop/backoff.hpp"
 #include "net/event_loop/timers.hpp"
 #include "quota_gateway/gateway.hpp"
 
--- a/src/net/discovery/list_intake.hpp
+++ b/src/net/discovery/list_intake.hpp
@@ -10,7 +10,7 @@
 
 #include "net/discovery/endpoint_list_parser.hpp"
 #include "net/discovery/list_retry_policy.hpp"
-#include "net/event_loop/timers.hpp"
+#include "quota_gateway/time.hpp"
 
 namespace quota_gateway::net {
 
--- a/src/net/discovery/list_retry_policy.hpp
+++ b/src/net/discovery/list_retry_policy.hpp
@@ -7,7 +7,7 @@
 #include <limits>
 #include <random>
 
-#include "net/event_loop/timers.hpp"
+#include "quota_gateway/time.hpp"
 
 namespace quota_gateway::net {
 
--- a/src/net/server/event_loop.hpp
+++ b/src/net/event_loop/event_loop.hpp
@@ -1,8 +1,9 @@
-// What every module of the server needs of the event loop that it runs in.
+// What the modules of one gateway process need of the event loop that they run in.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 
+#include "net/event_loop/clock.hpp"
 #include "net/event_loop/timers.hpp"
 
 namespace quota_gateway::net {
--- a/src/net/event_loop/timers.hpp
+++ b/src/net/event_loop/timers.hpp
@@ -1,98 +1,49 @@
-// The clock and the timers of one gateway.
+// All timers of one gateway process, on one timer of the event loop. GatewayServer owns them; every
+// module of src/net sets its own.
 #pragma once
 
-#include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
-#include <chrono>
 #include <cstdint>
-#include <exception>
 #include <functional>
-#include <iostream>
-#include <random>
+#include <optional>
 #include <vector>
 
-#include "quota_gateway/gateway.hpp"
+#include "net/event_loop/clock.hpp"
+#include "quota_gateway/time.hpp"
 
 namespace quota_gateway::net {
 
-// Starts from the system clock, so that gateways share periods and a server's start time fits, and
-// advances by the steady one, so that time never goes back when the system clock is set.
-class Clock {
- public:
-  Micros now() const { return wall_ + micros(std::chrono::steady_clock::now() - steady_); }
-
- private:
-  template <typename Duration>
-  static Micros micros(Duration d) {
-    return std::chrono::duration_cast<std::chrono::microseconds>(d).count();
-  }
-  Micros wall_ = micros(std::chrono::system_clock::now().time_since_epoch());
-  std::chrono::steady_clock::time_point steady_ = std::chrono::steady_clock::now();
-};
-
-// How long to wait before each further try. Danger: what was started, or lost something, at one
-// moment with many others would go on trying at the same moments with them; so each wait is drawn,
-// from nought up to a time that grows fourfold. Danger: with one that doubles up to 1 s, a fleet
-// that was turned away asked on at a rate that kept discovery's line full, and none of it was ever
-// served.
-class Backoff {
- public:
-  Backoff(Micros first, Micros most, std::uint64_t seed)
-      : first_(first), most_(most), random_(seed) {}
-  Micros next() {
-    const Micros up_to = up_to_;
-    up_to_ = std::min(4 * up_to_, most_);
-    return std::uniform_int_distribution<Micros>(0, up_to)(random_);
-  }
-  void reset() { up_to_ = first_; }
-
- private:
-  const Micros first_, most_;
-  std::mt19937_64 random_;
-  Micros up_to_ = first_;
-};
-
-// Runs `what`; an exception is logged and goes no further, so that what comes after it still runs.
-template <typename What>
-void guarded(const char* where, const What& what) {
-  try {
-    what();
-  } catch (const std::exception& e) {
-    std::cerr << where << ": " << e.what() << '\n';
-  }
-}
-
-// All timers on one kernel timer, each at its own time. Danger: the module looks at what it holds
-// with every batch; on a grid of 10 ms, which spares wake-ups, held requests went out late and an
-// overloaded day lost 0.013 of G. They are not taken back: what fires must check whether it still
-// matters.
+// Each callback runs once, from the event loop, at its own time: rounded up to a grid of 10 ms,
+// which would spare wake-ups, requests left the hold queue late and an overloaded day lost 0.013 of
+// its score. There is no cancelling; a callback checks whether what it is for still matters.
 class Timers {
  public:
-  Timers(boost::asio::io_context& io, const Clock& clock) : clock_(clock), timer_(io) {}
+  // `clock` must outlive the timers, and they their last callback.
+  Timers(boost::asio::io_context& io, const Clock& clock);
 
-  void at(Micros when, std::function<void()> what);
-  void after(Micros delay, std::function<void()> what) {
-    at(clock_.now() + delay, std::move(what));
-  }
+  // Calls `callback` at the time `when` of the clock or, if that has passed, in the next turn of
+  // the loop; in order of their times, and equal times in the order in which they were set. May be
+  // called from within a callback. An exception of a callback is logged and stops no other one.
+  void at(Micros when, std::function<void()> callback);
+  void after(Micros delay, std::function<void()> callback);
 
  private:
   struct Entry {
     Micros when;
-    std::uint64_t order;  // equal times fire in the order in which they were set
-    std::function<void()> what;
-    bool operator<(const Entry& o) const {
-      return when != o.when ? when > o.when : order > o.order;
-    }
+    std::uint64_t sequence_number;
+    std::function<void()> callback;
   };
-  void arm();
-  void fire();
+
+  static bool is_later(const Entry& left, const Entry& right);
+  void schedule_wakeup();
+  void run_due();
 
   const Clock& clock_;
-  boost::asio::steady_timer timer_;
-  std::vector<Entry> heap_;
-  std::uint64_t order_ = 0;
-  Micros armed_for_ = 0;  // 0: not armed
+  boost::asio::steady_timer wakeup_;
+  std::vector<Entry> heap_;  // the earliest in front
+  std::uint64_t last_sequence_number_ = 0;
+  std::optional<Micros> wakeup_at_;  // none: no wake-up is pending
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/server/action_executor.hpp
+++ b/src/net/server/action_executor.hpp
@@ -5,8 +5,8 @@
 #include <memory>
 
 #include "net/counter/counter_client.hpp"
+#include "net/event_loop/event_loop.hpp"
 #include "net/server/event_batcher.hpp"
-#include "net/server/event_loop.hpp"
 #include "net/server/request_dispatcher.hpp"
 #include "quota_gateway/gateway.hpp"
 
--- a/src/net/server/endpoint_list_applier.hpp
+++ b/src/net/server/endpoint_list_applier.hpp
@@ -8,8 +8,8 @@
 #include <optional>
 
 #include "net/discovery/endpoint_list_parser.hpp"
+#include "net/event_loop/event_loop.hpp"
 #include "net/server/event_batcher.hpp"
-#include "net/server/event_loop.hpp"
 #include "net/upstream/connection_pool.hpp"
 #include "quota_gateway/gateway.hpp"
 
--- a/src/net/server/event_batcher.cpp
+++ b/src/net/server/event_batcher.cpp
@@ -3,6 +3,7 @@
 #include <boost/asio/post.hpp>
 #include <utility>
 
+#include "net/event_loop/exception_guard.hpp"
 #include "net/server/action_executor.hpp"
 
 namespace quota_gateway::net {
@@ -26,9 +27,9 @@
   events.swap(events_);
   // An exception must not discard the other actions of the batch. Requests that are left without a
   // decision fail when their deadline has passed.
-  guarded("module", [&] { gateway_.handle(loop_.clock.now(), events, actions); });
+  run_and_log_exceptions("module", [&] { gateway_.handle(loop_.clock.now(), events, actions); });
   for (const Action& action : actions) {
-    guarded("action", [&] { executor_.execute(action); });
+    run_and_log_exceptions("action", [&] { executor_.execute(action); });
   }
 }
 
--- a/src/net/server/event_batcher.hpp
+++ b/src/net/server/event_batcher.hpp
@@ -5,7 +5,7 @@
 
 #include <vector>
 
-#include "net/server/event_loop.hpp"
+#include "net/event_loop/event_loop.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
--- a/src/net/server/handover_coordinator.hpp
+++ b/src/net/server/handover_coordinator.hpp
@@ -7,10 +7,10 @@
 
 #include "net/client/client_listener.hpp"
 #include "net/config/gateway_config.hpp"
+#include "net/event_loop/event_loop.hpp"
 #include "net/hot_restart/hot_restart.hpp"
 #include "net/server/endpoint_list_applier.hpp"
 #include "net/server/event_batcher.hpp"
-#include "net/server/event_loop.hpp"
 #include "net/upstream/connection_pool.hpp"
 
 namespace quota_gateway::net {
--- a/src/net/server/request_dispatcher.hpp
+++ b/src/net/server/request_dispatcher.hpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "net/client/client_listener.hpp"
+#include "net/event_loop/event_loop.hpp"
 #include "net/server/endpoint_list_applier.hpp"
 #include "net/server/event_batcher.hpp"
-#include "net/server/event_loop.hpp"
 #include "net/server/gateway_stats.hpp"
 #include "net/server/request_table.hpp"
 #include "net/upstream/connection_pool.hpp"
--- a/src/net/server/shutdown_coordinator.hpp
+++ b/src/net/server/shutdown_coordinator.hpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "net/client/client_listener.hpp"
-#include "net/server/event_loop.hpp"
+#include "net/event_loop/event_loop.hpp"
 #include "net/server/request_dispatcher.hpp"
 #include "quota_gateway/gateway.hpp"
 
--- a/tests/net/event_loop/backoff_test.cpp
+++ b/tests/net/event_loop/backoff_test.cpp
@@ -1,55 +1,69 @@
-// The random waits between attempts.
+// The random delays between attempts.
+#include "net/event_loop/backoff.hpp"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cstddef>
+#include <cstdint>
 #include <set>
 #include <vector>
 
-#include "net/event_loop/timers.hpp"
-
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(Backoff, WaitsGrowAndAreSpread) {
-  // Guards against a fleet that started at once and sends its requests at once, again and again.
-  std::vector<std::set<Micros>> waits(5);
+constexpr Micros kSecond = 1'000'000;
+
+// Without the spread, a fleet that started at once would send its requests at once, again and
+// again.
+TEST(Backoff, DelaysGrowAndAreSpread) {
+  constexpr Micros kInitialLimit = 100'000;
+  constexpr Micros kMaxLimit = 1'600'000;
+  // For each attempt, the tenths of its limit in which delays fell.
+  std::vector<std::set<Micros>> tenths_by_attempt(5);
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
-    Backoff backoff(100'000, 1'600'000, seed);
-    for (int round = 0; round < 2; ++round, backoff.reset()) {
-      for (std::size_t i = 0; i < waits.size(); ++i) {
-        const Micros most = std::min<Micros>(1'600'000, 100'000 << (2 * i));
-        const Micros wait = backoff.next();
-        EXPECT_GE(wait, 0);
-        EXPECT_LE(wait, most);
-        waits[i].insert(wait * 10 / most);
+    Backoff backoff(kInitialLimit, kMaxLimit, seed);
+    for (int round = 0; round < 2; ++round) {
+      Micros limit = kInitialLimit;
+      for (std::set<Micros>& tenths : tenths_by_attempt) {
+        const Micros delay = backoff.next();
+        EXPECT_GE(delay, 0);
+        EXPECT_LE(delay, limit);
+        tenths.insert(delay * 10 / limit);
+        limit = std::min(4 * limit, kMaxLimit);
       }
+      backoff.reset();
     }
   }
-  for (const auto& different : waits) {
-    EXPECT_GE(different.size(), 10U);
+  for (const std::set<Micros>& tenths : tenths_by_attempt) {
+    EXPECT_GE(tenths.size(), 10U);
   }
 }
 
-TEST(Backoff, RequestsOfARejectedFleetThinOut) {
-  // As gateways are added, and whatever moment they start at, none sends requests more often than
-  // the bound allows.
-  for (const int gateways : {2, 20, 100}) {
-    std::vector<int> in_second(60);
-    for (int gateway = 0; gateway < gateways; ++gateway) {
-      Backoff backoff(1'000'000, 16'000'000, std::uint64_t(gateway + 1));
-      for (Micros at = 0; at < 60'000'000; at += backoff.next()) {
-        ++in_second[std::size_t(at / 1'000'000)];
-      }
+// The requests of `gateways` that are rejected each time, in each second of a minute.
+std::vector<int> requests_by_second(int gateways) {
+  std::vector<int> requests(60);
+  for (int gateway = 0; gateway < gateways; ++gateway) {
+    Backoff backoff(kSecond, 16 * kSecond, std::uint64_t(gateway + 1));
+    for (Micros at = 0; at < 60 * kSecond; at += backoff.next()) {
+      ++requests[std::size_t(at / kSecond)];
     }
-    int most = 0;
-    int later = 0;
-    for (std::size_t second = 10; second < 60; ++second) {
-      most = std::max(most, in_second[second]);
-      later += in_second[second];
+  }
+  return requests;
+}
+
+TEST(Backoff, RequestsOfARejectedFleetBecomeRare) {
+  for (const int gateways : {2, 20, 100}) {
+    const std::vector<int> by_second = requests_by_second(gateways);
+    int most_in_a_second = 0;
+    int after_ten_seconds = 0;
+    for (std::size_t second = 10; second < by_second.size(); ++second) {
+      most_in_a_second = std::max(most_in_a_second, by_second[second]);
+      after_ten_seconds += by_second[second];
     }
-    EXPECT_LE(later, gateways * 50 / 4) << gateways;
-    EXPECT_LE(most, 3 + gateways / 3) << gateways;
-    EXPECT_GE(later, gateways * 2) << gateways;
+    EXPECT_LE(after_ten_seconds, gateways * 50 / 4) << gateways;
+    EXPECT_LE(most_in_a_second, 3 + gateways / 3) << gateways;
+    EXPECT_GE(after_ten_seconds, gateways * 2) << gateways;
   }
 }
 
--- /dev/null
+++ b/tests/net/event_loop/timers_test.cpp
@@ -0,0 +1,98 @@
+// The order in which timers fire, and what callbacks may do.
+#include "net/event_loop/timers.hpp"
+
+#include <gtest/gtest.h>
+
+#include <boost/asio/io_context.hpp>
+#include <stdexcept>
+#include <vector>
+
+namespace quota_gateway::net::testing {
+namespace {
+
+class TimersTest : public ::testing::Test {
+ protected:
+  // Runs the loop until no timer is left.
+  void run() {
+    io.restart();
+    io.run();
+  }
+
+  boost::asio::io_context io;
+  Clock clock;
+  Timers timers{io, clock};
+  std::vector<int> fired;
+};
+
+TEST_F(TimersTest, FireInOrderOfTheirTimes) {
+  const Micros start = clock.now();
+  timers.at(start + 3'000, [this] { fired.push_back(3); });
+  timers.at(start + 1'000, [this] { fired.push_back(1); });
+  timers.at(start + 2'000, [this] { fired.push_back(2); });
+  run();
+  EXPECT_EQ(fired, (std::vector<int>{1, 2, 3}));
+}
+
+TEST_F(TimersTest, EqualTimesFireInTheOrderInWhichTheyWereSet) {
+  const Micros when = clock.now() + 1'000;
+  std::vector<int> expected;
+  for (int number = 0; number < 20; ++number) {
+    timers.at(when, [this, number] { fired.push_back(number); });
+    expected.push_back(number);
+  }
+  run();
+  EXPECT_EQ(fired, expected);
+}
+
+TEST_F(TimersTest, NeverFireEarly) {
+  std::vector<Micros> early;
+  for (Micros delay = 500; delay < 20'000; delay += 1'300) {
+    const Micros when = clock.now() + delay;
+    timers.at(when, [this, when, &early] {
+      if (clock.now() < when) {
+        early.push_back(when - clock.now());
+      }
+    });
+  }
+  run();
+  EXPECT_TRUE(early.empty());
+}
+
+TEST_F(TimersTest, AnEarlierTimerDoesNotWaitForALaterOneThatWasSetBefore) {
+  timers.after(60'000'000, [this] { fired.push_back(2); });
+  timers.after(1'000, [this] {
+    fired.push_back(1);
+    io.stop();
+  });
+  run();
+  EXPECT_EQ(fired, (std::vector<int>{1}));
+}
+
+TEST_F(TimersTest, ATimeThatHasPassedFiresFromTheLoopOnly) {
+  timers.at(clock.now() - 1'000'000, [this] { fired.push_back(1); });
+  EXPECT_TRUE(fired.empty());
+  run();
+  EXPECT_EQ(fired, (std::vector<int>{1}));
+}
+
+TEST_F(TimersTest, ACallbackMaySetTimers) {
+  timers.after(0, [this] {
+    fired.push_back(1);
+    timers.after(0, [this] { fired.push_back(3); });
+    fired.push_back(2);
+  });
+  run();
+  EXPECT_EQ(fired, (std::vector<int>{1, 2, 3}));
+}
+
+TEST_F(TimersTest, AnExceptionOfACallbackStopsNoOther) {
+  const Micros when = clock.now();
+  timers.at(when, [] { throw std::runtime_error("thrown by a test"); });
+  timers.at(when, [this] { fired.push_back(1); });
+  timers.at(when + 1'000, [this] { fired.push_back(2); });
+  run();
+  EXPECT_EQ(fired, (std::vector<int>{1, 2}));
+}
+
+}  // namespace
+}  // namespace quota_gateway::net::testing
