--- a/src/net/client/client_callbacks.hpp
+++ b/src/net/client/client_callbacks.hpp
@@ -30,8 +30,8 @@
   // beginning may be there; the rest comes by request_body_piece(). Must not respond to `client`
   // before it has returned.
   std::function<std::optional<std::uint64_t>(ClientId client, ClientRequest request)> on_request;
-  // The client of a request has disconnected before the response was complete. Called from within
-  // abort_response() too.
+  // The client of a request has disconnected before the response was complete. Not called for
+  // abort_response().
   std::function<void(std::uint64_t request)> on_client_disconnected;
   // The piece that request_body_piece() asked for.
   std::function<void(std::uint64_t request, const std::string& piece, bool last)> on_body_piece;
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -1,12 +1,12 @@
 #include "net/client/client_listener.hpp"
 
-#include <poll.h>
 #include <sys/socket.h>
 
-#include <algorithm>
 #include <boost/asio/error.hpp>
 #include <utility>
 
+#include "net/client/socket_status.hpp"
+
 namespace quota_gateway::net {
 namespace {
 
@@ -14,8 +14,8 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// One in so many of the largest number of clients may rest between requests.
-constexpr std::size_t kRestingShare = 3;
+// One in this many of the largest number of clients may rest between requests.
+constexpr std::size_t kRestingDivisor = 3;
 constexpr Micros kTimeoutCheckInterval = 250'000;
 constexpr Micros kAcceptRetryDelay = 20'000;
 
@@ -83,43 +83,35 @@
     timers_.after(kAcceptRetryDelay, [this] { accept(); });
     return;
   }
+  start_session(std::move(socket));
+  if (make_room()) {
+    accept();  // else once a session has ended
+  }
+}
+
+void ClientListener::start_session(tcp::socket socket) {
   error_code ignored;
   socket.set_option(tcp::no_delay(true), ignored);
   socket.non_blocking(true, ignored);
   const ClientId client = ++last_client_;
   const auto session = std::make_shared<ClientSession>(context_, client, std::move(socket));
-  sessions_.emplace(client, session);
+  sessions_.add(client, session);
   session->read();
-  if (sessions_.size() <= max_clients_ || evict_session()) {
-    accept();  // else once a session has ended
-  }
 }
 
 // ---- The number of sessions
 
-// Closes the session that is needed least, so that a crowd of silent clients doesn't keep others
-// out; of several, the one that is longest in its state. False if all are needed.
-bool ClientListener::evict_session() {
-  std::shared_ptr<ClientSession> chosen;
-  EvictionRank highest = EvictionRank::kNever;
-  for (const auto& [client, session] : sessions_) {
-    if (client == last_client_) {
-      continue;
-    }
-    const EvictionRank rank = session->eviction_rank();
-    if (rank == EvictionRank::kNever || rank < highest) {
-      continue;
-    }
-    if (rank == highest && session->state_since() >= chosen->state_since()) {
-      continue;
-    }
-    highest = rank;
-    chosen = session;
-  }
-  if (chosen) {
-    chosen->close();
-  }
-  return chosen != nullptr;
+// Where there are too many sessions, closes the one that is needed least. Without this, a crowd of
+// silent clients would keep others out. False if all are needed.
+bool ClientListener::make_room() {
+  if (sessions_.size() <= max_clients_) {
+    return true;
+  }
+  const auto evictable = sessions_.find_evictable(last_client_);
+  if (evictable) {
+    evictable->close();
+  }
+  return evictable != nullptr;
 }
 
 // Load balancers may hold only so many connections to a gateway: a third of its descriptors here.
@@ -128,39 +120,23 @@
 // connection that has been idle longest is closed. The cost: where more clients than that do come
 // back in turn, each connects anew for each request.
 void ClientListener::on_session_idle() {
-  std::shared_ptr<ClientSession> longest;
-  std::size_t resting = 0;
-  for (const auto& [client, session] : sessions_) {
-    if (!session->rests_between_requests()) {
-      continue;
-    }
-    ++resting;
-    if (!longest || session->state_since() < longest->state_since()) {
-      longest = session;
-    }
-  }
-  if (resting > max_clients_ / kRestingShare) {
-    longest->close_if_idle();
+  if (const auto surplus = sessions_.find_surplus_resting(max_clients_ / kRestingDivisor)) {
+    surplus->close_if_idle();
   }
 }
 
 void ClientListener::on_session_closed(ClientId client) {
-  sessions_.erase(client);
+  sessions_.remove(client);
   accept();
 }
 
 std::size_t ClientListener::buffered_bytes() const {
-  std::size_t total = 0;
-  for (const auto& [client, session] : sessions_) {
-    total += session->buffered_bytes();
-  }
-  return total;
+  return sessions_.buffered_bytes();
 }
 
 void ClientListener::enforce_timeouts() {
   const Micros now = context_.clock.now();
-  const auto sessions = sessions_;  // sessions that are closed leave the table
-  for (const auto& [client, session] : sessions) {
+  for (const auto& session : sessions_.snapshot()) {
     session->enforce_timeouts(now);
   }
   timers_.after(kTimeoutCheckInterval, [this] { enforce_timeouts(); });
@@ -168,44 +144,39 @@
 
 // ---- Responses
 
-std::shared_ptr<ClientSession> ClientListener::find(ClientId client) const {
-  const auto found = sessions_.find(client);
-  return found == sessions_.end() ? nullptr : found->second;
-}
-
 void ClientListener::respond(ClientId client, const ClientResponse& response) {
-  if (const auto session = find(client)) {
+  if (const auto session = sessions_.find(client)) {
     session->respond(response);
   }
 }
 
 void ClientListener::begin_response(ClientId client, std::optional<std::uint64_t> content_length,
                                     const std::string& piece) {
-  if (const auto session = find(client)) {
+  if (const auto session = sessions_.find(client)) {
     session->begin_response(content_length, piece);
   }
 }
 
 void ClientListener::send_body_piece(ClientId client, std::string piece) {
-  if (const auto session = find(client)) {
+  if (const auto session = sessions_.find(client)) {
     session->send_body_piece(std::move(piece));
   }
 }
 
 void ClientListener::finish_response(ClientId client) {
-  if (const auto session = find(client)) {
+  if (const auto session = sessions_.find(client)) {
     session->finish_response();
   }
 }
 
 void ClientListener::abort_response(ClientId client) {
-  if (const auto session = find(client)) {
+  if (const auto session = sessions_.find(client)) {
     session->abort_response();
   }
 }
 
 void ClientListener::request_body_piece(ClientId client) {
-  if (const auto session = find(client)) {
+  if (const auto session = sessions_.find(client)) {
     session->request_body_piece();
   }
 }
@@ -214,21 +185,16 @@
 
 void ClientListener::drain() {
   context_.draining = true;
-  const auto sessions = sessions_;  // sessions that are closed leave the table
-  for (const auto& [client, session] : sessions) {
+  for (const auto& session : sessions_.snapshot()) {
     session->close_if_idle();
   }
 }
 
 bool ClientListener::is_idle() {
-  pollfd queue{acceptor_.native_handle(), POLLIN, 0};
-  if (!context_.handing_over && ::poll(&queue, 1, 0) > 0) {
+  if (!context_.handing_over && has_pending_connection(acceptor_)) {
     return false;
   }
-  const Micros now = context_.clock.now();
-  return std::none_of(sessions_.begin(), sessions_.end(), [now](const Sessions::value_type& entry) {
-    return entry.second->has_work(now);
-  });
+  return !sessions_.has_work(context_.clock.now());
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -9,10 +9,11 @@
 #include <memory>
 #include <optional>
 #include <string>
-#include <unordered_map>
 
 #include "net/client/client_callbacks.hpp"
 #include "net/client/client_session.hpp"
+#include "net/client/client_session_context.hpp"
+#include "net/client/session_table.hpp"
 #include "net/event_loop/timers.hpp"
 #include "quota_gateway/settings.hpp"
 #include "quota_gateway/time.hpp"
@@ -64,23 +65,21 @@
   bool is_idle();
 
  private:
-  using Sessions = std::unordered_map<ClientId, std::shared_ptr<ClientSession>>;
-
   void on_session_closed(ClientId client) override;
   void on_session_idle() override;
   std::size_t buffered_bytes() const override;
 
   void accept();
   void on_accepted(boost::system::error_code ec, boost::asio::ip::tcp::socket socket);
-  std::shared_ptr<ClientSession> find(ClientId client) const;
-  bool evict_session();
+  void start_session(boost::asio::ip::tcp::socket socket);
+  bool make_room();
   void enforce_timeouts();
 
   Timers& timers_;
   const std::size_t max_clients_;
   ClientSessionContext context_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  Sessions sessions_;
+  SessionTable sessions_;
   ClientId last_client_ = 0;
   bool is_accepting_ = false;
   bool accept_pending_ = false;
--- a/tests/net/client/request_reader_test.cpp
+++ b/tests/net/client/request_reader_test.cpp
@@ -32,13 +32,13 @@
  protected:
   // Parses `input` until a message is ready or more input is needed.
   RequestReader::Progress feed(const std::string& input) {
-    reader_.append_input(input.data(), input.size());
-    if (!reader_.is_message_open()) {
-      reader_.start_message();
+    reader.append_input(input.data(), input.size());
+    if (!reader.is_message_open()) {
+      reader.start_message();
     }
     auto progress = RequestReader::Progress::kNeedsInput;
-    while (reader_.has_input()) {
-      progress = reader_.advance();
+    while (reader.has_input()) {
+      progress = reader.advance();
       if (progress != RequestReader::Progress::kAdvanced) {
         return progress;
       }
@@ -46,42 +46,42 @@
     return RequestReader::Progress::kNeedsInput;
   }
 
-  Settings settings_ = test_settings();
-  RequestReader reader_{settings_};
+  Settings settings = test_settings();
+  RequestReader reader{settings};
 };
 
 TEST_F(RequestReaderTest, ARequestIsReadyOnceItsBodyIsComplete) {
   EXPECT_EQ(feed(request_head(5)), RequestReader::Progress::kNeedsInput);
-  EXPECT_TRUE(reader_.has_valid_head());
+  EXPECT_TRUE(reader.has_valid_head());
   EXPECT_EQ(feed("hello+next"), RequestReader::Progress::kMessageReady);
-  const ClientRequest request = reader_.take_request();
+  const ClientRequest request = reader.take_request();
   EXPECT_EQ(request.forwarded.body, "hello");
   EXPECT_TRUE(request.forwarded.body_complete);
   EXPECT_EQ(request.forwarded.content_length, 5U);
-  EXPECT_FALSE(reader_.is_body_incomplete());
-  EXPECT_EQ(reader_.buffered_bytes(), 5U);  // the next message
+  EXPECT_FALSE(reader.is_body_incomplete());
+  EXPECT_EQ(reader.buffered_bytes(), 5U);  // the next message
 }
 
 TEST_F(RequestReaderTest, ALongBodyIsTakenInPieces) {
   const std::string beginning(kMaxBufferedBodyBytes + 1, 'x');
   feed(request_head(beginning.size() + 4));
   EXPECT_EQ(feed(beginning), RequestReader::Progress::kMessageReady);
-  EXPECT_EQ(reader_.take_request().forwarded.body, beginning);
-  EXPECT_TRUE(reader_.is_body_incomplete());
-  EXPECT_FALSE(reader_.take_body_piece().has_value());
+  EXPECT_EQ(reader.take_request().forwarded.body, beginning);
+  EXPECT_TRUE(reader.is_body_incomplete());
+  EXPECT_FALSE(reader.take_body_piece().has_value());
 
-  reader_.append_input("ab", 2);
-  const auto piece = reader_.take_body_piece();
+  reader.append_input("ab", 2);
+  const auto piece = reader.take_body_piece();
   ASSERT_TRUE(piece.has_value());
   EXPECT_EQ(piece->bytes, "ab");
   EXPECT_FALSE(piece->is_last);
 
-  reader_.append_input("cd", 2);
-  const auto last = reader_.take_body_piece();
+  reader.append_input("cd", 2);
+  const auto last = reader.take_body_piece();
   ASSERT_TRUE(last.has_value());
   EXPECT_EQ(last->bytes, "cd");
   EXPECT_TRUE(last->is_last);
-  EXPECT_FALSE(reader_.is_message_open());
+  EXPECT_FALSE(reader.is_message_open());
 }
 
 TEST_F(RequestReaderTest, AHeadBeyondTheLimitIsRejected) {
@@ -95,8 +95,8 @@
 
 TEST_F(RequestReaderTest, AHealthCheckNeedsNoHeaders) {
   EXPECT_EQ(feed("GET /_health HTTP/1.0\r\n\r\n"), RequestReader::Progress::kMessageReady);
-  EXPECT_TRUE(reader_.is_health_check());
-  EXPECT_FALSE(reader_.keeps_alive());
+  EXPECT_TRUE(reader.is_health_check());
+  EXPECT_FALSE(reader.keeps_alive());
 }
 
 }  // namespace
