--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -41,7 +41,6 @@
     : context_(context),
       client_(client),
       socket_(std::move(socket)),
-      lingering_close_(*this, context, socket_),
       reader_(context.settings),
       activity_(context.clock.now()) {}
 
@@ -54,10 +53,10 @@
   if (is_too_far_ahead()) {
     return watch_for_disconnect();
   }
+  is_reading_ = true;
   if (is_in(SessionState::kClosing)) {
-    return discard_input();
+    return discard_input(shared_from_this(), context_);
   }
-  is_reading_ = true;
   socket_.async_wait(tcp::socket::wait_read,
                      [this, self = shared_from_this()](error_code ec) { on_readable(ec); });
 }
@@ -110,11 +109,6 @@
   }
 }
 
-void ClientSession::discard_input() {
-  is_reading_ = true;  // until the session is closed
-  lingering_close_.discard_input({shared_from_this(), &lingering_close_});
-}
-
 // No more is read of a client that has sent too much ahead, so its disconnect stays behind the
 // unread bytes. Without this, its request would be forwarded although it has gone.
 void ClientSession::watch_for_disconnect() {
@@ -364,7 +358,7 @@
 // ---- Closing
 
 void ClientSession::close_after_last_response() {
-  lingering_close_.send_end();
+  send_end(socket_);
   reader_.discard_input();
   enter(SessionState::kClosing);
 }
--- a/src/net/client/client_session.hpp
+++ b/src/net/client/client_session.hpp
@@ -21,7 +21,7 @@
 namespace quota_gateway::net {
 
 class ClientSession final : public std::enable_shared_from_this<ClientSession>,
-                            private LingeringClose::Owner {
+                            public LingeringConnection {
  public:
   // `context` must outlive the session; `socket` is connected and doesn't block.
   ClientSession(ClientSessionContext& context, ClientId client,
@@ -61,7 +61,6 @@
   std::size_t read_limit() const;
   void on_readable(boost::system::error_code ec);
   void on_received(std::size_t size);
-  void discard_input();
   void watch_for_disconnect();
   void check_for_disconnect();
 
@@ -82,13 +81,13 @@
   void await_next_request();
   void close_after_last_response();
 
+  boost::asio::ip::tcp::socket& socket() override { return socket_; }
   void on_input_discarded() override;
   void on_client_finished() override;
 
   ClientSessionContext& context_;
   const ClientId client_;
   boost::asio::ip::tcp::socket socket_;
-  LingeringClose lingering_close_;
   RequestReader reader_;
   ResponseOutput output_;
   SessionActivity activity_;
--- a/src/net/client/lingering_close.cpp
+++ b/src/net/client/lingering_close.cpp
@@ -15,48 +15,55 @@
 constexpr Micros kDiscardInterval = 10'000;
 constexpr std::size_t kMaxDiscardBytes = 4 << 20;  // in each interval
 
-}  // namespace
-
-void LingeringClose::send_end() {
-  error_code ignored;
-  socket_.shutdown(tcp::socket::shutdown_send, ignored);
-}
+enum class Client { kMaySendMore, kFinished };
 
-// Without this, a client that sends 60 MB before it reads would never see its response. Reading all
-// of it as it arrives would delay the other clients, so it is dropped in the kernel, at intervals.
-void LingeringClose::discard_input(std::shared_ptr<LingeringClose> self) {
-  socket_.async_wait(tcp::socket::wait_read, [this, self = std::move(self)](error_code ec) mutable {
-    on_readable(ec, std::move(self));
-  });
+// MSG_TRUNC makes the kernel drop the bytes instead of copying them into the buffer.
+Client discard_received_bytes(LingeringConnection& connection, ClientSessionContext& context) {
+  const int socket = connection.socket().native_handle();
+  std::size_t discarded = 0;
+  while (discarded < kMaxDiscardBytes) {
+    const auto received = ::recv(socket, context.read_buffer.data(), context.read_buffer.size(),
+                                 MSG_TRUNC | MSG_DONTWAIT);
+    if (received <= 0) {
+      const bool no_more_yet = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+      return no_more_yet ? Client::kMaySendMore : Client::kFinished;
+    }
+    connection.on_input_discarded();
+    discarded += std::size_t(received);
+  }
+  return Client::kMaySendMore;
 }
 
-void LingeringClose::on_readable(error_code ec, std::shared_ptr<LingeringClose> self) {
-  if (!socket_.is_open()) {
+void on_readable(error_code ec, std::shared_ptr<LingeringConnection> connection,
+                 ClientSessionContext& context) {
+  if (!connection->socket().is_open()) {
     return;
   }
-  if (ec || discard_received_bytes() == Peer::kFinished) {
-    return owner_.on_client_finished();
+  if (ec || discard_received_bytes(*connection, context) == Client::kFinished) {
+    return connection->on_client_finished();
   }
-  context_.timers.after(kDiscardInterval, [self = std::move(self)] {
-    if (self->socket_.is_open()) {
-      self->discard_input(self);
+  context.timers.after(kDiscardInterval, [connection = std::move(connection), &context] {
+    if (connection->socket().is_open()) {
+      discard_input(connection, context);
     }
   });
 }
 
-LingeringClose::Peer LingeringClose::discard_received_bytes() {
-  std::size_t discarded = 0;
-  while (discarded < kMaxDiscardBytes) {
-    const auto received = ::recv(socket_.native_handle(), context_.read_buffer.data(),
-                                 context_.read_buffer.size(), MSG_TRUNC | MSG_DONTWAIT);
-    if (received <= 0) {
-      const bool no_more_yet = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-      return no_more_yet ? Peer::kMaySendMore : Peer::kFinished;
-    }
-    owner_.on_input_discarded();
-    discarded += std::size_t(received);
-  }
-  return Peer::kMaySendMore;
+}  // namespace
+
+void send_end(tcp::socket& socket) {
+  error_code ignored;
+  socket.shutdown(tcp::socket::shutdown_send, ignored);
+}
+
+// Without this, a client that sends 60 MB before it reads would never see its response. Reading all
+// of it as it arrives would delay the other clients, so it is dropped in the kernel, at intervals.
+void discard_input(std::shared_ptr<LingeringConnection> connection, ClientSessionContext& context) {
+  tcp::socket& socket = connection->socket();
+  socket.async_wait(tcp::socket::wait_read,
+                    [connection = std::move(connection), &context](error_code ec) mutable {
+                      on_readable(ec, std::move(connection), context);
+                    });
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/client/lingering_close.hpp
+++ b/src/net/client/lingering_close.hpp
@@ -1,7 +1,7 @@
 // Ends a client connection behind its last response: discards what the client still sends, until it
 // has closed its side. Without this, a close with unread input would reset the connection and could
-// take the response with it. Part of a client session, which sets the time limits and closes the
-// socket.
+// take the response with it. Stateless; called by the client session, which sets the time limits
+// and closes the socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,37 +11,25 @@
 
 namespace quota_gateway::net {
 
-class LingeringClose {
+// A connection that has had its last response.
+class LingeringConnection {
  public:
-  class Owner {
-   public:
-    // Some of the client's input has been discarded.
-    virtual void on_input_discarded() = 0;
-    // The client has closed its side, or the connection is lost: the socket may be closed.
-    virtual void on_client_finished() = 0;
-
-   protected:
-    ~Owner() = default;
-  };
-
-  LingeringClose(Owner& owner, ClientSessionContext& context, boost::asio::ip::tcp::socket& socket)
-      : owner_(owner), context_(context), socket_(socket) {}
-
-  // Tells the client that nothing follows the response.
-  void send_end();
-  // Discards input until the client has finished or the socket is closed. No read may be pending.
-  // `self` keeps this object alive meanwhile. Calls back later, never from within.
-  void discard_input(std::shared_ptr<LingeringClose> self);
-
- private:
-  enum class Peer { kMaySendMore, kFinished };
-
-  void on_readable(boost::system::error_code ec, std::shared_ptr<LingeringClose> self);
-  Peer discard_received_bytes();
-
-  Owner& owner_;
-  ClientSessionContext& context_;
-  boost::asio::ip::tcp::socket& socket_;
+  virtual boost::asio::ip::tcp::socket& socket() = 0;
+  // Some of the client's input has been discarded.
+  virtual void on_input_discarded() = 0;
+  // The client has closed its side, or the connection is lost: the socket may be closed.
+  virtual void on_client_finished() = 0;
+
+ protected:
+  ~LingeringConnection() = default;
 };
 
+// Tells the client that nothing follows the response.
+void send_end(boost::asio::ip::tcp::socket& socket);
+
+// Discards input until the client has finished or the socket is closed, and keeps the connection
+// alive meanwhile. No other read may be pending. Calls the connection later, never from within.
+// `context` must outlive the connection.
+void discard_input(std::shared_ptr<LingeringConnection> connection, ClientSessionContext& context);
+
 }  // namespace quota_gateway::net
--- a/src/net/client/response_encoder.hpp
+++ b/src/net/client/response_encoder.hpp
@@ -10,13 +10,13 @@
 namespace quota_gateway::net {
 
 // What happens to the connection after a response.
-enum class ConnectionUse { kKeepAlive, kClose };
+enum class ConnectionUse : std::uint8_t { kKeepAlive, kClose };
 
 // A complete response, with its body.
 std::string encode_response(const ClientResponse& response, ConnectionUse connection_use);
 
 // How the end of a streamed response's body is marked.
-enum class BodyDelimiter { kContentLength, kChunked, kConnectionClose };
+enum class BodyDelimiter : std::uint8_t { kContentLength, kChunked, kConnectionClose };
 
 // The delimiter of a body whose length is known or not, to a client of HTTP/1.1 or of 1.0.
 BodyDelimiter choose_body_delimiter(std::optional<std::uint64_t> content_length, bool is_http11);
--- a/src/net/client/session_activity.hpp
+++ b/src/net/client/session_activity.hpp
@@ -75,10 +75,10 @@
   bool is_body_piece_overdue(Micros now) const;
   bool is_linger_overdue(Micros now) const;
 
-  SessionState state_ = SessionState::kIdle;
   Micros connected_at_;
   Micros state_since_;
-  Micros last_input_at_ = 0;            // some of a request, or of input that is discarded
+  Micros last_input_at_ = 0;  // some of a request, or of input that is discarded
+  SessionState state_ = SessionState::kIdle;
   bool has_sent_bytes_ = false;         // the client
   bool has_had_request_ = false;        // see on_request_received()
   bool awaits_body_piece_ = false;      // of the request, from the client
--- a/tests/net/client/response_encoder_test.cpp
+++ b/tests/net/client/response_encoder_test.cpp
@@ -19,6 +19,13 @@
             "Connection: close\r\n\r\n");
 }
 
+TEST(ResponseEncoder, ABodyOfUnknownLengthIsChunkedUnlessTheClientIsOfHttp10) {
+  EXPECT_EQ(choose_body_delimiter(5, true), BodyDelimiter::kContentLength);
+  EXPECT_EQ(choose_body_delimiter(5, false), BodyDelimiter::kContentLength);
+  EXPECT_EQ(choose_body_delimiter(std::nullopt, true), BodyDelimiter::kChunked);
+  EXPECT_EQ(choose_body_delimiter(std::nullopt, false), BodyDelimiter::kConnectionClose);
+}
+
 TEST(ResponseEncoder, AStreamedHeadSaysHowItsBodyEnds) {
   EXPECT_EQ(encode_streamed_head(70'000, BodyDelimiter::kContentLength, ConnectionUse::kKeepAlive),
             "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n");
