--- /dev/null
+++ b/src/net/client/lingering_close.cpp
@@ -0,0 +1,69 @@
+#include "net/client/lingering_close.hpp"
+
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <cstddef>
+#include <utility>
+
+namespace quota_gateway::net {
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+constexpr Micros kDiscardInterval = 10'000;
+constexpr std::size_t kMaxDiscardBytes = 4 << 20;  // in each interval
+
+enum class Client { kMaySendMore, kFinished };
+
+// MSG_TRUNC makes the kernel drop the bytes instead of copying them into the buffer.
+Client discard_received_bytes(LingeringConnection& connection, ClientSessionContext& context) {
+  const int socket = connection.socket().native_handle();
+  std::size_t discarded = 0;
+  while (discarded < kMaxDiscardBytes) {
+    const auto received = ::recv(socket, context.read_buffer.data(), context.read_buffer.size(),
+                                 MSG_TRUNC | MSG_DONTWAIT);
+    if (received <= 0) {
+      const bool no_more_yet = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+      return no_more_yet ? Client::kMaySendMore : Client::kFinished;
+    }
+    connection.on_input_discarded();
+    discarded += std::size_t(received);
+  }
+  return Client::kMaySendMore;
+}
+
+void on_readable(error_code ec, std::shared_ptr<LingeringConnection> connection,
+                 ClientSessionContext& context) {
+  if (!connection->socket().is_open()) {
+    return;
+  }
+  if (ec || discard_received_bytes(*connection, context) == Client::kFinished) {
+    return connection->on_client_finished();
+  }
+  context.timers.after(kDiscardInterval, [connection = std::move(connection), &context] {
+    if (connection->socket().is_open()) {
+      discard_input(connection, context);
+    }
+  });
+}
+
+}  // namespace
+
+void send_end(tcp::socket& socket) {
+  error_code ignored;
+  socket.shutdown(tcp::socket::shutdown_send, ignored);
+}
+
+// Without this, a client that sends 60 MB before it reads would never see its response. Reading all
+// of it as it arrives would delay the other clients, so it is dropped in the kernel, at intervals.
+void discard_input(std::shared_ptr<LingeringConnection> connection, ClientSessionContext& context) {
+  tcp::socket& socket = connection->socket();
+  socket.async_wait(tcp::socket::wait_read,
+                    [connection = std::move(connection), &context](error_code ec) mutable {
+                      on_readable(ec, std::move(connection), context);
+                    });
+}
+
+}  // namespace quota_gateway::net
