--- a/src/net/upstream/attempt.hpp
+++ b/src/net/upstream/attempt.hpp
@@ -53,9 +53,10 @@
   // pieces follow one by one, each requested by resume(), and at last `on_complete`: kOk if it was
   // complete.
   std::function<void(AttemptKey, AttemptResult, std::optional<std::uint64_t>)> on_response_started =
-      [](AttemptKey, AttemptResult, std::optional<std::uint64_t>) {};
+      [](AttemptKey, const AttemptResult&, std::optional<std::uint64_t>) {};
   // The next piece of a long response.
-  std::function<void(AttemptKey, std::string)> on_response_piece = [](AttemptKey, std::string) {};
+  std::function<void(AttemptKey, std::string)> on_response_piece = [](AttemptKey,
+                                                                      const std::string&) {};
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/upstream/idle_reuse_estimator.cpp
+++ b/src/net/upstream/idle_reuse_estimator.cpp
@@ -31,7 +31,7 @@
   if (idle_time == 0) {
     return;
   }
-  const double shortest = double(std::min(max_idle_, idle_time));
+  const auto shortest = double(std::min(max_idle_, idle_time));
   max_idle_ = std::max(kMinIdle, Micros(kResetFactor * shortest));
 }
 
