--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -1,15 +1,12 @@
-// Connections to servers: reuses idle ones, limits their number, and runs attempts on them. Also
-// holds the table of endpoints that attempts may go to. Owned by GatewayServer, whose
-// RequestDispatcher starts and abandons attempts; its EndpointListApplier applies endpoint lists.
+// Connections to servers: opens them within a limit, keeps idle ones for reuse, and closes those
+// whose server was removed, moved or restarted. AttemptRunner runs the attempts on them. Also holds
+// the table of endpoints that attempts may go to. Owned by GatewayServer, whose RequestDispatcher
+// starts and abandons attempts; its EndpointListApplier applies endpoint lists.
 #pragma once
 
-#include <array>
 #include <boost/asio/io_context.hpp>
 #include <cstddef>
-#include <functional>
-#include <optional>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
 #include "net/discovery/discovery_client.hpp"
@@ -17,6 +14,7 @@
 #include "net/event_loop/timers.hpp"
 #include "net/http/forwarded_request.hpp"
 #include "net/upstream/attempt.hpp"
+#include "net/upstream/attempt_runner.hpp"
 #include "net/upstream/idle_connections.hpp"
 #include "net/upstream/idle_reuse_estimator.hpp"
 #include "net/upstream/upstream_connection.hpp"
@@ -75,59 +73,39 @@
  private:
   using ConnectionPtr = UpstreamConnectionPtr;
   using State = UpstreamConnection::State;
-  using Delivery = UpstreamConnection::Delivery;
 
-  // Opening, reuse and closing of connections.
+  // Reuse and opening of connections.
   ConnectionPtr take_idle(const std::string& server);
   // Null if the limit is reached and no connection is idle.
   ConnectionPtr create(const std::string& server, const EndpointStatus& endpoint);
+  void connect(const ConnectionPtr& connection);
+  void on_connected(const ConnectionPtr& connection);
+
+  // Keeping of connections after an attempt.
+  ConnectionEvents connection_events();
+  void on_released(const ConnectionPtr& connection, ConnectionCondition condition);
+  void update_idle_reuse(const UpstreamConnection& connection, ConnectionCondition condition);
+  bool is_listed(const UpstreamConnection& connection) const;
+  void keep_idle(const ConnectionPtr& connection);
+
+  // Closing of connections.
+  void close(UpstreamConnection& connection);
   // Closes the connection that has been idle longest. False if none is idle.
   bool close_oldest_idle();
   void close_idle_to(const std::string& server);
   // Closes what has been idle too long, periodically.
   void close_expired();
-  void close(UpstreamConnection& connection);
-  void connect(const ConnectionPtr& connection);
-  void on_connected(const ConnectionPtr& connection);
-
-  // Writing of requests.
-  void start_request(const ConnectionPtr& connection);
-  void write_remaining(const ConnectionPtr& connection, std::size_t offset);
-  void on_remaining_written(const ConnectionPtr& connection, bool failed);
-  void watch_body_write(const ConnectionPtr& connection);
-  void on_output_written(const ConnectionPtr& connection);
-
-  // Reading of responses.
-  void read(const ConnectionPtr& connection);
-  void on_readable(const ConnectionPtr& connection, boost::system::error_code error);
-  void on_received(const ConnectionPtr& connection, std::size_t size);
-  void process_received(const ConnectionPtr& connection, bool is_first_part);
-  void watch_response(const ConnectionPtr& connection);
-  void check_response_progress(const ConnectionPtr& connection);
-  // Delivers what has arrived of a long response. False if there is nothing to deliver.
-  bool deliver_part(const ConnectionPtr& connection);
-  void on_response_complete(const ConnectionPtr& connection);
-  void complete_with_response(const ConnectionPtr& connection);
-  void on_broken(const ConnectionPtr& connection);
-
-  // Ends of attempts.
-  enum class AfterAttempt { kKeepConnection, kCloseConnection };
-  void complete(const ConnectionPtr& connection, AttemptResult result, AfterAttempt after);
-  void fail(const ConnectionPtr& connection, Outcome outcome);
-  void fail_later(AttemptKey key, Outcome outcome);
 
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
   ConnectionPoolLimits limits_;
-  AttemptEvents events_;
   EndpointTable endpoints_;
   IdleConnections idle_;
-  std::unordered_map<AttemptKey, ConnectionPtr, AttemptKeyHash> attempts_;
+  // Connecting, in use or idle.
   std::size_t open_connections_ = 0;
-  // Receives what is being read.
-  std::array<char, 32 << 10> read_buffer_;
   IdleReuseEstimator idle_reuse_;
+  AttemptRunner attempts_;
 };
 
 }  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/upstream/response_reader.cpp
@@ -0,0 +1,246 @@
+#include "net/upstream/response_reader.hpp"
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/asio/error.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/post.hpp>
+#include <cstdint>
+#include <exception>
+#include <memory>
+#include <optional>
+#include <utility>
+
+#include "net/http/framing.hpp"
+#include "net/upstream/response_classifier.hpp"
+
+namespace quota_gateway::net {
+namespace {
+
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+// Interim responses (1xx) ahead of a final one.
+constexpr int kMaxInterimResponses = 16;
+// us without a byte of a response that has begun, after which it counts as stuck, not slow.
+constexpr Micros kResponseStallTimeout = 250'000;
+
+bool is_streaming(const UpstreamConnection& connection) {
+  return connection.delivery != UpstreamConnection::Delivery::kBuffered;
+}
+
+Micros stall_timeout(const UpstreamConnection& connection) {
+  return is_streaming(connection) ? kStreamStallTimeout : kResponseStallTimeout;
+}
+
+// Whether the response in the parser is too long to be buffered, by its stated length or by what
+// has arrived.
+bool is_long(UpstreamConnection::ResponseParser& parser) {
+  const std::uint64_t received_size = parser.get().body().size();
+  const std::uint64_t stated_size = parser.content_length().value_or(0);
+  return std::max(received_size, stated_size) > kMaxBufferedBodyBytes;
+}
+
+AttemptResult take_attempt_result(UpstreamConnection& connection) {
+  return take_result(connection.parser->get(), connection.first_byte_at);
+}
+
+}  // namespace
+
+ResponseReader::ResponseReader(asio::io_context& io, Timers& timers, const Clock& clock,
+                               const AttemptEvents& attempt_events, ResponseEvents response_events)
+    : io_(io),
+      timers_(timers),
+      clock_(clock),
+      attempt_events_(attempt_events),
+      response_events_(std::move(response_events)) {}
+
+void ResponseReader::read(const ConnectionPtr& connection) {
+  if (connection->read_pending) {
+    return;
+  }
+  connection->read_pending = true;
+  connection->socket.async_wait(tcp::socket::wait_read, [this, connection](error_code ec) {
+    connection->read_pending = false;
+    on_readable(connection, ec);
+  });
+}
+
+void ResponseReader::resume(const ConnectionPtr& connection) {
+  connection->delivery = Delivery::kStreaming;
+  connection->last_progress_at = clock_.now();
+  if (!connection->response_complete) {
+    return read(connection);
+  }
+  asio::post(io_, [this, connection, key = connection->attempt] {
+    if (connection->state == State::kWaiting && connection->attempt == key) {
+      complete(connection);
+    }
+  });
+}
+
+void ResponseReader::on_readable(const ConnectionPtr& connection, error_code error) {
+  if (connection->state == State::kClosed) {
+    return;
+  }
+  if (connection->state == State::kIdle) {
+    return response_events_.on_idle_readable(connection);
+  }
+  std::size_t size = 0;
+  if (!error) {
+    size = connection->socket.read_some(asio::buffer(read_buffer_), error);
+  }
+  if (error == asio::error::would_block) {
+    return read(connection);
+  }
+  if (error) {
+    return response_events_.on_broken(connection);
+  }
+  on_received(connection, size);
+  if (connection->state != State::kClosed && !connection->broke_while_writing &&
+      connection->delivery != Delivery::kPieceOutstanding) {
+    read(connection);
+  }
+}
+
+void ResponseReader::on_received(const ConnectionPtr& connection, std::size_t size) {
+  // Bytes that arrive before the request was written can't be its response, unless the server wants
+  // no more of a long one.
+  if (connection->state == State::kWriting && !connection->body_incomplete) {
+    return response_events_.on_broken(connection);
+  }
+  const bool is_first_part = !connection->has_response_bytes();
+  connection->last_progress_at = clock_.now();
+  if (is_first_part) {
+    connection->first_byte_at = connection->last_progress_at;
+  }
+  connection->received.append(read_buffer_.data(), size);
+  try {
+    process_received(connection, is_first_part);
+  } catch (const std::exception&) {
+    response_events_.on_failed(
+        connection, connection->body_incomplete ? Outcome::kConnectFailed : Outcome::kReset);
+  }
+}
+
+void ResponseReader::process_received(const ConnectionPtr& connection, bool is_first_part) {
+  while (connection->parse_received()) {
+    if (!is_interim(connection->parser->get())) {
+      return on_response_complete(connection);
+    }
+    if (++connection->interim_responses > kMaxInterimResponses) {
+      throw HttpError("too many interim responses");
+    }
+    connection->expect_response();
+    if (connection->received.empty()) {
+      return;
+    }
+  }
+  if (is_first_part) {
+    watch_progress(connection);
+  }
+  if (!connection->body_incomplete) {
+    deliver_part(connection);
+  }
+}
+
+// Without this, a response whose stated length is too large would hold its request until the
+// deadline, with no time left for another attempt. A response that is only slow keeps arriving.
+void ResponseReader::watch_progress(const ConnectionPtr& connection) {
+  const AttemptKey key = connection->attempt;
+  const std::weak_ptr<UpstreamConnection> weak = connection;
+  timers_.at(connection->last_progress_at + stall_timeout(*connection), [this, key, weak] {
+    const ConnectionPtr connection = weak.lock();
+    if (connection && connection->state == State::kWaiting && connection->attempt == key) {
+      check_progress(connection);
+    }
+  });
+}
+
+void ResponseReader::check_progress(const ConnectionPtr& connection) {
+  if (!connection->has_response_bytes()) {
+    return;
+  }
+  if (connection->delivery == Delivery::kPieceOutstanding) {
+    connection->last_progress_at = clock_.now();  // the client is slow, not the server
+  }
+  if (clock_.now() - connection->last_progress_at < stall_timeout(*connection)) {
+    return watch_progress(connection);
+  }
+  response_events_.on_failed(connection, Outcome::kReset);
+}
+
+bool ResponseReader::deliver_part(const ConnectionPtr& connection) {
+  auto& parser = *connection->parser;
+  if (!parser.is_header_done() || is_interim(parser.get())) {
+    return false;
+  }
+  if (is_streaming(*connection)) {
+    if (parser.get().body().empty()) {
+      return false;
+    }
+    deliver_piece(connection);
+    return true;
+  }
+  if (!is_long(parser)) {
+    return false;
+  }
+  deliver_beginning(connection);
+  return true;
+}
+
+void ResponseReader::deliver_beginning(const ConnectionPtr& connection) {
+  AttemptResult result = take_attempt_result(*connection);
+  if (result.outcome != Outcome::kOk) {  // nobody needs the rest of it
+    return response_events_.on_complete(connection, std::move(result),
+                                        ConnectionCondition::kBroken);
+  }
+  std::optional<std::uint64_t> stated_length;
+  if (const auto length = connection->parser->content_length()) {
+    stated_length = *length;
+  }
+  connection->delivery = Delivery::kPieceOutstanding;
+  attempt_events_.on_response_started(connection->attempt, std::move(result), stated_length);
+}
+
+void ResponseReader::deliver_piece(const ConnectionPtr& connection) {
+  connection->delivery = Delivery::kPieceOutstanding;
+  attempt_events_.on_response_piece(connection->attempt,
+                                    std::exchange(connection->parser->get().body(), {}));
+}
+
+void ResponseReader::on_response_complete(const ConnectionPtr& connection) {
+  if (connection->body_incomplete) {
+    // A server that rejects a request of which it has seen only a part has not run it.
+    const bool is_overloaded = outcome_of(connection->parser->get()) == Outcome::kOverloaded;
+    return response_events_.on_failed(
+        connection, is_overloaded ? Outcome::kOverloaded : Outcome::kConnectFailed);
+  }
+  receive_trailing_bytes(connection);
+  if (connection->may_be_truncated()) {
+    return response_events_.on_failed(connection, Outcome::kReset);
+  }
+  connection->response_complete = true;
+  if (!is_streaming(*connection) || !deliver_part(connection)) {
+    complete(connection);
+  }
+}
+
+// Receives what has arrived behind a complete response, which shows whether its length was true.
+void ResponseReader::receive_trailing_bytes(const ConnectionPtr& connection) {
+  error_code ec;
+  if (connection->received.empty() && connection->socket.available(ec) > 0) {
+    const std::size_t size = connection->socket.read_some(asio::buffer(read_buffer_), ec);
+    connection->received.assign(read_buffer_.data(), size);
+  }
+}
+
+void ResponseReader::complete(const ConnectionPtr& connection) {
+  const bool is_reusable = connection->parser->get().keep_alive() && connection->received.empty();
+  response_events_.on_complete(
+      connection, take_attempt_result(*connection),
+      is_reusable ? ConnectionCondition::kReusable : ConnectionCondition::kUsedUp);
+}
+
+}  // namespace quota_gateway::net
--- a/src/net/upstream/upstream_connection.hpp
+++ b/src/net/upstream/upstream_connection.hpp
@@ -1,6 +1,6 @@
 // One connection to a server: its socket, the attempt that it carries, and the parser of that
-// attempt's response. ConnectionPool owns all connections and drives them; this module has no
-// timers and starts no asynchronous operations.
+// attempt's response. ConnectionPool owns all connections, AttemptRunner and ResponseReader drive
+// them; this module has no timers and starts no asynchronous operations.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,6 +18,14 @@
 
 namespace quota_gateway::net {
 
+// In which condition an attempt leaves its connection.
+enum class ConnectionCondition {
+  kReusable,             // the response was complete; another request may follow
+  kUsedUp,               // the response was complete, but no request may follow
+  kBroken,               // the attempt ended early
+  kBrokenBeforeResponse  // it broke after the request and before any byte of the response
+};
+
 // Any asynchronous handler may run after its connection was closed, so each checks `state` first.
 struct UpstreamConnection {
   enum class State {
