--- a/scale/day.hpp
+++ b/scale/day.hpp
@@ -6,7 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "fakes.hpp"
+#include "listed_server.hpp"
+#include "quota_gateway/gateway.hpp"
 #include "scenario.hpp"
 
 namespace quota_gateway::scale {
--- a/scale/events.cpp
+++ b/scale/events.cpp
@@ -94,7 +94,7 @@
                        ": more whole lists than gateways: hollow gateways share a processor, and "
                        "a list that does not come in its time is asked for again");
     }
-    tell(name + ".differences", double(spent.discovery.differences), "lists");
+    tell(name + ".differences", double(spent.discovery.partial_lists), "lists");
     // Since the world began; those that restart are not among them, but are without one until they
     // have it.
     tell(name + ".were_without_list", double(last.were_without), "gateways");
@@ -113,12 +113,12 @@
     double highest = 0;
     double sum = 0;
     const Micros first = since_ / 1'000'000;
-    for (auto it = spent.discovery.asks_by_second.lower_bound(first);
-         it != spent.discovery.asks_by_second.end(); ++it) {
+    for (auto it = spent.discovery.requests_by_second.lower_bound(first);
+         it != spent.discovery.requests_by_second.end(); ++it) {
       // What was asked in that second before the event is not its doing.
-      const auto was = before_.discovery.asks_by_second.find(it->first);
-      const double count =
-          double(it->second) - (was == before_.discovery.asks_by_second.end() ? 0 : was->second);
+      const auto was = before_.discovery.requests_by_second.find(it->first);
+      const double count = double(it->second) -
+                           (was == before_.discovery.requests_by_second.end() ? 0 : was->second);
       highest = std::max(highest, count);
       sum += count;
     }
--- /dev/null
+++ b/scale/fake_counter.hpp
@@ -0,0 +1,94 @@
+// A quota counter as a gateway meets it: adds up by name over RESP. On loopback only, written from
+// the protocol's page; it counts what it sends, receives and is asked for. Names are spread over
+// shards, each of which serves calls in turn.
+//
+// Owned by an EventLoopThread or by a test; all calls come from its event loop. Unlike the
+// protocol's page it does not limit a gateway to 32 connections: all gateways of a run come from
+// one address and cannot be told apart.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "counter_shard.hpp"
+#include "counter_totals.hpp"
+#include "fake_connection.hpp"
+#include "quota_gateway/gateway.hpp"
+
+namespace quota_gateway::scale {
+
+class FakeCounter {
+ public:
+  struct Options {
+    std::size_t shards = 1;
+    // Of each shard; none: calls are served at once.
+    std::optional<double> calls_per_second = std::nullopt;
+    // Of work that may wait at a shard; a call beyond is rejected.
+    Micros max_queue_time = 100'000;
+    // Connections that send nothing for this long are closed.
+    Micros idle_timeout = 10'000'000;
+    // 0: any free port.
+    unsigned short port = 0;
+    // Otherwise it rejects all calls until accept_calls().
+    bool accepts_calls = true;
+  };
+  struct Counts {
+    Traffic traffic;
+    // Additions, those that were rejected included.
+    std::uint64_t calls = 0;
+    std::uint64_t rejected = 0;
+    std::uint64_t malformed = 0;
+    std::uint64_t pings = 0;
+    // Accepted so far.
+    std::uint64_t connections = 0;
+    // Now, those that have ended but are not swept yet included.
+    std::size_t names = 0;
+  };
+
+  FakeCounter(boost::asio::io_context& io, const Options& options);
+  ~FakeCounter();
+
+  boost::asio::ip::tcp::endpoint address() const { return address_; }
+  std::string host_port() const { return to_host_port(address_); }
+  void accept_calls() { accepts_calls_ = true; }
+  // Calls of a shard that is down wait, and with them those behind them on their connections.
+  // Throws std::out_of_range if there is no such shard.
+  void set_shard_down(std::size_t shard, bool down);
+  // As when its machine is lost and another takes its place: empty, on the same port.
+  void stop();
+  void start();
+  Counts counts() const;
+
+ private:
+  void on_command(const std::shared_ptr<FakeCounterConnection>& caller,
+                  const std::vector<std::string_view>& words);
+  // The reply, or none if it follows later.
+  std::optional<std::string> handle_command(const std::shared_ptr<FakeCounterConnection>& caller,
+                                            std::uint64_t reply_slot,
+                                            const std::vector<std::string_view>& words);
+  std::optional<std::string> handle_call(CounterCall call);
+  void serve(const CounterCall& call);
+  void wait_for_sweep();
+  void close_idle_connections(Micros now);
+
+  boost::asio::io_context& io_;
+  const Options options_;
+  boost::asio::ip::tcp::endpoint address_;
+  boost::asio::ip::tcp::acceptor acceptor_;
+  boost::asio::steady_timer sweep_timer_;
+  std::vector<std::unique_ptr<CounterShard>> shards_;
+  FakeConnections connections_;
+  CounterTotals totals_;
+  bool accepts_calls_;
+  Counts counts_;
+};
+
+}  // namespace quota_gateway::scale
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -5,9 +5,12 @@
 #include <stdexcept>
 #include <thread>
 
+#include "clocks.hpp"
 #include "day.hpp"
-#include "fakes.hpp"
+#include "event_loop_thread.hpp"
+#include "fake_counter.hpp"
 #include "net/counter/counter_client.hpp"
+#include "process_resources.hpp"
 #include "report.hpp"
 #include "scenario.hpp"
 #include "simulated_gateway.hpp"
--- a/scale/process_slopes.cpp
+++ b/scale/process_slopes.cpp
@@ -21,7 +21,10 @@
 #include <stdexcept>
 #include <thread>
 
-#include "fakes.hpp"
+#include "clocks.hpp"
+#include "event_loop_thread.hpp"
+#include "fake_counter.hpp"
+#include "fake_discovery.hpp"
 #include "measure.hpp"
 #include "report.hpp"
 
--- a/scale/simulated_gateway.cpp
+++ b/scale/simulated_gateway.cpp
@@ -57,9 +57,9 @@
 void add(FakeDiscovery::Counts& to, const FakeDiscovery::Counts& from, int sign) {
   using Counts = FakeDiscovery::Counts;
   add(to.traffic, from.traffic, sign);
-  for (const auto member :
-       {&Counts::asks, &Counts::full_lists, &Counts::differences, &Counts::changes,
-        &Counts::heartbeats, &Counts::connections, &Counts::turned_away, &Counts::too_slow}) {
+  for (const auto member : {&Counts::requests, &Counts::full_lists, &Counts::partial_lists,
+                            &Counts::updates, &Counts::heartbeats, &Counts::connections,
+                            &Counts::rejected, &Counts::slow_watchers_dropped}) {
     to.*member += std::uint64_t(sign) * from.*member;
   }
 }
@@ -289,9 +289,9 @@
     std::vector<Event> events;
     std::vector<Action> actions;
     events.swap(events_);
-    const Micros before = thread_cpu();
+    const Micros before = thread_cpu_time();
     gateway_.handle(clock_.now(), events, actions);
-    sums_.module_cpu += thread_cpu() - before;
+    sums_.module_cpu += thread_cpu_time() - before;
     in_force();
     for (const Action& action : actions) {
       std::visit([this](const auto& a) { act(a); }, action);
@@ -632,8 +632,8 @@
   for (std::size_t i = 0; i < agents_.size(); ++i) {
     const auto c = at_agent(i, [](FakeDiscovery& agent) { return agent.counts(); });
     add(s.discovery, c, 1);
-    for (const auto& [second, asks] : c.asks_by_second) {
-      s.discovery.asks_by_second[second] += asks;
+    for (const auto& [second, asks] : c.requests_by_second) {
+      s.discovery.requests_by_second[second] += asks;
     }
     s.discovery.watchers += c.watchers;
     s.agents_cpu += agents_[i].first->cpu_time();
@@ -738,18 +738,6 @@
 
 // ---- What it takes
 // ------------------------------------------------------------------------------------
-std::uint64_t allocated_bytes() {
-  const struct mallinfo2 info = mallinfo2();
-  return info.uordblks + info.hblkhd;
-}
-
-std::uint64_t resident_bytes() {
-  std::ifstream file("/proc/self/statm");
-  std::uint64_t size = 0;
-  std::uint64_t resident = 0;
-  file >> size >> resident;
-  return resident * std::uint64_t(sysconf(_SC_PAGESIZE));
-}
 
 CountedLog::CountedLog() : was_(std::cerr.rdbuf(this)) {}
 CountedLog::~CountedLog() {
--- a/scale/simulated_gateway.hpp
+++ b/scale/simulated_gateway.hpp
@@ -15,9 +15,13 @@
 #include <string>
 #include <vector>
 
+#include "clocks.hpp"
 #include "day.hpp"
-#include "fakes.hpp"
+#include "event_loop_thread.hpp"
+#include "fake_counter.hpp"
+#include "fake_discovery.hpp"
 #include "net/discovery/discovery_client.hpp"
+#include "process_resources.hpp"
 #include "quota_gateway/gateway.hpp"
 #include "report.hpp"
 #include "scenario.hpp"
@@ -120,9 +124,6 @@
 
 // Descriptors that a fleet takes, and the other ends of its connections with it.
 std::size_t descriptors_of(const FleetOptions& options);
-// Bytes that this process has allocated, and that it holds in memory.
-std::uint64_t allocated_bytes();
-std::uint64_t resident_bytes();
 
 // While it lives, what the clients write to the log is counted instead: thousands of gateways in
 // one process would all write to one. Made before the threads that log, ended after them.
--- a/tests/scale/test_fleet_test.cpp
+++ b/tests/scale/test_fleet_test.cpp
@@ -11,10 +11,14 @@
 #include <sstream>
 
 #include "day.hpp"
-#include "fakes.hpp"
+#include "event_loop_thread.hpp"
+#include "fake_counter.hpp"
+#include "fake_discovery.hpp"
+#include "fake_endpoints.hpp"
 #include "net/counter/counter_client.hpp"
 #include "net/discovery/discovery_client.hpp"
 #include "net/discovery/endpoint_list_parser.hpp"
+#include "process_resources.hpp"
 #include "simulated_gateway.hpp"
 
 namespace quota_gateway::scale {
@@ -94,7 +98,7 @@
   EXPECT_EQ(told[1].endpoints.at(0).entry.state, EndpointState::kDraining);
   EXPECT_EQ(told[2].endpoints.size(), 2U);
   EXPECT_EQ(told[2].endpoints[0].entry.state, EndpointState::kRemoved);
-  EXPECT_EQ(agent->counts().changes, 2U);
+  EXPECT_EQ(agent->counts().updates, 2U);
   EXPECT_EQ(agent->counts().full_lists, 1U);
 }
 
@@ -138,13 +142,13 @@
   make();
   watch(41);
   ASSERT_TRUE(until(io, [&] { return agent->counts().watchers == 1; }));
-  const auto asks = agent->counts().asks;
+  const auto asks = agent->counts().requests;
   agent->set_silent(true);
   agent->publish({changed(agent->servers()[7], Phase::kDraining)});
   // The client finds it silent and tries anew; nothing is told all the while.
   ASSERT_TRUE(until(io, [&] { return agent->counts().connections >= 3; }));
   EXPECT_TRUE(told.empty());
-  EXPECT_EQ(agent->counts().asks, asks);
+  EXPECT_EQ(agent->counts().requests, asks);
   agent->set_silent(false);
   ASSERT_TRUE(comes(1));
   EXPECT_EQ(told[0].revision, 42);
@@ -153,12 +157,12 @@
 
 TEST_F(FakeDiscoveryTest, TurnsAwayBreaksOffStopsAndIsBack) {
   make();
-  agent->turn_away(503, 1);
+  agent->reject_requests({.status = 503, .retry_after_s = 1});
   watch(41);
-  ASSERT_TRUE(until(io, [&] { return agent->counts().turned_away >= 2; }));
-  agent->turn_away(0);
+  ASSERT_TRUE(until(io, [&] { return agent->counts().rejected >= 2; }));
+  agent->accept_requests();
   ASSERT_TRUE(until(io, [&] { return agent->counts().watchers == 1; }));
-  agent->break_off();
+  agent->reset_watchers();
   EXPECT_EQ(agent->counts().watchers, 0U);
   ASSERT_TRUE(until(io, [&] { return agent->counts().watchers == 1; }));
   const auto address = agent->address();
@@ -234,9 +238,9 @@
 }
 
 TEST_F(FakeCounterTest, TurnsAwayPastItsRateAndUntilItBegins) {
-  make({.calls_per_s = 100, .line = 50'000, .begun = false});
+  make({.calls_per_second = 100, .max_queue_time = 50'000, .accepts_calls = false});
   EXPECT_EQ(add(1, 1).outcome, CounterOutcome::kNotAdded);
-  server->begin();
+  server->accept_calls();
   EXPECT_EQ(add(1, 1).outcome, CounterOutcome::kOk);
   answers.clear();
   for (int i = 0; i < 40; ++i) {
@@ -247,19 +251,19 @@
                                 [](const auto& a) { return a.outcome == CounterOutcome::kOk; });
   EXPECT_GE(ok, 5);  // its line
   EXPECT_LT(ok, 40);
-  EXPECT_EQ(server->counts().turned_away, 1U + 40U - std::uint64_t(ok));
+  EXPECT_EQ(server->counts().rejected, 1U + 40U - std::uint64_t(ok));
   EXPECT_DOUBLE_EQ(add(1, 0).total, 1 + double(ok));  // what was turned away was not added
 }
 
 TEST_F(FakeCounterTest, CallsOfAPartThatIsDownWaitAndAnswersKeepTheirOrder) {
-  make({.parts = 1});
-  server->set_down(0, true);
+  make({.shards = 1});
+  server->set_shard_down(0, true);
   for (int i = 1; i <= 3; ++i) {
     client->add({i, double(i), 4'000'000});
   }
   ASSERT_TRUE(until(io, [&] { return server->counts().calls == 3; }));
   EXPECT_TRUE(answers.empty());
-  server->set_down(0, false);
+  server->set_shard_down(0, false);
   ASSERT_TRUE(until(io, [&] { return answers.size() == 3; }));
   for (int i = 0; i < 3; ++i) {
     EXPECT_DOUBLE_EQ(answers[std::size_t(i)].total, i + 1);
@@ -301,8 +305,8 @@
   EventLoopThread machine;
   auto& servers = machine.emplace<FakeEndpoints>(3, 7);
   machine.run([&] {
-    servers.set_answer(1, {.status = 503, .never_ran = true, .service = 0});
-    servers.set_answer(2, {.status = 500, .service = 0});
+    servers.set_response(1, {.status = 503, .never_ran = true, .service_time = 0});
+    servers.set_response(2, {.status = 500, .service_time = 0});
   });
   asio::io_context io;
   const auto ask = [&](std::size_t server, const std::string& target, const std::string& headers) {
@@ -322,7 +326,7 @@
   EXPECT_EQ(ask(0, "/ping", id).substr(0, 12), "HTTP/1.1 404");
   const auto counts = machine.run([&] { return servers.counts(); });
   EXPECT_EQ(counts.requests, 5U);
-  EXPECT_EQ(counts.answers.at(404), 2U);
+  EXPECT_EQ(counts.responses.at(404), 2U);
 }
 
 // ---- The day
