--- a/scale/counter_shard.cpp
+++ b/scale/counter_shard.cpp
@@ -69,7 +69,7 @@
 
 // The call that was waited for, and those that fell due while the loop was busy.
 void CounterShard::serve_due() {
-  const double now = double(steady_now());
+  const auto now = double(steady_now());
   bool is_first = true;
   while (!queue_.empty() && (is_first || busy_until_ + service_interval() <= now)) {
     if (!is_first) {
--- a/scale/day.cpp
+++ b/scale/day.cpp
@@ -1,148 +1,192 @@
 #include "day.hpp"
 
 #include <algorithm>
-#include <cstdio>
+#include <cstddef>
+#include <functional>
 #include <random>
 #include <stdexcept>
 #include <tuple>
+#include <utility>
 
 namespace quota_gateway::scale {
 namespace {
 
-constexpr double kHourS = 3600, kDayS = 24 * kHourS;
-
-// One thing that befalls so many at once, before it is known whom it finds at work.
+constexpr double kSecondsPerHour = 3600;
+constexpr double kSecondsPerDay = 24 * kSecondsPerHour;
+constexpr double kMicrosPerSecond = 1e6;
+
+// All assumed, for no page of the operators gives a figure; docs/CAPACITY.md names them so.
+// "Most days", of racks or switches.
+constexpr double kRackFailuresPerDay = 0.7;
+// "A few times a year".
+constexpr double kZoneFailuresPerDay = 3.0 / 365;
+// "Now and then".
+constexpr double kRegionCutsPerDay = 1.0 / 30;
+constexpr double kDrainS = 30;
+constexpr double kRestartS = 20;
+constexpr double kMachineAwayS = 1200;
+constexpr double kRackAwayS = 1800;
+constexpr double kZoneAwayS = 3600;
+
+// What happens at one moment, before it is known which servers it takes.
 struct Incident {
-  double at_s;
-  Cause cause;
-  std::uint32_t what;
+  double at_s = 0;
+  Cause cause = Cause::kRestart;
+  // The first candidate of a restart; else the machine, rack, zone or region, or the number of the
+  // changed settings.
+  std::uint32_t subject = 0;
 };
 
-class Drawing {
+bool is_earlier(const Incident& left, const Incident& right) {
+  return std::tie(left.at_s, left.cause, left.subject) <
+         std::tie(right.at_s, right.cause, right.subject);
+}
+
+class DayGenerator {
  public:
-  Drawing(const Layout& layout, const DayOptions& options)
-      : layout_(layout),
-        options_(options),
-        random_(options.seed),
-        share_(options.target_rate_fraction > 0
-                   ? options.target_rate_fraction
-                   : double(layout.servers) / double(options.target.servers)),
-        busy_until_(layout.servers) {}
-
-  std::vector<Disturbance> run() {
-    const Target& t = options_.target;
-    incidents(Cause::kRestart, t.restarts_per_day * share_, layout_.servers);
-    incidents(Cause::kMachine, t.failures_per_day * share_, layout_.machines());
-    incidents(Cause::kRack, kRacksADay * share_, layout_.racks());
-    // A zone and a region are as many in a small world; they do not get rarer with it.
-    incidents(Cause::kZone, kZonesADay, layout_.zones);
-    incidents(Cause::kRegion, kRegionCutsADay, layout_.regions);
-    incidents(Cause::kConfiguration, t.config_changes_per_day * share_, 0);
-    std::stable_sort(incidents_.begin(), incidents_.end(),
-                     [](const Incident& a, const Incident& b) {
-                       return std::tie(a.at_s, a.cause, a.what) < std::tie(b.at_s, b.cause, b.what);
-                     });
-    for (const Incident& i : incidents_) {
-      take(i);
+  DayGenerator(const Layout& layout, const DayOptions& options)
+      : layout_(layout), options_(options), random_(options.seed), busy_until_s_(layout.servers) {}
+
+  std::vector<Disturbance> generate() {
+    draw_all_incidents();
+    std::stable_sort(incidents_.begin(), incidents_.end(), is_earlier);
+    for (const Incident& incident : incidents_) {
+      apply(incident);
     }
-    std::stable_sort(out_.begin(), out_.end(),
-                     [](const Disturbance& a, const Disturbance& b) { return a.at < b.at; });
-    return std::move(out_);
+    std::stable_sort(
+        day_.begin(), day_.end(),
+        [](const Disturbance& left, const Disturbance& right) { return left.at < right.at; });
+    return std::move(day_);
   }
 
  private:
-  void incidents(Cause cause, double a_day, std::size_t of) {
-    const double mean = a_day * options_.hours * kHourS / kDayS;
-    if (mean <= 0 || (of == 0 && cause != Cause::kConfiguration)) {
+  double rate_fraction() const {
+    return options_.target_rate_fraction > 0
+               ? options_.target_rate_fraction
+               : double(layout_.servers) / double(options_.target.servers);
+  }
+
+  void draw_all_incidents() {
+    const Target& target = options_.target;
+    const double fraction = rate_fraction();
+    draw_incidents(Cause::kRestart, target.restarts_per_day * fraction, layout_.servers);
+    draw_incidents(Cause::kMachine, target.failures_per_day * fraction, layout_.machines());
+    draw_incidents(Cause::kRack, kRackFailuresPerDay * fraction, layout_.racks());
+    // A small layout has as many zones and regions as the target; they do not fail less often.
+    draw_incidents(Cause::kZone, kZoneFailuresPerDay, layout_.zones);
+    draw_incidents(Cause::kRegion, kRegionCutsPerDay, layout_.regions);
+    draw_configuration_changes(target.config_changes_per_day * fraction);
+  }
+
+  std::uint32_t draw_count(double per_day) {
+    const double mean = per_day * options_.hours * kSecondsPerHour / kSecondsPerDay;
+    return mean > 0 ? std::poisson_distribution<std::uint32_t>(mean)(random_) : 0;
+  }
+  double draw_time_s() {
+    return std::uniform_real_distribution<>(0, options_.hours * kSecondsPerHour)(random_);
+  }
+
+  void draw_incidents(Cause cause, double per_day, std::size_t subjects) {
+    if (subjects == 0) {
       return;
     }
-    const auto count = std::poisson_distribution<std::uint32_t>(mean)(random_);
+    const std::uint32_t count = draw_count(per_day);
+    for (std::uint32_t i = 0; i < count; ++i) {
+      const double at_s = draw_time_s();
+      const auto subject = std::uniform_int_distribution<std::size_t>(0, subjects - 1)(random_);
+      incidents_.push_back({at_s, cause, std::uint32_t(subject)});
+    }
+  }
+
+  void draw_configuration_changes(double per_day) {
+    const std::uint32_t count = draw_count(per_day);
     for (std::uint32_t i = 0; i < count; ++i) {
-      const double at = std::uniform_real_distribution<>(0, options_.hours * kHourS)(random_);
-      const auto what =
-          of == 0 ? i
-                  : std::uint32_t(std::uniform_int_distribution<std::size_t>(0, of - 1)(random_));
-      incidents_.push_back({at, cause, what});
+      incidents_.push_back({draw_time_s(), Cause::kConfiguration, i});
     }
   }
 
-  void take(const Incident& i) {
-    switch (i.cause) {
+  void apply(const Incident& incident) {
+    const std::size_t subject = incident.subject;
+    switch (incident.cause) {
       case Cause::kRestart:
-        return restart(i);
+        restart(incident);
+        break;
       case Cause::kMachine:
-        return lose(i, kMachineAwayS, [&](std::size_t s) { return layout_.machine(s) == i.what; });
+        fail_servers(incident, kMachineAwayS, [this, subject](std::size_t server) {
+          return layout_.machine(server) == subject;
+        });
+        break;
       case Cause::kRack:
-        return lose(i, kRackAwayS, [&](std::size_t s) { return layout_.rack(s) == i.what; });
+        fail_servers(incident, kRackAwayS, [this, subject](std::size_t server) {
+          return layout_.rack(server) == subject;
+        });
+        break;
       case Cause::kZone:
-        return lose(i, kZoneAwayS, [&](std::size_t s) { return layout_.zone(s) == i.what; });
+        fail_servers(incident, kZoneAwayS, [this, subject](std::size_t server) {
+          return layout_.zone(server) == subject;
+        });
+        break;
       case Cause::kRegion:
-        put(i.at_s, i.cause, Change::kCut, i.what);
-        return put(i.at_s + kRegionCutS, i.cause, Change::kJoined, i.what);
+        add(incident, 0, Change::kRegionCut, subject);
+        add(incident, kRegionCutS, Change::kRegionRejoined, subject);
+        break;
       case Cause::kConfiguration:
-        return put(i.at_s, i.cause, Change::kSettings, i.what);
+        add(incident, 0, Change::kSettingsChanged, subject);
+        break;
     }
   }
 
-  // Of the next server that is at work.
-  void restart(const Incident& i) {
-    for (std::size_t tried = 0; tried < layout_.servers; ++tried) {
-      const std::size_t server = (i.what + tried) % layout_.servers;
-      if (busy_until_[server] > i.at_s) {
+  // Takes the next server that is neither away nor draining.
+  void restart(const Incident& incident) {
+    for (std::size_t i = 0; i < layout_.servers; ++i) {
+      const std::size_t server = (incident.subject + i) % layout_.servers;
+      if (busy_until_s_[server] > incident.at_s) {
         continue;
       }
-      put(i.at_s, i.cause, Change::kDraining, server);
-      put(i.at_s + kDrainS, i.cause, Change::kGone, server);
-      put(i.at_s + kDrainS + kRestartS, i.cause, Change::kUp, server);
-      busy_until_[server] = i.at_s + kDrainS + kRestartS;
+      add(incident, 0, Change::kDraining, server);
+      add(incident, kDrainS, Change::kGone, server);
+      add(incident, kDrainS + kRestartS, Change::kUp, server);
+      busy_until_s_[server] = incident.at_s + kDrainS + kRestartS;
       return;
     }
   }
 
-  template <typename Hit>
-  void lose(const Incident& i, double away_s, Hit hit) {
+  void fail_servers(const Incident& incident, double away_s,
+                    const std::function<bool(std::size_t server)>& is_affected) {
     for (std::size_t server = 0; server < layout_.servers; ++server) {
-      if (!hit(server) || busy_until_[server] > i.at_s) {
+      if (!is_affected(server) || busy_until_s_[server] > incident.at_s) {
         continue;
       }
-      put(i.at_s, i.cause, Change::kGone, server);
-      put(i.at_s + away_s, i.cause, Change::kUp, server);
-      busy_until_[server] = i.at_s + away_s;
+      add(incident, 0, Change::kGone, server);
+      add(incident, away_s, Change::kUp, server);
+      busy_until_s_[server] = incident.at_s + away_s;
     }
   }
 
-  void put(double at_s, Cause cause, Change change, std::size_t what) {
-    out_.push_back({Micros(at_s * 1e6 / options_.compression), cause, change, std::uint32_t(what)});
+  void add(const Incident& incident, double after_s, Change change, std::size_t subject) {
+    const double at_s = incident.at_s + after_s;
+    day_.push_back({Micros(at_s * kMicrosPerSecond / options_.compression), incident.cause, change,
+                    std::uint32_t(subject)});
   }
 
   const Layout& layout_;
   const DayOptions& options_;
   std::mt19937_64 random_;
-  const double share_;
-  std::vector<double> busy_until_;  // s of the day
+  // By server, seconds of the day: until then it is away or draining.
+  std::vector<double> busy_until_s_;
   std::vector<Incident> incidents_;
-  std::vector<Disturbance> out_;
+  std::vector<Disturbance> day_;
 };
 
 }  // namespace
 
-std::string server_id(std::size_t server) {
-  char text[16];
-  std::snprintf(text, sizeof text, "s-%08zx", server);
-  return text;
-}
-
-std::string zone_name(std::size_t zone) {
-  return std::string(1, char('a' + zone % 26));
-}
-
 std::vector<Disturbance> draw_day(const Layout& layout, const DayOptions& options) {
-  if (layout.servers == 0 || layout.zones == 0 || layout.regions == 0 || options.hours <= 0 ||
-      options.compression <= 0) {
+  const bool has_layout = layout.servers > 0 && layout.zones > 0 && layout.regions > 0;
+  if (!has_layout || options.hours <= 0 || options.compression <= 0) {
     throw std::invalid_argument(
         "a day needs servers, zones, regions, hours and a compression above 0");
   }
-  return Drawing(layout, options).run();
+  return DayGenerator(layout, options).generate();
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/events.cpp
+++ b/scale/events.cpp
@@ -1,299 +1,385 @@
-// What happens to a fleet: gateways restart together, a rack, a zone, a region and a control
-// machine are lost and are back. Told of each: bytes, processor time, memory, how long until all
-// are right, whether a gateway was without a list meanwhile, and how steep the asking is.
+// Events that befall a fleet: gateways restart together, a rack, a zone, a region and a control
+// machine are lost and return. Each scenario measures bytes, processor time, memory, how long until
+// all gateways have converged, whether one was without a list meanwhile, and how requests to
+// discovery bunch together.
 #include <algorithm>
+#include <array>
+#include <cstddef>
+#include <cstdint>
 #include <functional>
+#include <map>
 #include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
 
+#include "clocks.hpp"
 #include "day.hpp"
+#include "fleet_scenario.hpp"
+#include "process_resources.hpp"
 #include "report.hpp"
 #include "scenario.hpp"
-#include "simulated_gateway.hpp"
+#include "test_fleet.hpp"
 
 namespace quota_gateway::scale {
 namespace {
 
-constexpr Micros kRightWithin = 30'000'000;  // us that an event may take at the most
-constexpr double kRequests =
-    2;  // a second at each gateway meanwhile; what is served shows it works
-constexpr double kSpreadS =
-    10;  // s over which the mean of asks is taken, or as long as the event lasts
-constexpr std::size_t kGroups = 10;  // gateways that restart together are one of them
+constexpr Micros kMicrosInSecond = 1'000'000;
+constexpr double kMicrosPerMilli = 1e3;
+constexpr double kBytesPerMegabyte = 1e6;
 
-std::size_t gateways_of(const Options& o) {
-  return Sizes{o}.gateways(7'400, 30);
+// In which a fleet converges after an event, or the report says that it has not.
+constexpr Micros kEventTimeout = 30'000'000;
+// At each gateway during an event; what is served shows that it works.
+constexpr double kRequestsPerS = 2;
+// The mean of requests to discovery is taken over so many seconds, or over the event if it lasts
+// longer.
+constexpr double kMinMeanWindowS = 10;
+// Gateways that restart together are one of these.
+constexpr std::size_t kGroups = 10;
+constexpr double kTenantsPerGateway = 100;
+
+std::size_t gateways_of(const Options& options) {
+  return Sizes{options}.gateways(7'400, 30);
 }
-std::size_t servers_of(const Options& o) {
-  return Sizes{o}.servers(1'700, 700);
+
+std::size_t servers_of(const Options& options) {
+  return Sizes{options}.servers(1'700, 700);
 }
 
-std::uint64_t memory_of(const Options& o) {
-  const std::size_t gateways = gateways_of(o);
-  return require_descriptors(fleet_memory(double(gateways), double(servers_of(o)), 100, 3),
-                             gateways, false);
+std::uint64_t memory_of(const Options& options) {
+  const std::size_t gateways = gateways_of(options);
+  const auto agents = double(Target{}.regions);
+  const std::uint64_t memory =
+      fleet_memory(double(gateways), double(servers_of(options)), kTenantsPerGateway, agents);
+  return require_descriptors(memory, gateways, false);
 }
 
-// An agent for each region, and gateways that start with a list.
-TestFleet::Options event_world(const Options& options, bool known = true) {
-  TestFleet::Options how = test_fleet_options(options, gateways_of(options), servers_of(options));
-  how.agents = how.layout.regions;
-  how.known = known;
-  how.fleet.groups = kGroups;
-  how.fleet.requests_per_s = kRequests;
-  return how;
+// An agent for each region.
+TestFleet::Options event_fleet_options(const Options& options, bool with_persisted_list) {
+  TestFleet::Options fleet = test_fleet_options(options, gateways_of(options), servers_of(options));
+  fleet.agents = fleet.layout.regions;
+  fleet.with_persisted_list = with_persisted_list;
+  fleet.fleet.groups = kGroups;
+  fleet.fleet.requests_per_s = kRequestsPerS;
+  return fleet;
 }
 
-// From just before an event until all gateways are right.
-class Event {
+// Measures one event, from its construction just before the event until all gateways have
+// converged.
+class EventMeasurement {
  public:
-  Event(TestFleet& world, Report& report, std::string scenario, std::map<std::string, double> at)
-      : world_(world),
+  EventMeasurement(TestFleet& fleet, Report& report, std::string scenario,
+                   std::map<std::string, double> at)
+      : fleet_(fleet),
         report_(report),
         scenario_(std::move(scenario)),
         at_(std::move(at)),
-        before_(world.usage()),
-        fleet_before_(world.fleet().state()),
-        memory_(allocated_bytes()),
-        peak_(memory_),
-        since_(steady_now()) {
-    at_["gateways"] = double(world.layout().gateways);
+        usage_before_(fleet.usage()),
+        state_before_(fleet.fleet().state()),
+        memory_before_(allocated_bytes()),
+        peak_memory_(memory_before_),
+        started_at_(steady_now()) {
+    at_["gateways"] = double(fleet.layout().gateways);
   }
 
-  // Waits until all are right and tells what it took. False if they are not in time.
-  bool settle(const std::string& name) {
-    const std::size_t all = world_.layout().gateways;
-    std::size_t least = all;
-    FleetState last;
-    const bool right = world_.fleet().wait_until(
-        [&](const FleetState& s) {
-          peak_ = std::max(peak_, allocated_bytes());
-          least = std::min(least, s.with_list);
-          last = s;
-          return s.right == all;
+  // Waits until all gateways have converged, kEventTimeout at most, and reports what it took. The
+  // figures' names begin with `name`.
+  void finish(const std::string& name) {
+    const std::size_t gateways = fleet_.layout().gateways;
+    std::size_t least_with_list = gateways;
+    FleetState last_state;
+    const bool converged = fleet_.fleet().wait_until(
+        [&](const FleetState& state) {
+          peak_memory_ = std::max(peak_memory_, allocated_bytes());
+          least_with_list = std::min(least_with_list, state.with_list);
+          last_state = state;
+          return state.converged == gateways;
         },
-        kRightWithin);
-    const auto spent = world_.usage().since(before_);
-    const double gateways = double(all);
-    if (right) {
-      tell(name + ".until_right", double(std::max<Micros>(0, last.last_right_at - since_)) / 1e3,
-           "ms");
-    } else {
-      report_.note(scenario_, name + ": only " + std::to_string(last.right) + " of " +
-                                  std::to_string(all) + " gateways right after " +
-                                  std::to_string(kRightWithin / 1'000'000) + " s");
+        kEventTimeout);
+    const FleetUsage usage = fleet_.usage().since(usage_before_);
+    report_convergence(name, converged, last_state);
+    report_usage(name, usage);
+    report_lists(name, usage, last_state, least_with_list);
+    report_requests(name, usage);
+  }
+
+  void add_figure(const std::string& name, double value, const std::string& unit) {
+    report_.add({scenario_, name, at_, value, unit});
+  }
+
+ private:
+  void report_convergence(const std::string& name, bool converged, const FleetState& state) {
+    if (converged) {
+      const Micros took = std::max<Micros>(0, state.last_converged_at - started_at_);
+      add_figure(name + ".until_right", double(took) / kMicrosPerMilli, "ms");
+      return;
     }
-    tell(name + ".bytes", double(spent.discovery.traffic.sent) / gateways, "bytes/gateway");
-    tell(name + ".agents_cpu", double(spent.agents_cpu) / 1e3, "ms");
-    tell(name + ".gateways_cpu", double(spent.gateways_cpu) / gateways / 1e3, "ms/gateway");
-    tell(name + ".module_cpu", double(spent.module_cpu) / gateways / 1e3, "ms/gateway");
-    tell(name + ".memory_more", (double(peak_) - double(memory_)) / 1e6, "MB");
-    tell(name + ".whole_lists", double(spent.discovery.full_lists), "lists");
-    if (spent.discovery.full_lists > all) {
+    const std::size_t gateways = fleet_.layout().gateways;
+    const Micros timeout_s = kEventTimeout / kMicrosInSecond;
+    report_.note(scenario_, name + ": only " + std::to_string(state.converged) + " of " +
+                                std::to_string(gateways) + " gateways right after " +
+                                std::to_string(timeout_s) + " s");
+  }
+
+  void report_usage(const std::string& name, const FleetUsage& usage) {
+    const auto gateways = double(fleet_.layout().gateways);
+    add_figure(name + ".bytes", double(usage.discovery.traffic.sent) / gateways, "bytes/gateway");
+    add_figure(name + ".agents_cpu", double(usage.agents_cpu) / kMicrosPerMilli, "ms");
+    add_figure(name + ".gateways_cpu", double(usage.gateways_cpu) / gateways / kMicrosPerMilli,
+               "ms/gateway");
+    add_figure(name + ".module_cpu", double(usage.module_cpu) / gateways / kMicrosPerMilli,
+               "ms/gateway");
+    const double more_memory = double(peak_memory_) - double(memory_before_);
+    add_figure(name + ".memory_more", more_memory / kBytesPerMegabyte, "MB");
+  }
+
+  void report_lists(const std::string& name, const FleetUsage& usage, const FleetState& state,
+                    std::size_t least_with_list) {
+    const std::size_t gateways = fleet_.layout().gateways;
+    add_figure(name + ".whole_lists", double(usage.discovery.full_lists), "lists");
+    if (usage.discovery.full_lists > gateways) {
       report_.note(scenario_,
                    name +
                        ": more whole lists than gateways: hollow gateways share a processor, and "
                        "a list that does not come in its time is asked for again");
     }
-    tell(name + ".differences", double(spent.discovery.partial_lists), "lists");
-    // Since the world began; those that restart are not among them, but are without one until they
-    // have it.
-    tell(name + ".were_without_list", double(last.were_without), "gateways");
-    tell(name + ".least_with_list", double(least), "gateways");
-    tell(name + ".failed", double(last.failed - fleet_before_.failed), "requests");
-    tell(name + ".log_lines", double(world_.log_lines()) / gateways, "lines/gateway");
-    asks(name, spent);
-    return right;
-  }
-  void tell(const std::string& name, double value, const std::string& unit) {
-    report_.add({scenario_, name, at_, value, unit});
+    add_figure(name + ".differences", double(usage.discovery.partial_lists), "lists");
+    // Since the fleet began. Gateways that restart are not among them: they begin without a list.
+    add_figure(name + ".were_without_list", double(state.lost_list), "gateways");
+    add_figure(name + ".least_with_list", double(least_with_list), "gateways");
+    add_figure(name + ".failed", double(state.failed - state_before_.failed), "requests");
+    add_figure(name + ".log_lines", double(fleet_.log_lines()) / double(gateways), "lines/gateway");
   }
 
- private:
-  void asks(const std::string& name, const TestFleet::Usage& spent) {
+  // Requests to discovery: all, those of the highest second, and that second over the mean.
+  void report_requests(const std::string& name, const FleetUsage& usage) {
     double highest = 0;
     double sum = 0;
-    const Micros first = since_ / 1'000'000;
-    for (auto it = spent.discovery.requests_by_second.lower_bound(first);
-         it != spent.discovery.requests_by_second.end(); ++it) {
-      // What was asked in that second before the event is not its doing.
-      const auto was = before_.discovery.requests_by_second.find(it->first);
-      const double count = double(it->second) -
-                           (was == before_.discovery.requests_by_second.end() ? 0 : was->second);
-      highest = std::max(highest, count);
-      sum += count;
+    const auto& by_second = usage.discovery.requests_by_second;
+    const Micros first_second = started_at_ / kMicrosInSecond;
+    for (auto it = by_second.lower_bound(first_second); it != by_second.end(); ++it) {
+      const double requests = double(it->second) - requests_before(it->first);
+      highest = std::max(highest, requests);
+      sum += requests;
     }
-    tell(name + ".asks", sum, "asks");
+    add_figure(name + ".asks", sum, "asks");
     if (sum == 0) {
       return;
     }
-    tell(name + ".asks_highest_second", highest, "asks");
-    tell(name + ".asks_highest_over_mean", highest / (sum / std::max(kSpreadS, spent.seconds())),
-         "times");
+    const double mean = sum / std::max(kMinMeanWindowS, usage.seconds());
+    add_figure(name + ".asks_highest_second", highest, "asks");
+    add_figure(name + ".asks_highest_over_mean", highest / mean, "times");
+  }
+
+  // Requests of the second that came before the event, and not because of it.
+  double requests_before(Micros second) const {
+    const auto& by_second = usage_before_.discovery.requests_by_second;
+    const auto found = by_second.find(second);
+    return found == by_second.end() ? 0 : double(found->second);
   }
 
-  TestFleet& world_;
+  TestFleet& fleet_;
   Report& report_;
   const std::string scenario_;
   std::map<std::string, double> at_;
-  const TestFleet::Usage before_;
-  const FleetState fleet_before_;
-  const std::uint64_t memory_;
-  std::uint64_t peak_;
-  const Micros since_;
+  const FleetUsage usage_before_;
+  const FleetState state_before_;
+  const std::uint64_t memory_before_;
+  std::uint64_t peak_memory_;
+  const Micros started_at_;
 };
 
-// A few servers drain, so that there is a difference to tell.
-void stir(TestFleet& world, std::size_t servers) {
-  for (std::size_t i = 0; i < servers; ++i) {
-    world.publish({world.listed_server(i, Phase::kDraining)});
+// Publishes a change of each of the first servers, so that there is something to catch up with.
+void drain_servers(TestFleet& fleet, std::size_t servers) {
+  for (std::size_t server = 0; server < servers; ++server) {
+    fleet.publish({fleet.listed_server(server, Phase::kDraining)});
   }
 }
 
-// ---- A tenth of the gateways restart at once
-// ----------------------------------------------------------------
+// Once with the history that partial lists need, and once without.
+constexpr std::array kHistoryCases = {true, false};
+
+const char* history_name(bool has_history) {
+  return has_history ? "history" : "lost history";
+}
+
+// A tenth of the gateways restart at once.
 constexpr const char* kRestarts = "events.restarts";
-void restarts(const Options& options, Report& report) {
-  const ScenarioDeadline until(options, 120);
-  for (const bool known : {true, false}) {
-    if (until.expired(report, kRestarts, known ? "a known list" : "no list")) {
+
+void measure_restart(const Options& options, Report& report, bool with_persisted_list) {
+  constexpr std::size_t kDrainedServers = 10;
+  constexpr std::size_t kRestartedGroup = kGroups / 2;
+  TestFleet fleet(event_fleet_options(options, with_persisted_list));
+  start_and_converge(fleet);
+  drain_servers(fleet, kDrainedServers);
+  if (!fleet.wait_until_converged(kConvergenceTimeout)) {
+    throw std::runtime_error("a change is not taken");
+  }
+  EventMeasurement event(fleet, report, kRestarts, {{"known_list", double(with_persisted_list)}});
+  fleet.fleet().restart(kRestartedGroup);
+  event.finish("restarted");
+  const FleetState restarted = fleet.fleet().state_of(kRestartedGroup);
+  event.add_figure("restarted.longest_without_list",
+                   double(restarted.longest_time_to_first_list) / kMicrosPerMilli, "ms");
+}
+
+void run_restarts(const Options& options, Report& report) {
+  const ScenarioDeadline deadline(options, 120);
+  for (const bool with_persisted_list : {true, false}) {
+    if (deadline.expired(report, kRestarts, with_persisted_list ? "a known list" : "no list")) {
       return;
     }
-    TestFleet world(event_world(options, known));
-    start_and_converge(world);
-    stir(world, 10);
-    if (!world.wait_until_converged(kConvergenceTimeout)) {
-      throw std::runtime_error("a change is not taken");
-    }
-    Event event(world, report, kRestarts, {{"known_list", double(known)}});
-    world.fleet().restart(kGroups / 2);
-    event.settle("restarted");
-    event.tell("restarted.longest_without_list",
-               double(world.fleet().state_of(kGroups / 2).longest_first_list) / 1e3, "ms");
+    measure_restart(options, report, with_persisted_list);
   }
 }
 
-// ---- A rack, a zone: lost and back
-// ----------------------------------------------------------------------------
-void lost_and_back(const Options& options, Report& report, const char* scenario,
-                   const std::function<bool(const Layout&, std::size_t)>& in) {
-  TestFleet world(event_world(options));
-  start_and_converge(world);
-  const auto of = [&](Phase phase) {
-    return world.listed_servers(phase,
-                                [&](std::size_t server) { return in(world.layout(), server); });
-  };
-  const auto servers = of(Phase::kRemoved);
+// Servers are lost and return.
+void measure_loss(const Options& options, Report& report, const char* scenario,
+                  const std::function<bool(const Layout&, std::size_t server)>& is_lost) {
+  TestFleet fleet(event_fleet_options(options, true));
+  start_and_converge(fleet);
   for (const Phase phase : {Phase::kRemoved, Phase::kUp}) {
-    Event event(world, report, scenario, {{"changed", double(servers.size())}});
-    world.publish(of(phase), true);
-    event.settle(phase == Phase::kRemoved ? "lost" : "back");
+    const auto servers = fleet.listed_servers(
+        phase, [&](std::size_t server) { return is_lost(fleet.layout(), server); });
+    EventMeasurement event(fleet, report, scenario, {{"changed", double(servers.size())}});
+    fleet.publish_and_expect(servers);
+    event.finish(phase == Phase::kRemoved ? "lost" : "back");
   }
 }
 
 constexpr const char* kRack = "events.rack";
-void rack(const Options& options, Report& report) {
-  lost_and_back(options, report, kRack,
-                [](const Layout& l, std::size_t s) { return l.rack(s) == 1; });
+constexpr std::size_t kLostRack = 1;
+
+void run_rack(const Options& options, Report& report) {
+  measure_loss(options, report, kRack, [](const Layout& layout, std::size_t server) {
+    return layout.rack(server) == kLostRack;
+  });
 }
+
 constexpr const char* kZone = "events.zone";
-void zone(const Options& options, Report& report) {
-  lost_and_back(options, report, kZone,
-                [](const Layout& l, std::size_t s) { return l.zone(s) == 1; });
+constexpr std::size_t kLostZone = 1;
+
+void run_zone(const Options& options, Report& report) {
+  measure_loss(options, report, kZone, [](const Layout& layout, std::size_t server) {
+    return layout.zone(server) == kLostZone;
+  });
 }
 
-// ---- A region cut from discovery for an hour of the bench's clock
-// --------------------------------------------
+// A region is cut off from discovery for an hour of the run's clock.
 constexpr const char* kRegion = "events.region";
-// Danger: told one by one, an hour's changes in seconds keep gateways busier than any day does, and
-// all that is measured is their backlog.
-constexpr Micros kStep = 500'000;  // us of changes that are told as one
-void region(const Options& options, Report& report) {
-  const ScenarioDeadline until(options, 180);
-  const double factor = options.small ? 900 : 120;  // so many times shorter than an hour
-  for (const bool history : {true, false}) {
-    if (until.expired(report, kRegion, history ? "history" : "lost history")) {
-      return;
+// Changes of this time are published as one. One by one, an hour's changes within seconds keep
+// gateways busier than any day does, and all that is measured is their backlog.
+constexpr Micros kReplayStep = 500'000;
+constexpr std::size_t kCutAgent = 1;
+
+// How many times shorter than an hour the cut is.
+double region_compression(const Options& options) {
+  return options.small ? 900 : 120;
+}
+
+std::vector<Disturbance> draw_region_hour(const Options& options, const Layout& layout) {
+  DayOptions day;
+  day.seed = options.seed;
+  day.hours = 1;
+  // As many changes as the target has in an hour.
+  day.target_rate_fraction = 1;
+  day.compression = region_compression(options);
+  return draw_day(layout, day);
+}
+
+// Ends the time for which an agent was away.
+void return_agent(TestFleet& fleet, std::size_t agent, bool has_history,
+                  const std::function<void(FakeDiscovery&)>& resume) {
+  fleet.expect();
+  fleet.with_agent(agent, [&](FakeDiscovery& discovery) {
+    if (!has_history) {
+      discovery.forget_history();
     }
-    TestFleet world(event_world(options));
-    start_and_converge(world);
-    DayOptions how;
-    how.seed = options.seed;
-    how.hours = 1;
-    how.target_rate_fraction = 1;  // as many changes as the target has in an hour
-    how.compression = factor;
-    const auto day = draw_day(world.layout(), how);
-    constexpr std::size_t kCut = 1;
-    const std::map<std::string, double> at = {{"history", double(history)}};
-    const auto before = world.usage();
-    world.at_agent(kCut, [](FakeDiscovery& agent) { agent.set_silent(true); });
-    const auto changes = world.replay(day, Micros(kRegionCutS * 1e6 / factor), kStep);
-    sleep_for(kStep);  // the others have the last of it
-    const auto cut = world.usage().since(before);
-    {
-      Event event(world, report, kRegion, at);
-      const double theirs = double(world.layout().gateways) / double(world.layout().regions);
-      event.tell("cut.changes", double(changes), "servers");
-      event.tell("cut.connections", double(cut.discovery.connections) / cut.seconds() / theirs,
-                 "1/s/gateway cut");
-      event.tell("cut.agents_cpu", double(cut.agents_cpu) / cut.seconds(), "us/s");
-      world.expect();
-      world.at_agent(kCut, [history](FakeDiscovery& agent) {
-        if (!history) {
-          agent.forget_history();
-        }
-        agent.set_silent(false);
-      });
-      event.settle("back");
+    resume(discovery);
+  });
+}
+
+void measure_region(const Options& options, Report& report, bool has_history) {
+  TestFleet fleet(event_fleet_options(options, true));
+  start_and_converge(fleet);
+  const auto hour = draw_region_hour(options, fleet.layout());
+  const auto length = Micros(kRegionCutS * double(kMicrosInSecond) / region_compression(options));
+  const FleetUsage before = fleet.usage();
+  fleet.with_agent(kCutAgent, [](FakeDiscovery& agent) { agent.set_silent(true); });
+  const std::size_t changes = fleet.replay(hour, length, kReplayStep);
+  // Until the other regions have the last of the changes.
+  sleep_for(kReplayStep);
+  const FleetUsage cut = fleet.usage().since(before);
+
+  EventMeasurement event(fleet, report, kRegion, {{"history", double(has_history)}});
+  const Layout& layout = fleet.layout();
+  const double gateways_cut = double(layout.gateways) / double(layout.regions);
+  event.add_figure("cut.changes", double(changes), "servers");
+  event.add_figure("cut.connections",
+                   double(cut.discovery.connections) / cut.seconds() / gateways_cut,
+                   "1/s/gateway cut");
+  event.add_figure("cut.agents_cpu", double(cut.agents_cpu) / cut.seconds(), "us/s");
+  return_agent(fleet, kCutAgent, has_history,
+               [](FakeDiscovery& agent) { agent.set_silent(false); });
+  event.finish("back");
+}
+
+void run_region(const Options& options, Report& report) {
+  const ScenarioDeadline deadline(options, 180);
+  for (const bool has_history : kHistoryCases) {
+    if (deadline.expired(report, kRegion, history_name(has_history))) {
+      return;
     }
+    measure_region(options, report, has_history);
   }
   report.note(
       kRegion,
-      "an hour shortened " + std::to_string(int(factor)) +
+      "an hour shortened " + std::to_string(int(region_compression(options))) +
           " times, with the target's changes of an hour in it; waits of the clients are not");
 }
 
-// ---- A control machine lost and back
-// ----------------------------------------------------------------------------
+// A control machine is lost and returns.
 constexpr const char* kControl = "events.control";
-void control(const Options& options, Report& report) {
-  const ScenarioDeadline until(options, 120);
-  for (const bool history : {true, false}) {
-    if (until.expired(report, kControl, history ? "history" : "lost history")) {
+constexpr std::size_t kLostAgent = 2;
+
+void measure_control(const Options& options, Report& report, bool has_history) {
+  constexpr std::size_t kDrainedServers = 20;
+  TestFleet fleet(event_fleet_options(options, true));
+  start_and_converge(fleet);
+  const FleetUsage before = fleet.usage();
+  fleet.with_agent(kLostAgent, [](FakeDiscovery& agent) { agent.stop(); });
+  drain_servers(fleet, kDrainedServers);
+  sleep_for(Sizes{options}.window(10, 0.5));
+  const FleetUsage lost = fleet.usage().since(before);
+
+  EventMeasurement event(fleet, report, kControl, {{"history", double(has_history)}});
+  event.add_figure("lost.gateways_cpu",
+                   double(lost.gateways_cpu) / lost.seconds() / double(fleet.layout().gateways),
+                   "us/s/gateway");
+  return_agent(fleet, kLostAgent, has_history, [](FakeDiscovery& agent) { agent.start(); });
+  event.finish("back");
+}
+
+void run_control(const Options& options, Report& report) {
+  const ScenarioDeadline deadline(options, 120);
+  for (const bool has_history : kHistoryCases) {
+    if (deadline.expired(report, kControl, history_name(has_history))) {
       return;
     }
-    TestFleet world(event_world(options));
-    start_and_converge(world);
-    constexpr std::size_t kLost = 2;
-    const auto before = world.usage();
-    world.at_agent(kLost, [](FakeDiscovery& agent) { agent.stop(); });
-    const std::size_t stirred = 20;
-    stir(world, stirred);
-    sleep_for(Sizes{options}.window(10, 0.5));
-    const auto lost = world.usage().since(before);
-    Event event(world, report, kControl, {{"history", double(history)}});
-    event.tell("lost.gateways_cpu",
-               double(lost.gateways_cpu) / lost.seconds() / double(world.layout().gateways),
-               "us/s/gateway");
-    world.expect();
-    world.at_agent(kLost, [history](FakeDiscovery& agent) {
-      if (!history) {
-        agent.forget_history();
-      }
-      agent.start();
-    });
-    event.settle("back");
+    measure_control(options, report, has_history);
   }
 }
 
 }  // namespace
 
 void add_events(std::vector<Scenario>& to) {
-  to.push_back({kRestarts, "a tenth of the gateways restart at once", memory_of, restarts});
-  to.push_back({kRack, "a rack is lost and back", memory_of, rack});
-  to.push_back({kZone, "a zone is lost and back", memory_of, zone});
-  to.push_back(
-      {kRegion, "a region is cut from discovery for a shortened hour and back", memory_of, region});
-  to.push_back({kControl, "a control machine is lost and back", memory_of, control});
+  to.push_back({kRestarts, "a tenth of the gateways restart at once", memory_of, run_restarts});
+  to.push_back({kRack, "a rack is lost and back", memory_of, run_rack});
+  to.push_back({kZone, "a zone is lost and back", memory_of, run_zone});
+  to.push_back({kRegion, "a region is cut from discovery for a shortened hour and back", memory_of,
+                run_region});
+  to.push_back({kControl, "a control machine is lost and back", memory_of, run_control});
 }
 
 }  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/fleet_scenario.cpp
@@ -0,0 +1,119 @@
+#include "fleet_scenario.hpp"
+
+#include <algorithm>
+#include <chrono>
+#include <stdexcept>
+#include <thread>
+
+#include "clocks.hpp"
+#include "process_resources.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kMicrosPerSecond = 1e6;
+// In place of 2 s, so that heartbeats come in a run that takes a second.
+constexpr Micros kSmallHeartbeatInterval = 200'000;
+
+// Bytes, measured and rounded up.
+constexpr double kGatewayBytes = 150e3;
+// Of a listed server at a gateway, with 170,000 of them.
+constexpr double kServerBytesPerGateway = 0.55e3;
+constexpr double kTenantBytesPerGateway = 1e3;
+// Of a server in an encoded list.
+constexpr double kEncodedServerBytes = 150;
+// Copies of the list, encoded or not, that an agent is reckoned to hold.
+constexpr double kListsPerAgent = 4;
+
+}  // namespace
+
+Micros Sizes::window(double full_s, double small_s) const {
+  return Micros((options.small ? small_s : full_s) * kMicrosPerSecond);
+}
+
+std::size_t Sizes::pick(std::size_t given, std::size_t full, std::size_t small) const {
+  if (given > 0) {
+    return given;
+  }
+  return options.small ? small : full;
+}
+
+ScenarioDeadline::ScenarioDeadline(const Options& options, double default_s)
+    : at_(steady_now() +
+          Micros(kMicrosPerSecond * (options.seconds > 0 ? options.seconds : default_s))) {}
+
+bool ScenarioDeadline::expired(Report& report, const std::string& scenario,
+                               const std::string& left_out) const {
+  if (steady_now() < at_) {
+    return false;
+  }
+  report.note(scenario, "out of time: not run at " + left_out);
+  return true;
+}
+
+Micros ScenarioDeadline::remaining() const {
+  return std::max<Micros>(0, at_ - steady_now());
+}
+
+void sleep_for(Micros time) {
+  std::this_thread::sleep_for(std::chrono::microseconds(time));
+}
+
+std::uint64_t fleet_memory(double gateways, double servers, double tenants, double agents) {
+  const double gateway_bytes =
+      kGatewayBytes + kServerBytesPerGateway * servers + kTenantBytesPerGateway * tenants;
+  const double agent_bytes = servers * kListsPerAgent * kEncodedServerBytes;
+  return std::uint64_t(gateways * gateway_bytes + agents * agent_bytes);
+}
+
+std::uint64_t require_descriptors(std::uint64_t memory, std::size_t gateways, bool with_counter) {
+  FleetOptions fleet;
+  fleet.gateways = gateways;
+  if (with_counter) {
+    fleet.counter.emplace();
+  }
+  const std::size_t needed = descriptors_needed(fleet);
+  const std::size_t allowed = raise_descriptor_limit();
+  if (needed > allowed) {
+    throw std::invalid_argument(std::to_string(gateways) + " gateways need " +
+                                std::to_string(needed) + " descriptors, " +
+                                std::to_string(allowed) + " are allowed");
+  }
+  return memory;
+}
+
+TestFleet::Options test_fleet_options(const Options& options, std::size_t gateways,
+                                      std::size_t servers) {
+  TestFleet::Options fleet;
+  fleet.layout = Layout::with_zones_of(Target{}, servers, gateways);
+  fleet.fleet.seed = options.seed;
+  if (options.small) {
+    fleet.discovery.heartbeat_interval = kSmallHeartbeatInterval;
+  }
+  return fleet;
+}
+
+void start_and_converge(TestFleet& fleet) {
+  fleet.start();
+  if (!fleet.wait_until_converged(kConvergenceTimeout)) {
+    throw std::runtime_error("gateways have no list after a minute");
+  }
+}
+
+Delays summarize_delays(std::vector<double> samples) {
+  if (samples.empty()) {
+    return {};
+  }
+  std::sort(samples.begin(), samples.end());
+  return {samples[samples.size() / 2], samples.back()};
+}
+
+std::vector<std::size_t> doubling_sizes(std::size_t largest) {
+  std::vector<std::size_t> sizes;
+  for (const std::size_t divisor : {26, 8, 4, 2, 1}) {
+    sizes.push_back(std::max<std::size_t>(1, largest / divisor));
+  }
+  return sizes;
+}
+
+}  // namespace quota_gateway::scale
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -9,11 +9,11 @@
 #include "day.hpp"
 #include "event_loop_thread.hpp"
 #include "fake_counter.hpp"
+#include "fleet_scenario.hpp"
 #include "net/counter/counter_client.hpp"
 #include "process_resources.hpp"
 #include "report.hpp"
 #include "scenario.hpp"
-#include "simulated_gateway.hpp"
 
 namespace quota_gateway::scale {
 namespace {
@@ -160,7 +160,8 @@
     changes_at(options, compression, report);
   }
   const Target t;
-  const double mean = (3 * t.restarts_per_day + 2 * t.failures_per_day * kServersAMachine) / 86'400;
+  const double mean =
+      (3 * t.restarts_per_day + 2 * t.failures_per_day * kServersPerMachine) / 86'400;
   for (const char* name : {"bytes", "agent_cpu", "gateway_cpu", "module_cpu"}) {
     report.fit(kChanges, name, "changes_per_s", mean);
   }
--- a/scale/scenario.hpp
+++ b/scale/scenario.hpp
@@ -1,4 +1,5 @@
-// What a scenario of the scale tests is, and the sizes that it is run at.
+// What a scenario of the scale tests is, and the sizes that it is run at. The program in main.cpp
+// collects the scenarios, asks each for its memory and runs it with a Report.
 #pragma once
 
 #include <cstddef>
@@ -11,39 +12,63 @@
 
 class Report;
 
-// The operators' target; a run is a fraction of it. Counts, unless a unit is named.
+// The operators' target; a run is a fraction of it.
 struct Target {
-  std::size_t gateways = 7'400, servers = 170'000, services = 6'100, routes = 270'000,
-              tenants = 1'300'000;
+  std::size_t gateways = 7'400;
+  std::size_t servers = 170'000;
+  std::size_t services = 6'100;
+  std::size_t routes = 270'000;
+  std::size_t tenants = 1'300'000;
   double requests_per_s = 1.9e6;
-  std::size_t regions = 3, zones = 7, control_machines = 26;
-  double restarts_per_day = 14'000, failures_per_day = 660, config_changes_per_day = 36'000;
-  double in_force_s = 7;             // a configuration change, everywhere
-  double control_core = 0.016;       // of a core, for control, a gateway
-  double control_memory_mb = 256;    // a gateway
-  double control_bytes_per_s = 2e3;  // a gateway
-  double added_ms = 4.5;             // for 99 in 100 requests
+  std::size_t regions = 3;
+  std::size_t zones = 7;
+  std::size_t control_machines = 26;
+  double restarts_per_day = 14'000;
+  double failures_per_day = 660;
+  double config_changes_per_day = 36'000;
+  // In which a configuration change is in force everywhere.
+  double in_force_s = 7;
+  // What control may take at a gateway: the part of a core, megabytes and bytes per second.
+  double control_core = 0.016;
+  double control_memory_mb = 256;
+  double control_bytes_per_s = 2e3;
+  // Milliseconds that a gateway may add, for 99 in 100 requests.
+  double added_ms = 4.5;
 };
 
 struct Options {
-  std::uint64_t seed = 1;                 // draws all that is drawn; printed with each result
-  bool small = false;                     // CI's size: the same code at sizes that take seconds
-  std::size_t gateways = 0, servers = 0;  // 0: the scenario's own sizes
-  double seconds = 0;                     // the most that a scenario may take; 0: its own bound
-  std::string gateway_program;            // of the real gateway; empty: no processes are started
+  // Of all random draws; printed with each result.
+  std::uint64_t seed = 1;
+  // The size of CI: the same code at sizes that take seconds.
+  bool small = false;
+  // 0: the scenario's own size.
+  std::size_t gateways = 0;
+  // 0: the scenario's own size.
+  std::size_t servers = 0;
+  // That a scenario may take; 0: its own bound.
+  double seconds = 0;
+  // The real gateway; empty: no processes are started.
+  std::string gateway_program;
 };
 
 struct Scenario {
-  std::string name, what;
-  // Bytes that it needs at these options, all processes together; asked before anything starts.
+  std::string name;
+  std::string what;
+  // Bytes that it needs at these options, of all processes together. Asked before anything starts.
   std::function<std::uint64_t(const Options&)> memory;
+  // Adds its figures and notes to the report. Throws std::runtime_error if it cannot go on.
   std::function<void(const Options&, Report&)> run;
 };
 
-// Scenarios of each part, appended.
-void add_module_slopes(std::vector<Scenario>& to);   // the decision module alone
-void add_process_slopes(std::vector<Scenario>& to);  // real gateway processes against stand-ins
-void add_fleet_slopes(std::vector<Scenario>& to);    // hollow gateways against stand-ins
-void add_events(std::vector<Scenario>& to);          // what happens to a fleet
+// Each appends the scenarios of one file.
+
+// The decision module alone.
+void add_module_slopes(std::vector<Scenario>& to);
+// Real gateway processes against fakes.
+void add_process_slopes(std::vector<Scenario>& to);
+// Simulated gateways against fakes.
+void add_fleet_slopes(std::vector<Scenario>& to);
+// What happens to a fleet of simulated gateways.
+void add_events(std::vector<Scenario>& to);
 
 }  // namespace quota_gateway::scale
--- a/tests/scale/test_fleet_test.cpp
+++ b/tests/scale/test_fleet_test.cpp
@@ -10,16 +10,17 @@
 #include <set>
 #include <sstream>
 
+#include "clocks.hpp"
 #include "day.hpp"
 #include "event_loop_thread.hpp"
 #include "fake_counter.hpp"
 #include "fake_discovery.hpp"
 #include "fake_endpoints.hpp"
+#include "fleet_scenario.hpp"
 #include "net/counter/counter_client.hpp"
 #include "net/discovery/discovery_client.hpp"
 #include "net/discovery/endpoint_list_parser.hpp"
 #include "process_resources.hpp"
-#include "simulated_gateway.hpp"
 
 namespace quota_gateway::scale {
 namespace {
@@ -42,7 +43,8 @@
 
 std::vector<ListedServer> some_servers(std::size_t count) {
   const Layout layout{count, 0, 7, 3};
-  return list_of(layout, [](std::size_t i) { return "127.0.0.1:" + std::to_string(1000 + i); });
+  return list_servers(layout,
+                      [](std::size_t i) { return "127.0.0.1:" + std::to_string(1000 + i); });
 }
 ListedServer changed(const ListedServer& from, Phase phase) {
   ListedServer out = from;
@@ -333,7 +335,7 @@
 // ------------------------------------------------------------------------------------------
 TEST(DayTest, HasTheTargetsCountsInOrder) {
   const Target target;
-  const Layout layout = Layout::at(target, target.servers, target.gateways);
+  const Layout layout = Layout::with_zones_of(target, target.servers, target.gateways);
   const auto day = draw_day(layout, {.seed = 3});
   ASSERT_TRUE(
       std::is_sorted(day.begin(), day.end(),
@@ -350,16 +352,16 @@
             counts[(std::pair{Cause::kRestart, Change::kDraining})]);
   EXPECT_EQ(counts[(std::pair{Cause::kRestart, Change::kUp})],
             counts[(std::pair{Cause::kRestart, Change::kDraining})]);
-  EXPECT_TRUE(
-      near(counts[{Cause::kConfiguration, Change::kSettings}], target.config_changes_per_day));
+  EXPECT_TRUE(near(counts[{Cause::kConfiguration, Change::kSettingsChanged}],
+                   target.config_changes_per_day));
   // Machines hold several servers each, of which some may be away already.
   const auto machines = counts[{Cause::kMachine, Change::kGone}];
-  EXPECT_TRUE(near(machines / kServersAMachine, target.failures_per_day)) << machines;
+  EXPECT_TRUE(near(machines / kServersPerMachine, target.failures_per_day)) << machines;
   EXPECT_EQ(machines, (counts[{Cause::kMachine, Change::kUp}]));
 }
 
 TEST(DayTest, SameSeedSameDayOtherSeedAnotherAndAPartIsAPart) {
-  const Layout layout = Layout::at(Target{}, 17'000, 740);
+  const Layout layout = Layout::with_zones_of(Target{}, 17'000, 740);
   const auto day = draw_day(layout, {.seed = 3, .compression = 60});
   EXPECT_EQ(day, draw_day(layout, {.seed = 3, .compression = 60}));
   EXPECT_NE(day, draw_day(layout, {.seed = 4, .compression = 60}));
@@ -372,7 +374,7 @@
 }
 
 TEST(DayTest, EachServersChangesMakeSense) {
-  const Layout layout = Layout::at(Target{}, 2'000, 20);
+  const Layout layout = Layout::with_zones_of(Target{}, 2'000, 20);
   // Many times the target's rates, so that causes meet.
   const auto day = draw_day(layout, {.seed = 5, .target_rate_fraction = 1});
   std::vector<Change> now(layout.servers, Change::kUp);
@@ -380,7 +382,7 @@
     if (h.cause == Cause::kRegion || h.cause == Cause::kConfiguration) {
       continue;
     }
-    Change& was = now.at(h.what);
+    Change& was = now.at(h.subject);
     const Change before = h.change == Change::kUp ? Change::kGone
                           : h.change == Change::kGone && h.cause == Cause::kRestart
                               ? Change::kDraining
@@ -392,7 +394,7 @@
 }
 
 TEST(DayTest, ServersLieEvenly) {
-  const Layout layout = Layout::at(Target{}, 170'000, 7'400);
+  const Layout layout = Layout::with_zones_of(Target{}, 170'000, 7'400);
   std::map<std::size_t, std::size_t> zones;
   std::map<std::size_t, std::size_t> racks;
   for (std::size_t i = 0; i < layout.servers; ++i) {
@@ -404,14 +406,14 @@
     EXPECT_NEAR(double(count), 170'000 / 7.0, 1);
   }
   for (const auto& [rack, count] : racks) {
-    EXPECT_LE(count, Layout::rack_servers());
+    EXPECT_LE(count, kServersPerRack);
   }
 }
 
 // ---- A fleet
 // ------------------------------------------------------------------------------------------
-TEST(FleetTest, TwentyHollowGatewaysServeAndFollowTheList) {
-  CountedLog log;
+TEST(FleetTest, TwentySimulatedGatewaysServeAndFollowTheList) {
+  LogLineCounter log;
   EventLoopThread tier;
   EventLoopThread counting;
   const auto servers = some_servers(200);
@@ -427,9 +429,9 @@
   SimulatedFleet fleet(options);
   fleet.expect(servers);
   constexpr Micros kBound = 20'000'000;
-  ASSERT_TRUE(fleet.wait_until([](const FleetState& s) { return s.right == 20 && s.served > 200; },
-                               kBound));
-  EXPECT_GT(fleet.state().calls, 0U);
+  ASSERT_TRUE(fleet.wait_until(
+      [](const FleetState& s) { return s.converged == 20 && s.served > 200; }, kBound));
+  EXPECT_GT(fleet.state().counter_calls, 0U);
 
   const Micros since = steady_now();
   auto gone = changed(servers[5], Phase::kRemoved);
@@ -437,7 +439,7 @@
   fleet.expect(tier.run([&] { return agent.servers(); }));
   ASSERT_TRUE(
       fleet.wait_until([&](const FleetState& s) { return s.least_revision >= revision; }, kBound));
-  EXPECT_EQ(fleet.state().right, 20U);
+  EXPECT_EQ(fleet.state().converged, 20U);
   const auto delays = fleet.delays(revision, since);
   ASSERT_EQ(delays.size(), 20U);
   for (const double d : delays) {
@@ -445,21 +447,21 @@
   }
 
   fleet.restart(1);
-  ASSERT_TRUE(fleet.wait_until([](const FleetState& s) { return s.right == 20; }, kBound));
+  ASSERT_TRUE(fleet.wait_until([](const FleetState& s) { return s.converged == 20; }, kBound));
   const FleetState s = fleet.state();
-  EXPECT_EQ(s.were_without, 0U);
+  EXPECT_EQ(s.lost_list, 0U);
   EXPECT_EQ(tier.run([&] { return agent.counts().full_lists; }),
             30U);  // ten started with none, again
   EXPECT_GT(counting.run([&] { return counter.counts().calls; }), 0U);
   EXPECT_EQ(s.failed, 0U);
-  EXPECT_GT(s.cpu, s.module_cpu);
+  EXPECT_GT(s.cpu_time, s.module_cpu_time);
 }
 
 TEST(FleetTest, ARegionThatWasCutIsRightAgainByADifferenceOrByAWholeList) {
   TestFleet::Options how;
-  how.layout = Layout::at(Target{}, 150, 12);
+  how.layout = Layout::with_zones_of(Target{}, 150, 12);
   how.agents = 3;
-  how.known = true;
+  how.with_persisted_list = true;
   how.fleet.groups = 2;
   TestFleet world(how);
   start_and_converge(world);
@@ -469,11 +471,12 @@
   constexpr std::size_t kCut = 1;
   for (const bool history : {true, false}) {
     const auto before = world.usage();
-    world.at_agent(kCut, [](FakeDiscovery& agent) { agent.set_silent(true); });
+    world.with_agent(kCut, [](FakeDiscovery& agent) { agent.set_silent(true); });
     EXPECT_GT(world.replay(day, 1'000'000, 250'000), 100U);
-    const auto revision = world.at_agent(0, [](FakeDiscovery& agent) { return agent.revision(); });
+    const auto revision =
+        world.with_agent(0, [](FakeDiscovery& agent) { return agent.revision(); });
     EXPECT_LT(world.fleet().state().least_revision, revision);  // of those that are cut
-    world.at_agent(kCut, [history](FakeDiscovery& agent) {
+    world.with_agent(kCut, [history](FakeDiscovery& agent) {
       if (!history) {
         agent.forget_history();
       }
@@ -485,7 +488,7 @@
     EXPECT_TRUE(world.wait_until_converged(kConvergenceTimeout));
     EXPECT_EQ(world.usage().since(before).discovery.full_lists, history ? 0U : 4U);
   }
-  EXPECT_EQ(world.fleet().state().were_without, 0U);
+  EXPECT_EQ(world.fleet().state().lost_list, 0U);
 }
 
 TEST(FleetTest, ASizePastTheDescriptorsIsRefusedBeforeItStarts) {
