--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -20,7 +20,7 @@
 
 constexpr Micros kLivenessCheckInterval = 100'000;  // us
 constexpr std::size_t kMaxCallsInFlight = 4096;
-// No honest reply comes near it.
+// Far above the size of any valid reply.
 constexpr std::size_t kMaxReplyBytes = 64 << 10;
 
 }  // namespace
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -3,16 +3,20 @@
 
 #include <array>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/beast/http/parser.hpp>
-#include <boost/beast/http/string_body.hpp>
 #include <cstdint>
 #include <functional>
 #include <optional>
 #include <string>
 #include <string_view>
 
+#include "net/discovery/discovery_outage_log.hpp"
 #include "net/discovery/endpoint_list.hpp"
 #include "net/discovery/list_intake.hpp"
+#include "net/discovery/receive_limit.hpp"
+#include "net/discovery/watch_disconnect.hpp"
+#include "net/discovery/watch_liveness.hpp"
+#include "net/discovery/watch_response_parser.hpp"
+#include "net/discovery/watch_timing.hpp"
 #include "net/event_loop/timers.hpp"
 #include "quota_gateway/gateway.hpp"
 
@@ -25,9 +29,8 @@
   std::int64_t revision = 0;
   // Of the random draws of backoffs.
   std::uint64_t seed = 0;
-  // None: lists are pushed by an agent beside this gateway, which answers at once and at no cost.
-  // Else lists are polled, and this is the longest backoff, in us, while discovery rejects
-  // requests.
+  // None: lists are pushed (see WatchMode). Else they are polled, and this is the longest backoff,
+  // in us, while discovery rejects requests.
   std::optional<Micros> max_rejection_backoff = std::nullopt;
   // What a list may take, and what rejected lists may cost.
   ListLimits limits = {};
@@ -53,55 +56,33 @@
   void move_to(boost::asio::ip::tcp::endpoint agent);
 
  private:
-  enum class DisconnectReason {
-    kAgentChanged,
-    kConnectionFailed,
-    kSilent,
-    kWatchEnded,
-    kRequestRejected,
-    kInvalidResponse,
-    kListTooLarge,
-    kListUnfinished,
-  };
-  struct Disconnect {
-    DisconnectReason reason = DisconnectReason::kConnectionFailed;
-    // Of what failed, for the log.
-    std::string detail;
-  };
-  class ResponseError;
-  using HttpParser = boost::beast::http::response_parser<boost::beast::http::string_body>;
   // Counts connections and disconnections; handlers of earlier generations do nothing.
   using Generation = int;
 
   void connect();
-  void limit_receive_buffer(ListReadScope scope);
-  void lift_receive_limit();
   void send_request(Generation generation);
   void read(Generation generation);
   void on_read(std::size_t size);
 
-  void on_bytes(std::size_t size);
-  void parse_http(std::size_t size);
+  void on_bytes(std::string_view bytes);
   [[noreturn]] void on_request_rejected();
   void on_body(std::string_view piece);
   bool skip_separator(char byte);
   void on_list();
+  void on_list_progress(std::size_t size);
+  void on_healthy();
 
-  Micros silence_limit() const;
   void check_silence(Generation generation, Micros due);
   void check_list_deadline(Generation generation, int list_number, Micros due);
-  void on_healthy();
 
-  void disconnect(const Disconnect& cause);
-  Micros reconnect_wait(const Disconnect& cause, Micros now);
-  Micros reject_list(const Disconnect& cause, Micros now);
-  static bool needs_complete_list(DisconnectReason reason);
-  static ListFailure list_failure(DisconnectReason reason);
+  void disconnect(const WatchDisconnect& cause);
+  Micros reconnect_wait(const WatchDisconnect& cause, Micros now);
+  Micros reject_list(const WatchDisconnect& cause, Micros now);
 
   boost::asio::io_context& io_;
   Timers& timers_;
   const Clock& clock_;
-  const bool pushed_;
+  const WatchMode mode_;
   const ListLimits limits_;
   const DiscoveryCallbacks callbacks_;
   boost::asio::ip::tcp::endpoint agent_;
@@ -116,16 +97,11 @@
   // The connection.
   Generation connection_generation_ = 0;
   boost::asio::ip::tcp::socket socket_;
-  std::optional<HttpParser> parser_;
+  ReceiveLimit receive_limit_;
+  WatchLiveness liveness_;
+  std::optional<WatchResponseParser> response_;
   std::array<char, 16384> read_buffer_;
-  // Bytes that the HTTP parser has not consumed yet.
-  std::string unparsed_;
   std::string request_;
-  // Little of what this connection brings may be read.
-  bool receive_limited_ = false;
-  Micros last_heard_at_ = 0;
-  // Whether some of a response has come on this connection.
-  bool has_response_ = false;
 
   ListIntake intake_;
   // After a watch that broke or was never established: a matter of this gateway.
@@ -134,9 +110,7 @@
   Backoff rejection_backoff_;
   // Until the next request, if this one was rejected.
   std::optional<Micros> rejection_wait_;
-  // None while the watch is healthy.
-  std::optional<Micros> disconnected_at_;
-  Micros last_logged_at_ = 0;
+  DiscoveryOutageLog outage_log_;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/endpoint_store.cpp
+++ b/src/net/discovery/endpoint_store.cpp
@@ -38,8 +38,8 @@
     free_slots_.pop_back();
     return slot;
   }
-  if (slot_count_ % kChunk == 0) {
-    chunks_.push_back(std::make_unique<EndpointRecord[]>(kChunk));
+  if (slot_count_ % kChunkSize == 0) {
+    chunks_.push_back(std::make_unique<Chunk>());
   }
   return slot_count_++;
 }
--- a/src/net/discovery/endpoint_store.hpp
+++ b/src/net/discovery/endpoint_store.hpp
@@ -2,6 +2,7 @@
 // which decides what changes.
 #pragma once
 
+#include <array>
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
 #include <cstdint>
@@ -53,7 +54,9 @@
   EndpointEntry remove(Slot slot);
   void set_listed_by(Slot slot, ListSequence sequence) { record(slot).listed_by = sequence; }
 
-  const EndpointRecord& at(Slot slot) const { return chunks_[slot / kChunk][slot % kChunk]; }
+  const EndpointRecord& at(Slot slot) const {
+    return (*chunks_[slot / kChunkSize])[slot % kChunkSize];
+  }
   std::optional<Slot> find(const std::string& id) const;
   // The first endpoint with another id at the same address of whose record `matches` holds.
   template <typename Matches>
@@ -77,9 +80,11 @@
     bool operator==(const Host&) const = default;
   };
 
-  static constexpr std::size_t kChunk = 256;  // records that are allocated together
+  // Records that are allocated together. One array of all would have to be moved as it grows.
+  static constexpr std::size_t kChunkSize = 256;
+  using Chunk = std::array<EndpointRecord, kChunkSize>;
 
-  EndpointRecord& record(Slot slot) { return chunks_[slot / kChunk][slot % kChunk]; }
+  EndpointRecord& record(Slot slot) { return (*chunks_[slot / kChunkSize])[slot % kChunkSize]; }
   Slot allocate();
   void set_fields(EndpointRecord& record, const ListedEndpoint& endpoint, ListSequence sequence);
   void set_address(Slot slot, const boost::asio::ip::tcp::endpoint& address);
@@ -89,7 +94,7 @@
   std::uint64_t id_hash(Slot slot) const;
   std::uint64_t address_hash(Slot slot) const;
 
-  std::vector<std::unique_ptr<EndpointRecord[]>> chunks_;
+  std::vector<std::unique_ptr<Chunk>> chunks_;
   std::vector<Slot> free_slots_;
   Slot slot_count_ = 0;
   std::size_t size_ = 0;
--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -1,9 +1,28 @@
 #include "net/discovery/endpoint_table.hpp"
 
-#include <tuple>
+#include <compare>
 #include <utility>
 
 namespace quota_gateway::net {
+namespace {
+
+// Of two endpoints listed at one address, the one with the greater claim is there: the one that
+// started last, and of equals the one listed last.
+struct AddressClaim {
+  Micros started_at = 0;
+  ListSequence listed_by = 0;
+  auto operator<=>(const AddressClaim&) const = default;
+};
+
+AddressClaim claim_of(const EndpointRecord& record) {
+  return {record.started_at, record.listed_by};
+}
+
+AddressClaim claim_of(const ListedEndpoint& endpoint, ListSequence sequence) {
+  return {endpoint.entry.started_at, sequence};
+}
+
+}  // namespace
 
 void EndpointTable::enqueue(EndpointList list) {
   if (list.complete) {
@@ -171,8 +190,7 @@
 }
 
 // Without this, requests to the endpoint that was at an address would go to the new one there,
-// which may be warming up. The one that started last is at the address, and of equals the one
-// listed last.
+// which may be warming up.
 void EndpointTable::remove_replaced(const ListedEndpoint& endpoint, ListSequence sequence) {
   const CompactEndpointEntry& entry = endpoint.entry;
   if (entry.state == EndpointState::kRemoved || endpoint.address.port() == 0) {
@@ -182,7 +200,7 @@
     return;
   }
   const auto is_older = [&](const EndpointRecord& other) {
-    return std::tuple(other.started_at, other.listed_by) < std::tuple(entry.started_at, sequence);
+    return claim_of(other) < claim_of(endpoint, sequence);
   };
   while (const auto other = store_.find_other_at_address(endpoint, is_older)) {
     changes_.replaced.push_back(store_.at(*other).id);
@@ -192,8 +210,7 @@
 
 bool EndpointTable::is_outranked(const ListedEndpoint& endpoint, ListSequence sequence) const {
   const auto is_newer = [&](const EndpointRecord& other) {
-    return std::tuple(other.started_at, other.listed_by) >
-           std::tuple(endpoint.entry.started_at, sequence);
+    return claim_of(other) > claim_of(endpoint, sequence);
   };
   return endpoint.address.port() != 0 &&
          store_.find_other_at_address(endpoint, is_newer).has_value();
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -50,13 +50,14 @@
 }
 
 TEST_F(DiscoveryClientTest, AcceptsIndentedLists) {
-  // Guards against a list that is cut where its lines end, and requested for ever. Brackets and
+  // A list that is cut where its lines end would be rejected and requested for ever. Brackets and
   // quotes in a string end nothing.
   const auto indented = [](const std::string& line) {
     return nlohmann::json::parse(line).dump(2) + "\n\n";
   };
-  std::string odd = list(43, true, entry(R"(s}]\"{)", "127.0.0.1:9"));
-  fake.first = indented(odd) + "\n" + indented(list(44, false, entry("s2", "127.0.0.1:9")));
+  const std::string with_brackets = list(43, true, entry(R"(s}]\"{)", "127.0.0.1:9"));
+  fake.first =
+      indented(with_brackets) + "\n" + indented(list(44, false, entry("s2", "127.0.0.1:9")));
   ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
   EXPECT_EQ(updates[0].endpoints.at(0).entry.server, "s}]\"{");
   EXPECT_EQ(updates[1].endpoints.at(0).entry.server, "s2");
@@ -69,15 +70,14 @@
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListAfterOneThatBreaksOff) {
-  // Guards against waiting for the end of a list behind which heartbeats go on: its changes would
-  // be missed.
+  // Heartbeats go on behind it: waiting for the end of the list would miss its changes.
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
-  const std::string whole = list(43, true, entry("s1", "127.0.0.1:9"));
-  fake.first = whole;
-  const Micros broke = clock.now();
-  fake.tell(whole.substr(0, whole.size() / 2) + "\n\n");
+  const std::string complete_list = list(43, true, entry("s1", "127.0.0.1:9"));
+  fake.first = complete_list;
+  const Micros broke_off_at = clock.now();
+  fake.tell(complete_list.substr(0, complete_list.size() / 2) + "\n\n");
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  EXPECT_LT(clock.now() - broke, 250'000);
+  EXPECT_LT(clock.now() - broke_off_at, 250'000);
   EXPECT_EQ(fake.asked.back(), "/catalog/members?watch=1");
 }
 
@@ -90,7 +90,7 @@
 }
 
 TEST_F(DiscoveryClientTest, ReconnectsASilentWatch) {
-  // Guards against a watch that stays open and sends nothing, not even its heartbeat.
+  // The watch stays open and sends nothing, not even its heartbeat.
   fake.mute = true;
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 2; }));
   fake.mute = false;
@@ -99,7 +99,7 @@
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListAfterAMalformedOne) {
-  // Guards against a change lost in a line that was not understood.
+  // A change in what was not understood would otherwise be lost.
   fake.first = "{\"revision\":\"x\"}\n";
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() >= 2; }));
   fake.first = list(50, true, entry("s1", "127.0.0.1:9"));
@@ -108,7 +108,7 @@
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListFromAnotherAgent) {
-  // Guards against requesting only what changed after a revision that the other agent may not know.
+  // The other agent may not know the revision after which changes would be requested.
   fake.first = list(43, true, entry("s1", "127.0.0.1:9"));
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
   FakeDiscovery other(io);
@@ -121,7 +121,7 @@
 }
 
 TEST_F(DiscoveryClientTest, RejectsAnEmptyListAndRequestsAnother) {
-  // Guards against a discovery that has lost its list and takes every endpoint from every gateway.
+  // A discovery that has lost its list would otherwise take every endpoint from every gateway.
   fake.first = list(43, true, "");
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() >= 2; }));
   EXPECT_TRUE(updates.empty());
@@ -131,8 +131,6 @@
 }
 
 TEST(PollingDiscoveryClient, HonoursRetryAfterAndThenWatchesAgain) {
-  // Guards against a new request at once, whatever a 503 says. The known list stays in force
-  // meanwhile.
   asio::io_context io;
   Clock clock;
   Timers timers{io, clock};
@@ -147,54 +145,55 @@
   fake.refuse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
   discovery.start();
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
-  const Micros refused = clock.now();
-  EXPECT_TRUE(updates.empty());
+  const Micros rejected_at = clock.now();
+  EXPECT_TRUE(updates.empty());  // the known list stays in force
   fake.refuse.clear();
   fake.first = list(43, true, entry("s1", "127.0.0.1:9"));
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  EXPECT_GE(clock.now() - refused, 500'000);
+  EXPECT_GE(clock.now() - rejected_at, 500'000);
 }
 
 TEST_F(DiscoveryClientTest, ReconnectsToAPushingAgentWithinTheGracePeriodHoweverItDisconnects) {
-  // Guards against a wait during which the agent is back and all it has counts as told. However an
-  // agent sends us away, and however often, the next try is never further off than the grace.
+  // Once an agent is back, all that it has counts as known to the gateway, and 250 ms later nothing
+  // new may go to a draining endpoint. However the agent disconnects, and however often, the next
+  // attempt is made before that.
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 1; }));
   for (const bool resets : {true, false}) {
     fake.mute = resets;
     fake.refuse =
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 10\r\nContent-Length: 0\r\n\r\n";
     for (int i = 0; i < 12; ++i) {
-      const std::size_t asked = fake.asked.size();
+      const std::size_t requests_before = fake.asked.size();
       fake.peers.back()->reset();
-      const Micros left = clock.now();
-      ASSERT_TRUE(until(io, [&] { return fake.asked.size() > asked; }));
-      EXPECT_LT(clock.now() - left, 250'000) << i;
+      const Micros disconnected_at = clock.now();
+      ASSERT_TRUE(until(io, [&] { return fake.asked.size() > requests_before; }));
+      EXPECT_LT(clock.now() - disconnected_at, 250'000) << i;
     }
   }
 }
 
 TEST_F(DiscoveryClientTest, ReplacesASilentWatchInTimeThoughItsAgentAcceptsWithoutResponding) {
-  // Guards against a clock that starts anew with each connection: 6 s after the silence all counts
-  // as told.
+  // 6 s after the watch fell silent, all that it missed counts as known to the gateway. The time
+  // does not start anew with each connection.
   fake.first = list(43, true, entry("s1", "127.0.0.1:9"));
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  const Micros silent = clock.now();
+  const Micros silent_since = clock.now();
   fake.mute = true;
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 5; }));
   fake.mute = false;
   ASSERT_TRUE(until(io, [&] { return updates.size() == 2; }));
-  EXPECT_LT(clock.now() - silent, 6'000'000);
+  EXPECT_LT(clock.now() - silent_since, 6'000'000);
 }
 
 TEST_F(DiscoveryClientTest, DisconnectsFromAnUnresponsiveAgentWithinTheGracePeriod) {
-  // Guards against a dead connection that is trusted while the agent behind it has long been back.
+  // Otherwise a dead connection would be trusted while the agent behind it has long been back.
   fake.mute = true;
   ASSERT_TRUE(until(io, [&] { return fake.asked.size() == 3; }));
-  const Micros back = clock.now();
+  const Micros back_at = clock.now();
   fake.mute = false;
   fake.first = list(43, true, entry("s1", "127.0.0.1:9"));
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  EXPECT_LT(clock.now() - back, 250'000);
+  EXPECT_LT(clock.now() - back_at, 250'000);
 }
 
 }  // namespace
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -23,18 +23,20 @@
 }
 
 std::string text_of(const EndpointList& list) {
-  std::string out = std::to_string(list.revision) + (list.complete ? " whole" : "");
+  std::string text = std::to_string(list.revision) + (list.complete ? " complete" : "");
   for (const ListedEndpoint& endpoint : list.endpoints) {
-    out += '\n' + endpoint.entry.server + ' ' + endpoint.entry.zone + ' ' +
-           std::to_string(endpoint.entry.cell) + ' ' + std::to_string(int(endpoint.entry.state)) +
-           ' ' + std::to_string(endpoint.entry.weight) + ' ' +
-           std::to_string(endpoint.entry.started_at) + ' ' +
-           endpoint.address.address().to_string() + ' ' + std::to_string(endpoint.address.port());
+    text += '\n' + endpoint.entry.server + ' ' + endpoint.entry.zone + ' ' +
+            std::to_string(endpoint.entry.cell) + ' ' + std::to_string(int(endpoint.entry.state)) +
+            ' ' + std::to_string(endpoint.entry.weight) + ' ' +
+            std::to_string(endpoint.entry.started_at) + ' ' +
+            endpoint.address.address().to_string() + ' ' + std::to_string(endpoint.address.port());
   }
-  return out;
+  return text;
 }
 
-const std::string kOdd =
+// With spaces, escapes and nesting; `revision` and `complete` come last, and `members` of another
+// object are not of the list.
+const std::string kUnusualList =
     R"({ "note":{"members":[{"id":7}],"revision":3}, "members":[)"
     R"({"id":"s}]\"{\\","host_port":"10.0.0.1:80","locality":"a\u00e9","phase":"up","size":2,)"
     R"("more":[{"id":"no","phase":[]}],"up_since_ms":1500},)"
@@ -43,12 +45,11 @@
     R"({"id":"v6","host_port":"::1:9","phase":"up"}],"revision":43,"complete":true})";
 
 TEST(EndpointListParser, AcceptsAListInAnyTwoPiecesAndByteByByte) {
-  // Guards against a cut in the middle of an entry, of a string, of an escape or of a key;
-  // `revision` and `complete` come last, and `members` of another object are not of the list.
+  // The cuts go through entries, strings, escapes and keys.
   const std::string expected =
-      "43 whole\ns}]\"{\\ a\u00e9 0 0 2.000000 1500000 10.0.0.1 80\n"
+      "43 complete\ns}]\"{\\ a\u00e9 0 0 2.000000 1500000 10.0.0.1 80\n"
       "second  -4 2 1.000000 0 0.0.0.0 0\nv6  0 0 1.000000 0 ::1 9";
-  const std::string_view all = kOdd;
+  const std::string_view all = kUnusualList;
   EXPECT_EQ(text_of(parse({all})), expected);
   for (std::size_t cut = 1; cut < all.size(); ++cut) {
     ASSERT_EQ(text_of(parse({all.substr(0, cut), all.substr(cut)})), expected) << cut;
@@ -73,9 +74,9 @@
     return R"({"revision":1,"members":[)" + members + "]}";
   };
   ASSERT_EQ(parse({with(good + "," + good)}).endpoints.size(), 2U);
-  const auto edited = [&](const std::string& from, const std::string& to) {
+  const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = good;
-    return text.replace(text.find(from), from.size(), to);
+    return text.replace(text.find(from), from.size(), replacement);
   };
   for (const std::string& text : {with(good + good),
                                   with(good + ","),
@@ -120,7 +121,11 @@
   limits.surrounding_bytes = 10'000;
   const std::string begin = R"({"revision":1,"complete":true,"members":[)";
   const std::string member = R"({"id":"s","phase":"up","host_port":"10.0.0.1:8"})";
-  const std::vector<std::pair<std::string, std::string>> endless = {
+  struct EndlessText {
+    std::string beginning;
+    std::string repeated;
+  };
+  const std::vector<EndlessText> endless_texts = {
       {begin + member, "," + member},  // entries
       {begin + "{\"id\":\"", "s"},     // a string in an entry
       {begin, " "},                    // nothing
@@ -129,19 +134,19 @@
       {"{\"x\":", "["},
       {"{", "                "},
   };
-  for (const auto& [first, then] : endless) {
+  for (const EndlessText& text : endless_texts) {
     EndpointListParser parser({"members"}, limits);
-    parser.parse_chunk(first);
-    bool left = false;
-    for (std::size_t i = 0; i < 300'000 && !left; ++i) {
+    parser.parse_chunk(text.beginning);
+    bool rejected = false;
+    for (std::size_t i = 0; i < 300'000 && !rejected; ++i) {
       try {
-        parser.parse_chunk(then);
+        parser.parse_chunk(text.repeated);
       } catch (const EndpointListTooLarge&) {
-        left = true;
+        rejected = true;
       }
     }
-    EXPECT_TRUE(left) << first;
-    EXPECT_LE(parser.bytes_consumed(), limits.text_bytes + then.size()) << first;
+    EXPECT_TRUE(rejected) << text.beginning;
+    EXPECT_LE(parser.bytes_consumed(), limits.text_bytes + text.repeated.size()) << text.beginning;
   }
 }
 
@@ -173,20 +178,20 @@
 }
 
 TEST(EndpointListParser, CostIsLinearInTheEndpoints) {
-  // Guards against work that grows with the square of the list, and against a second copy of it.
-  // Prints its figures.
+  // Prints the time and the memory that it takes.
+  constexpr std::size_t kChunkSize = 16384;
   const auto cost = [](int members) {
     std::string text = list(1, true, fleet(members));
     text.pop_back();
     const std::size_t bytes = text.size();
     const std::size_t before = resident();
-    const auto start = processor_time();
+    const auto started_at = processor_time();
     EndpointListParser parser({"members"});
-    for (std::size_t at = 0; at < bytes; at += 16384) {
-      parser.parse_chunk(std::string_view(text).substr(at, 16384));
+    for (std::size_t position = 0; position < bytes; position += kChunkSize) {
+      parser.parse_chunk(std::string_view(text).substr(position, kChunkSize));
     }
     const EndpointList list = parser.take_list(parser.surrounding_json());
-    const auto spent = processor_time() - start;
+    const auto spent = processor_time() - started_at;
     EXPECT_EQ(list.endpoints.size(), std::size_t(members));
     const std::size_t grown = resident() - std::min(before, resident());
     std::cout << members << " members, " << bytes << " bytes: " << spent << " us, resident "
--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -3,10 +3,11 @@
 
 #include <gtest/gtest.h>
 #include <malloc.h>
-#include <time.h>
 
 #include <algorithm>
+#include <array>
 #include <cmath>
+#include <ctime>
 #include <map>
 #include <numeric>
 #include <random>
@@ -17,13 +18,17 @@
 namespace quota_gateway::net::testing {
 namespace {
 
+// Of this build against the program in service.
 #ifdef __SANITIZE_ADDRESS__
-constexpr double kSlowdown = 10;  // than the program in service
+constexpr double kSlowdown = 10;
 #else
 constexpr double kSlowdown = 1;
 #endif
-constexpr int kFleetSize = 170'000;  // endpoints, of which 24,000 are a zone
+constexpr int kFleetSize = 170'000;  // endpoints, of which kZoneSize are in one zone
+constexpr int kZoneSize = 24'000;
+constexpr std::uint32_t kFirstHost = 0x0a000000;  // 10.0.0.0
 
+// At the address that is number `place` of the fleet's network.
 ListedEndpoint endpoint_at(const std::string& id, int place, Micros started_at = 0,
                            EndpointState state = EndpointState::kUp) {
   ListedEndpoint endpoint;
@@ -31,34 +36,47 @@
   endpoint.entry.zone = "a";
   endpoint.entry.started_at = started_at;
   endpoint.entry.state = state;
-  endpoint.address = {asio::ip::address_v4(std::uint32_t(0x0a000000 + place)), 8081};
+  endpoint.address = {asio::ip::address_v4(kFirstHost + std::uint32_t(place)), 8081};
   return endpoint;
 }
+
 ListedEndpoint removed_endpoint(const std::string& id) {
   ListedEndpoint endpoint;
   endpoint.entry.server = id;
   endpoint.entry.state = EndpointState::kRemoved;
   return endpoint;
 }
-EndpointList partial_list(ListedEndpoints members) {
-  return {0, false, std::move(members)};
+
+EndpointList partial_list(ListedEndpoints endpoints) {
+  return {0, false, std::move(endpoints)};
 }
-EndpointList complete_list(ListedEndpoints members) {
-  return {0, true, std::move(members)};
+
+EndpointList complete_list(ListedEndpoints endpoints) {
+  return {0, true, std::move(endpoints)};
 }
+
+// Endpoint i is "s-i" at place i, started at 1 + i.
 ListedEndpoints many_endpoints(int count) {
-  ListedEndpoints out;
+  ListedEndpoints endpoints;
   for (int i = 0; i < count; ++i) {
-    out.push_back(endpoint_at(label("s-", i), i, 1 + i));
+    endpoints.push_back(endpoint_at(label("s-", i), i, 1 + i));
   }
-  return out;
+  return endpoints;
 }
 
 // "+id" for an endpoint that is up, "~id" for a draining one and "-id" for a removed one.
 std::string summary(const EndpointEntry& entry) {
-  static constexpr const char* kSigns[] = {"+", "~", "-"};
-  return std::string(kSigns[int(entry.state)]).append(entry.server);
+  switch (entry.state) {
+    case EndpointState::kUp:
+      return "+" + entry.server;
+    case EndpointState::kDraining:
+      return "~" + entry.server;
+    case EndpointState::kRemoved:
+      return "-" + entry.server;
+  }
+  return "?" + entry.server;
 }
+
 using Summaries = std::vector<std::string>;
 
 // Applies all lists.
@@ -73,30 +91,36 @@
   }
   return all;
 }
+
 EndpointChanges apply_list(EndpointTable& table, EndpointList list) {
   table.enqueue(std::move(list));
   return apply_all(table);
 }
+
+// What applying a list reports.
 Summaries reported(EndpointTable& table, EndpointList list) {
-  Summaries out;
-  for (const auto& entry : apply_list(table, std::move(list)).entries) {
-    out.push_back(summary(entry));
+  Summaries summaries;
+  for (const EndpointEntry& entry : apply_list(table, std::move(list)).entries) {
+    summaries.push_back(summary(entry));
   }
-  return out;
+  return summaries;
 }
+
+// Processor time of this thread.
 double cpu_us() {
-  timespec now;
+  timespec now{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
   return double(now.tv_sec) * 1e6 + double(now.tv_nsec) * 1e-3;
 }
+
 // The least of some runs: other programs on the machine can only add to it.
 template <typename Operation>
 double least_cpu_us(int runs, const Operation& operation) {
   double least = INFINITY;
   for (int i = 0; i < runs; ++i) {
-    const double began = cpu_us();
+    const double started_at = cpu_us();
     operation();
-    least = std::min(least, cpu_us() - began);
+    least = std::min(least, cpu_us() - started_at);
   }
   return least;
 }
@@ -153,7 +177,7 @@
 }
 
 TEST(EndpointTable, AnEndpointAtTheAddressOfAnotherReplacesIt) {
-  // Guards against requests to the old process that reach the new one, which may be warming up.
+  // Otherwise requests to the old process would reach the new one, which may be warming up.
   EndpointTable table;
   apply_list(table, complete_list({endpoint_at("old", 1, 5), endpoint_at("moves", 2, 9)}));
   auto applied = apply_list(table, partial_list({endpoint_at("new", 1, 6)}));
@@ -164,7 +188,7 @@
   EXPECT_EQ(applied.replaced, Summaries{"new"});
   EXPECT_EQ(table.size(), 1U);
   // One that started earlier than the one at the address is not there, whatever the list says.
-  EXPECT_EQ(reported(table, partial_list({endpoint_at("late news", 1, 3)})), Summaries{});
+  EXPECT_EQ(reported(table, partial_list({endpoint_at("outdated", 1, 3)})), Summaries{});
   // Of equals the one listed last is at the address, even if unchanged.
   apply_list(table, complete_list({endpoint_at("x", 1, 3), endpoint_at("y", 1, 3)}));
   EXPECT_EQ(table.size(), 2U);
@@ -188,16 +212,15 @@
 
 TEST(EndpointTable, AcceptsIpv6Addresses) {
   EndpointTable table;
-  ListedEndpoint six = endpoint_at("six", 1);
-  ListedEndpoint also = six;
-  six.address.address(asio::ip::make_address("fd00::1"));
-  also.address.address(asio::ip::make_address("fd00::2"));
-  EXPECT_EQ(reported(table, complete_list({six})), Summaries{"+six"});
-  EXPECT_EQ(reported(table, complete_list({six})), Summaries{});
-  EXPECT_EQ(table.find("six")->address, six.address);
-  EXPECT_EQ(apply_list(table, partial_list({also})).stale_connections, Summaries{"six"});
-  also.entry.server = "other";
-  EXPECT_EQ(apply_list(table, partial_list({also})).replaced, Summaries{"six"});
+  ListedEndpoint endpoint = endpoint_at("six", 1);
+  endpoint.address.address(asio::ip::make_address("fd00::1"));
+  EXPECT_EQ(reported(table, complete_list({endpoint})), Summaries{"+six"});
+  EXPECT_EQ(reported(table, complete_list({endpoint})), Summaries{});
+  EXPECT_EQ(table.find("six")->address, endpoint.address);
+  endpoint.address.address(asio::ip::make_address("fd00::2"));
+  EXPECT_EQ(apply_list(table, partial_list({endpoint})).stale_connections, Summaries{"six"});
+  endpoint.entry.server = "other";
+  EXPECT_EQ(apply_list(table, partial_list({endpoint})).replaced, Summaries{"six"});
 }
 
 TEST(EndpointTable, TheLastEntryOfAnIdInAListCounts) {
@@ -215,22 +238,23 @@
 }
 
 TEST(EndpointTable, AppliesAListInSlicesWithUrgentChangesFirst) {
-  // Guards against requests to draining or removed endpoints while thousands of others are still
-  // added.
+  // Otherwise draining or removed endpoints would get requests while thousands of others are added.
   const int n = 5'000;
+  const std::size_t size = n;
   EndpointTable table;
   apply_list(table, complete_list(many_endpoints(n)));
   auto next = many_endpoints(2 * n);  // half of them are new, and come first
   std::reverse(next.begin(), next.end());
   std::set<std::string> urgent;
   for (int i = 0; i < 100; ++i) {
-    ListedEndpoint& drains = next[std::size_t(2 * n - 1 - i)];
-    drains.entry.state = EndpointState::kDraining;
-    urgent.insert("~" + drains.entry.server);
-    ListedEndpoint& restarted = next[std::size_t(2 * n - 1'000 - i)];
+    const auto index = std::size_t(i);
+    ListedEndpoint& draining = next[2 * size - 1 - index];
+    draining.entry.state = EndpointState::kDraining;
+    urgent.insert("~" + draining.entry.server);
+    ListedEndpoint& restarted = next[2 * size - 1'000 - index];
     restarted.entry.started_at += 100'000'000;
     urgent.insert("+" + restarted.entry.server);
-    ListedEndpoint& replaced = next[std::size_t(n + i)];  // another one has its address
+    ListedEndpoint& replaced = next[size + index];  // another one has its address
     urgent.insert("-" + replaced.entry.server);
     replaced.entry.server.insert(0, "new-");
     replaced.entry.started_at += 100'000'000;
@@ -241,18 +265,18 @@
   for (; !table.is_idle(); ++slices) {
     const auto applied = table.apply();
     EXPECT_LE(applied.entries.size(), EndpointTable::kMaxChangesPerSlice + 1);
-    for (const auto& entry : applied.entries) {
-      EXPECT_TRUE(++seen > urgent.size() || urgent.count(summary(entry)) == 1) << summary(entry);
+    for (const EndpointEntry& entry : applied.entries) {
+      ++seen;
+      EXPECT_TRUE(seen > urgent.size() || urgent.count(summary(entry)) == 1) << summary(entry);
     }
   }
-  EXPECT_EQ(seen, urgent.size() + std::size_t(n) + 100);
-  EXPECT_GE(slices, std::size_t(n) / EndpointTable::kMaxChangesPerSlice);
-  EXPECT_EQ(table.size(), std::size_t(2 * n));
+  EXPECT_EQ(seen, urgent.size() + size + 100);
+  EXPECT_GE(slices, size / EndpointTable::kMaxChangesPerSlice);
+  EXPECT_EQ(table.size(), 2 * size);
 }
 
 TEST(EndpointTable, PendingSlicesDoNotOverwriteANewerList) {
-  // Guards against a stale entry: a pending addition must not bring back an endpoint that is
-  // draining or removed by now.
+  // A pending addition must not bring back an endpoint that is draining or removed by now.
   const int n = 5'000;
   EndpointTable table;
   apply_list(table, complete_list({endpoint_at("there", -1)}));
@@ -262,12 +286,12 @@
   while (table.apply().entries.empty()) {  // until the additions have begun
   }
   ASSERT_FALSE(table.is_idle());
-  const std::string drains = label("s-", n - 1);
+  const std::string draining = label("s-", n - 1);
   const std::string removed = label("s-", n - 2);
   const std::string moved = label("s-", n - 3);
   const std::string replaced = label("s-", n - 4);
-  ListedEndpoint drained = endpoint_at(drains, n - 1, n, EndpointState::kDraining);
-  table.enqueue(partial_list({drained, removed_endpoint(removed), endpoint_at(moved, 2 * n, n),
+  table.enqueue(partial_list({endpoint_at(draining, n - 1, n, EndpointState::kDraining),
+                              removed_endpoint(removed), endpoint_at(moved, 2 * n, n),
                               endpoint_at("new", n - 4, 2 * n), removed_endpoint("there")}));
   Summaries next;
   for (const auto& entry : table.apply().entries) {
@@ -275,10 +299,10 @@
   }
   EXPECT_EQ(next.at(0), "-there");  // not behind the first list's additions
   for (const auto& entry : apply_all(table).entries) {
-    EXPECT_NE(summary(entry), "+" + drains);
+    EXPECT_NE(summary(entry), "+" + draining);
     EXPECT_NE(summary(entry), "+" + removed);
   }
-  EXPECT_FALSE(table.find(drains)->up);
+  EXPECT_FALSE(table.find(draining)->up);
   EXPECT_FALSE(table.find(removed));
   EXPECT_FALSE(table.find(replaced));
   EXPECT_FALSE(table.find("there"));
@@ -299,90 +323,129 @@
   EXPECT_TRUE(table.find("last"));
 }
 
-TEST(EndpointTable, MatchesAPlainMapForAnyListsAndSlices) {
-  // Compares with a plain map that has each list at once. Guards against indices that lose or keep
-  // entries wrongly, over many reuses of slots.
-  std::mt19937 random(5);
-  const auto pick = [&](int n) { return int(random() % unsigned(n)); };
-  EndpointTable table;
-  std::map<std::string, ListedEndpoint> expected;
-  std::map<std::string, EndpointEntry> reported_entries;  // as the changes report it
-  for (int round = 0; round < 300; ++round) {
+// Random lists, and what a table must hold after them: a plain map that has each list at once.
+class RandomLists {
+ public:
+  int pick(int n) { return int(random_() % unsigned(n)); }
+
+  EndpointList next() {
     EndpointList list;
     list.complete = pick(10) == 0;
-    const int size = pick(list.complete ? 6'000 : 1'500);
+    const int size = pick(list.complete ? kIds : 1'500);
     std::set<int> ids;
     for (int i = 0; i < size; ++i) {
-      ids.insert(pick(6'000));
+      ids.insert(pick(kIds));
     }
     for (const int id : ids) {
-      ListedEndpoint endpoint = endpoint_at(label("s-", id), id + 10'000 * pick(2),
-                                            1 + pick(2));  // each has two addresses of its own
-      endpoint.entry.zone = label("z", pick(5));
-      const int state = pick(10);
-      if (state == 0) {
-        endpoint.entry.state = EndpointState::kDraining;
-      }
-      if (state == 1 && !list.complete) {
-        endpoint = removed_endpoint(endpoint.entry.server);
-      }
-      list.endpoints.push_back(endpoint);
+      list.endpoints.push_back(endpoint(id, list.complete));
+    }
+    remember(list);
+    return list;
+  }
+
+  const std::map<std::string, ListedEndpoint>& expected() const { return expected_; }
+
+ private:
+  static constexpr int kIds = 6'000;
+
+  // Each id has two addresses of its own.
+  ListedEndpoint endpoint(int id, bool in_complete_list) {
+    const int place = id + 10'000 * pick(2);
+    const Micros started_at = 1 + pick(2);
+    ListedEndpoint endpoint = endpoint_at(label("s-", id), place, started_at);
+    endpoint.entry.zone = label("z", pick(5));
+    const int state = pick(10);
+    if (state == 0) {
+      endpoint.entry.state = EndpointState::kDraining;
+    }
+    if (state == 1 && !in_complete_list) {
+      endpoint = removed_endpoint(endpoint.entry.server);
     }
+    return endpoint;
+  }
+
+  void remember(const EndpointList& list) {
     if (list.complete) {
-      expected.clear();
+      expected_.clear();
     }
     for (const ListedEndpoint& endpoint : list.endpoints) {
       if (endpoint.entry.state == EndpointState::kRemoved) {
-        expected.erase(endpoint.entry.server);
+        expected_.erase(endpoint.entry.server);
       } else {
-        expected[endpoint.entry.server] = endpoint;
+        expected_[endpoint.entry.server] = endpoint;
       }
     }
-    table.enqueue(std::move(list));
-    const bool rest = round % 7 == 0;  // else some slices are pending when the next list comes
-    for (int slices = pick(4); (rest || slices-- > 0) && !table.is_idle();) {
-      for (const auto& entry : table.apply().entries) {
-        if (entry.state == EndpointState::kRemoved) {
-          reported_entries.erase(entry.server);
-        } else {
-          reported_entries[entry.server] = entry;
-        }
-      }
+  }
+
+  std::mt19937 random_{5};
+  std::map<std::string, ListedEndpoint> expected_;
+};
+
+using ReportedEntries = std::map<std::string, EndpointEntry>;
+
+void apply_slice(EndpointTable& table, ReportedEntries& reported_entries) {
+  for (const EndpointEntry& entry : table.apply().entries) {
+    if (entry.state == EndpointState::kRemoved) {
+      reported_entries.erase(entry.server);
+    } else {
+      reported_entries[entry.server] = entry;
     }
-    if (!table.is_idle()) {
-      continue;
+  }
+}
+
+void expect_same(const EndpointTable& table, ReportedEntries& reported_entries,
+                 const std::map<std::string, ListedEndpoint>& expected) {
+  ASSERT_EQ(table.size(), expected.size());
+  ASSERT_EQ(reported_entries.size(), expected.size());
+  for (const auto& [id, endpoint] : expected) {
+    const std::optional<EndpointStatus> found = table.find(id);
+    ASSERT_TRUE(found) << id;
+    EXPECT_EQ(found->address, endpoint.address);
+    EXPECT_EQ(found->started_at, endpoint.entry.started_at);
+    EXPECT_EQ(found->up, endpoint.entry.state == EndpointState::kUp);
+    EXPECT_EQ(reported_entries[id].state, endpoint.entry.state);
+    EXPECT_EQ(reported_entries[id].zone, endpoint.entry.zone);
+  }
+}
+
+TEST(EndpointTable, MatchesAPlainMapForAnyListsAndSlices) {
+  // Over many reuses of slots, so that an index that loses or keeps an entry wrongly shows.
+  RandomLists lists;
+  EndpointTable table;
+  ReportedEntries reported_entries;
+  for (int round = 0; round < 300; ++round) {
+    table.enqueue(lists.next());
+    // Else some slices are pending when the next list arrives.
+    const bool apply_all_slices = round % 7 == 0;
+    int slices = lists.pick(4);
+    while (!table.is_idle() && (apply_all_slices || slices > 0)) {
+      apply_slice(table, reported_entries);
+      --slices;
     }
-    ASSERT_EQ(table.size(), expected.size()) << round;
-    ASSERT_EQ(reported_entries.size(), expected.size()) << round;
-    for (const auto& [id, endpoint] : expected) {
-      const auto found = table.find(id);
-      ASSERT_TRUE(found) << id;
-      EXPECT_EQ(found->address, endpoint.address);
-      EXPECT_EQ(found->started_at, endpoint.entry.started_at);
-      EXPECT_EQ(found->up, endpoint.entry.state == EndpointState::kUp);
-      EXPECT_EQ(reported_entries[id].state, endpoint.entry.state);
-      EXPECT_EQ(reported_entries[id].zone, endpoint.entry.zone);
+    if (table.is_idle()) {
+      ASSERT_NO_FATAL_FAILURE(expect_same(table, reported_entries, lists.expected())) << round;
     }
   }
 }
 
 TEST(EndpointTableCost, OneChangeCostsTheSameAmongManyAsAmongFew) {
-  // One takes 13 ms through a set of all addresses at 20,000 servers. Caches make the rest of the
-  // difference.
+  // One change took 13 ms through a set of all addresses at 20,000 servers. Caches make the rest of
+  // the difference.
+  constexpr int kChanges = 200;
   std::map<int, double> cost_us;
   for (const int n : {200, kFleetSize}) {
     EndpointTable table;
     apply_list(table, complete_list(many_endpoints(n)));
-    int i = 0;
-    cost_us[n] = least_cpu_us(5,
-                              [&] {
-                                for (int k = 0; k < 200; ++k, ++i) {
-                                  const int server = int(i * 7'919LL % n);
-                                  apply_list(table, partial_list({endpoint_at(label("s-", server),
-                                                                              server, 1 + n + i)}));
-                                }
-                              }) /
-                 200;
+    std::int64_t i = 0;
+    const double total_us = least_cpu_us(5, [&] {
+      for (int change = 0; change < kChanges; ++change) {
+        const auto server = int(i * 7'919 % n);
+        const Micros started_at = 1 + n + i;
+        apply_list(table, partial_list({endpoint_at(label("s-", server), server, started_at)}));
+        ++i;
+      }
+    });
+    cost_us[n] = total_us / kChanges;
   }
   std::cerr << "one change: " << cost_us[200] << " us at 200, " << cost_us[kFleetSize] << " us at "
             << kFleetSize << '\n';
@@ -391,27 +454,27 @@
 }
 
 TEST(EndpointTableCost, NoSliceTakesLong) {
-  // Guards against a burst that delays requests. At 170,000 servers: a first whole list, the same
-  // again, and a zone of 24,000 that restarts. Each has the least of three runs, slice by slice.
+  // A slice delays all requests. At 170,000 endpoints: a first complete list, the same again, and a
+  // zone of 24,000 that restarts. Each has the least of three runs, slice by slice.
   std::map<std::string, std::vector<double>> least;
   for (int run = 0; run < 3; ++run) {
     EndpointTable table;
     const auto slices = [&](const char* operation, EndpointList list) {
       table.enqueue(std::move(list));
-      std::vector<double>& of = least[operation];
+      std::vector<double>& least_us = least[operation];
       for (std::size_t i = 0; !table.is_idle(); ++i) {
-        const double began = cpu_us();
+        const double started_at = cpu_us();
         table.apply();
-        const double took = cpu_us() - began;
-        if (i == of.size()) {
-          of.push_back(took);
+        const double spent_us = cpu_us() - started_at;
+        if (i == least_us.size()) {
+          least_us.push_back(spent_us);
         }
-        of[i] = std::min(of[i], took);
+        least_us[i] = std::min(least_us[i], spent_us);
       }
     };
     slices("first", complete_list(many_endpoints(kFleetSize)));
     slices("same", complete_list(many_endpoints(kFleetSize)));
-    auto zone = partial_list(many_endpoints(24'000));
+    auto zone = partial_list(many_endpoints(kZoneSize));
     for (ListedEndpoint& endpoint : zone.endpoints) {
       endpoint.entry.started_at += 1'000'000'000;
     }
--- a/tests/net/discovery/list_intake_test.cpp
+++ b/tests/net/discovery/list_intake_test.cpp
@@ -9,79 +9,89 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-// Responds to each request with the pieces that `answer` returns, one after another, as fast as the
-// client reads them, or `pause` us apart; after an empty one nothing more comes.
+// Responds to each request with the pieces that `respond` returns, one after another, as fast as
+// the client reads them, or `pause` us apart; after an empty one nothing more comes.
 class ListAgent : public Listener {
  public:
   using Pieces = std::function<std::string()>;
+
   ListAgent(asio::io_context& io, Timers& timers, const Clock& clock)
       : Listener(io), timers_(timers), clock_(clock) {}
-  std::function<Pieces(const std::string& target)> answer;
-  Micros pause = 0;
-  std::vector<std::string> asked;
-  std::vector<Micros> asked_at;
+
   void hang_up() {
-    for (auto& peer : peers) {
-      if (!peer->socket.is_open()) {
-        continue;
+    for (const auto& peer : peers) {
+      if (peer->socket.is_open()) {
+        bytes_on_closed_connections_ += bytes_sent(peer->socket.native_handle());
+        peer->reset();
       }
-      ended_ += bytes_sent(peer->socket.native_handle());
-      peer->reset();
     }
   }
-  // On the wire so far, whether the client has read it or not.
-  std::uint64_t sent() {
-    std::uint64_t out = ended_;
+
+  // On the wire, whether the client has read it or not.
+  std::uint64_t bytes_sent_so_far() const {
+    std::uint64_t bytes = bytes_on_closed_connections_;
     for (const auto& peer : peers) {
-      out += peer->socket.is_open() ? bytes_sent(peer->socket.native_handle()) : 0;
+      bytes += peer->socket.is_open() ? bytes_sent(peer->socket.native_handle()) : 0;
     }
-    return out;
+    return bytes;
   }
 
+  std::function<Pieces(const std::string& target)> respond;
+  Micros pause = 0;
+  // The targets of the requests so far.
+  std::vector<std::string> requests;
+  std::vector<Micros> requested_at;
+
  protected:
   void took(Peer& peer, std::string& pending) override {
     if (pending.find("\r\n\r\n") == std::string::npos) {
       return;
     }
-    asked.push_back(pending.substr(4, pending.find(" HTTP/") - 4));
-    asked_at.push_back(clock_.now());
+    requests.push_back(pending.substr(4, pending.find(" HTTP/") - 4));
+    requested_at.push_back(clock_.now());
     pending.clear();
     write(peer.shared_from_this(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
-          answer(asked.back()));
+          respond(requests.back()));
   }
 
  private:
-  void write(std::shared_ptr<Peer> peer, std::string bytes, Pieces next) {
-    auto held = std::make_unique<std::string>(std::move(bytes));
-    const auto buffer = asio::buffer(*held);
+  void write(const std::shared_ptr<Peer>& peer, std::string bytes, Pieces next) {
+    auto owned_bytes = std::make_unique<std::string>(std::move(bytes));
+    const auto buffer = asio::buffer(*owned_bytes);
     asio::async_write(peer->socket, buffer,
-                      [this, peer, next = std::move(next), held = std::move(held)](
+                      [this, peer, next = std::move(next), owned_bytes = std::move(owned_bytes)](
                           error_code ec, std::size_t) mutable {
                         if (ec) {
-                          return end(*peer);
-                        }
-                        const std::string piece = next();
-                        if (piece.empty()) {
-                          return;
-                        }
-                        if (pause == 0) {
-                          return write(peer, FakeDiscovery::chunk(piece), std::move(next));
+                          on_write_failed(*peer);
+                        } else {
+                          write_next(peer, std::move(next));
                         }
-                        timers_.after(pause, [this, peer, piece, next = std::move(next)]() mutable {
-                          write(peer, FakeDiscovery::chunk(piece), std::move(next));
-                        });
                       });
   }
-  void end(Peer& peer) {
-    if (!peer.socket.is_open()) {
+
+  void write_next(const std::shared_ptr<Peer>& peer, Pieces next) {
+    const std::string piece = next();
+    if (piece.empty()) {
       return;
     }
-    ended_ += bytes_sent(peer.socket.native_handle());
-    peer.close();
+    if (pause == 0) {
+      return write(peer, FakeDiscovery::chunk(piece), std::move(next));
+    }
+    timers_.after(pause, [this, peer, piece, next = std::move(next)]() mutable {
+      write(peer, FakeDiscovery::chunk(piece), std::move(next));
+    });
+  }
+
+  void on_write_failed(Peer& peer) {
+    if (peer.socket.is_open()) {
+      bytes_on_closed_connections_ += bytes_sent(peer.socket.native_handle());
+      peer.close();
+    }
   }
+
   Timers& timers_;
   const Clock& clock_;
-  std::uint64_t ended_ = 0;
+  std::uint64_t bytes_on_closed_connections_ = 0;
 };
 
 ListAgent::Pieces once(const std::string& text) {
@@ -89,35 +99,36 @@
       [text, done = false]() mutable { return std::exchange(done, true) ? std::string() : text; };
 }
 
-// Entries without end.
+// A list whose entries have no end.
 ListAgent::Pieces endless(std::int64_t revision, bool complete = true) {
-  return [begin = list(revision, complete, ""), some = fleet(100), first = true]() mutable {
+  return [beginning = list(revision, complete, ""), entries = fleet(100), first = true]() mutable {
     if (!std::exchange(first, false)) {
-      return ',' + some;
+      return ',' + entries;
     }
-    return begin.substr(0, begin.rfind(']')) + some;
+    return beginning.substr(0, beginning.rfind(']')) + entries;
   };
 }
 
 ListAgent::Pieces in_pieces(std::string text, std::size_t size) {
-  return [text = std::make_shared<const std::string>(std::move(text)), at = std::size_t(0),
+  return [text = std::make_shared<const std::string>(std::move(text)), position = std::size_t(0),
           size]() mutable {
-    const std::string piece = text->substr(std::min(at, text->size()), size);
-    at += size;
+    const std::string piece = text->substr(std::min(position, text->size()), size);
+    position += size;
     return piece;
   };
 }
 
-// Waits shorter than in service, and bytes a second as many times more.
-constexpr int kFaster = 300;
-ListLimits faster() {
+// Waits are so many times shorter than in service, and bytes a second as many times more.
+constexpr int kSpeedup = 300;
+
+ListLimits accelerated_limits() {
   ListLimits limits;
   limits.memory_bytes = 256 << 10;
   limits.unrestricted_bytes = 64 << 10;
   limits.small_list_bytes = 32 << 10;
-  limits.bytes_per_second *= kFaster;
-  limits.initial_wait /= kFaster;
-  limits.max_request_interval /= kFaster;
+  limits.bytes_per_second *= kSpeedup;
+  limits.initial_wait /= kSpeedup;
+  limits.max_request_interval /= kSpeedup;
   return limits;
 }
 
@@ -131,11 +142,13 @@
                       }});
     discovery->start();
   }
-  void run(Micros time) {
+
+  void run(Micros duration) {
     bool over = false;
-    timers.after(time, [&] { over = true; });
+    timers.after(duration, [&] { over = true; });
     ASSERT_TRUE(until(io, [&] { return over; }));
   }
+
   asio::io_context io;
   Clock clock;
   Timers timers{io, clock};
@@ -145,129 +158,131 @@
 };
 
 TEST_F(ListIntakeTest, AcceptsAListOf170000AtTheFirstRequest) {
-  // Guards against a list that is dropped for its size or its duration and is sent again, 20 times
-  // a second.
+  // A list that is rejected for its size or its duration would be sent again, 20 times a second.
   const std::string text = list(50, true, fleet(170'000));
-  agent.answer = [all = in_pieces(text, 16384)](const std::string&) { return all; };
+  agent.respond = [all = in_pieces(text, 16384)](const std::string&) { return all; };
   const std::size_t before = resident();
-  const auto start_time = processor_time();
-  Micros turn = clock.now();
-  Micros longest = 0;
+  const auto processor_time_before = processor_time();
+  Micros turn_began_at = clock.now();
+  Micros longest_turn = 0;
   start();
   ASSERT_TRUE(until(io, [&] {
     const Micros now = clock.now();
-    longest = std::max(longest, now - std::exchange(turn, now));
+    longest_turn = std::max(longest_turn, now - turn_began_at);
+    turn_began_at = now;
     return updates.size() == 1;
   }));
-  std::cout << "170000 members, " << text.size() << " bytes: " << processor_time() - start_time
+  std::cout << "170000 members, " << text.size()
+            << " bytes: " << processor_time() - processor_time_before
             << " us with the agent's part, resident " << (resident() - before) / 1024
-            << " KiB more, longest turn of the loop " << longest << " us\n";
+            << " KiB more, longest turn of the loop " << longest_turn << " us\n";
   EXPECT_EQ(updates[0].endpoints.size(), 170'000U);
   EXPECT_EQ(updates[0].revision, 50);
-  agent.answer = [](const std::string&) { return once("\n"); };
+  agent.respond = [](const std::string&) { return once("\n"); };
   run(300'000);
-  EXPECT_EQ(agent.asked.size(), 1U);
+  EXPECT_EQ(agent.requests.size(), 1U);
   EXPECT_LT(resident() - before, kMemoryFactor * 40 << 20);
 }
 
 TEST_F(ListIntakeTest, ALargeListThatBreaksOffHasNoEffectAndIsRequestedAtOnce) {
   const std::string text = list(50, true, fleet(60'000));
-  agent.answer = [&](const std::string&) -> ListAgent::Pieces {
-    if (agent.asked.size() > 1) {
+  agent.respond = [&](const std::string&) -> ListAgent::Pieces {
+    if (agent.requests.size() > 1) {
       return in_pieces(text, 16384);
     }
     return in_pieces(text.substr(0, text.size() / 2) + "\n", 16384);
   };
   start();
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
+  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 2; }));
   EXPECT_TRUE(updates.empty());
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 60'000U);
-  EXPECT_EQ(agent.asked.size(), 2U);
-  EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1");
+  EXPECT_EQ(agent.requests.size(), 2U);
+  EXPECT_EQ(agent.requests.back(), "/catalog/members?watch=1");
 }
 
 TEST_F(ListIntakeTest, AnEndlessListCostsUnderTwoKilobytesASecondOnceWaitsHaveGrown) {
-  agent.answer = [](const std::string&) { return endless(50); };
+  agent.respond = [](const std::string&) { return endless(50); };
   ::testing::internal::CaptureStderr();
-  start(faster());
+  start(accelerated_limits());
   run(5'000'000);
   const std::string log = ::testing::internal::GetCapturedStderr();
   EXPECT_NE(log.find("endpoints: its endpoints take too much memory; revision 41 stays in force"),
             std::string::npos)
       << log;
-  const auto sent = agent.sent();
-  const auto asked = agent.asked.size();
+  const auto bytes_before = agent.bytes_sent_so_far();
+  const auto requests_before = agent.requests.size();
   const Micros since = clock.now();
   run(6'000'000);
-  const double seconds = double(clock.now() - since) / 1e6 * kFaster;  // in service
-  const double bytes = double(agent.sent() - sent);
-  const double calls = double(agent.asked.size() - asked);
-  std::cout << "in " << seconds << " s: " << bytes / seconds << " bytes a second, " << calls
-            << " calls; before " << sent << " bytes, " << asked << " calls\n";
+  const double seconds = double(clock.now() - since) / 1e6 * kSpeedup;  // in service
+  const auto bytes = double(agent.bytes_sent_so_far() - bytes_before);
+  const auto requests = double(agent.requests.size() - requests_before);
+  std::cout << "in " << seconds << " s: " << bytes / seconds << " bytes a second, " << requests
+            << " requests; before " << bytes_before << " bytes, " << requests_before
+            << " requests\n";
   EXPECT_LT(bytes / seconds, 2'000);
-  EXPECT_GT(calls, seconds / 16);  // at least every 4 s, on a machine that is four times too slow
+  // At least every 4 s, on a machine that is four times too slow.
+  EXPECT_GT(requests, seconds / 16);
   EXPECT_TRUE(updates.empty());
 }
 
 TEST_F(ListIntakeTest, AcceptsAGoodListOnceTheFaultIsOver) {
-  agent.answer = [](const std::string&) { return endless(50); };
-  start(faster());
+  agent.respond = [](const std::string&) { return endless(50); };
+  start(accelerated_limits());
   run(500'000);
-  agent.answer = [](const std::string&) { return once(list(51, true, fleet(200))); };
+  agent.respond = [](const std::string&) { return once(list(51, true, fleet(200))); };
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 200U);
   // And one of any size: of the same revision too, since a list that broke once may be correct now.
   updates.clear();
-  agent.answer = [](const std::string&) { return endless(52); };
+  agent.respond = [](const std::string&) { return endless(52); };
   agent.hang_up();
   run(500'000);
-  agent.answer = [](const std::string&) { return in_pieces(list(52, true, fleet(1'500)), 16384); };
+  agent.respond = [](const std::string&) { return in_pieces(list(52, true, fleet(1'500)), 16384); };
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 1'500U);
   // All failures are forgotten: a list that breaks now is requested at once.
-  agent.answer = [](const std::string&) { return once("\n"); };
-  const auto asked = agent.asked.size();
+  agent.respond = [](const std::string&) { return once("\n"); };
+  const auto requests_before = agent.requests.size();
   agent.hang_up();
-  const Micros broke = clock.now();
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() > asked; }));
-  EXPECT_LT(clock.now() - broke, 250'000);
+  const Micros broke_off_at = clock.now();
+  ASSERT_TRUE(until(io, [&] { return agent.requests.size() > requests_before; }));
+  EXPECT_LT(clock.now() - broke_off_at, 250'000);
 }
 
 TEST_F(ListIntakeTest, AcceptsChangesWhileCompleteListsFail) {
-  // Guards against a stale list for as long as the fault lasts: many changes at once, and one by
-  // one.
-  agent.answer = [](const std::string&) { return endless(50); };
-  ListLimits limits = faster();
+  // Otherwise the list would be stale for as long as the fault lasts. Many changes at once, and
+  // then one by one.
+  agent.respond = [](const std::string&) { return endless(50); };
+  ListLimits limits = accelerated_limits();
   limits.memory_bytes = 4 << 20;
   start(limits);
   run(500'000);
   ASSERT_TRUE(updates.empty());
-  const auto asked = agent.asked.size();
-  agent.answer = [](const std::string& target) {
+  const auto requests_before = agent.requests.size();
+  agent.respond = [](const std::string& target) {
     if (target.find("after=") == std::string::npos) {
       return endless(50);
     }
     return in_pieces(list(51, false, fleet(24'000)), 16384);
   };
-  const Micros there = clock.now();
+  const Micros available_at = clock.now();
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  std::cout << "24000 changes taken after " << clock.now() - there << " us and "
-            << agent.asked.size() - asked << " calls\n";
+  std::cout << "24000 changes accepted after " << clock.now() - available_at << " us and "
+            << agent.requests.size() - requests_before << " requests\n";
   EXPECT_EQ(updates[0].endpoints.size(), 24'000U);
-  EXPECT_EQ(agent.asked.back(), "/catalog/members?watch=1&after=41");
+  EXPECT_EQ(agent.requests.back(), "/catalog/members?watch=1&after=41");
   // Complete lists go on failing behind it.
-  agent.answer = [](const std::string&) { return endless(52); };
+  agent.respond = [](const std::string&) { return endless(52); };
   agent.hang_up();
   run(500'000);
   for (int revision = 53; revision < 56; ++revision) {
-    const auto changed = [&](const std::string& target) {
+    agent.respond = [&](const std::string& target) {
       if (target.find("after=") == std::string::npos) {
         return endless(52);
       }
       return once(list(revision, false, entry("s1", "127.0.0.1:9", "draining")));
     };
-    agent.answer = changed;
     updates.clear();
     agent.hang_up();
     ASSERT_TRUE(until(io, [&] { return updates.size() >= 1; }));
@@ -276,17 +291,19 @@
 }
 
 TEST_F(ListIntakeTest, AnEndlessListOfChangesCostsUnderTwoKilobytesASecondToo) {
-  agent.answer = [](const std::string&) { return endless(50, false); };
-  start(faster());
+  agent.respond = [](const std::string&) { return endless(50, false); };
+  start(accelerated_limits());
   run(5'000'000);
-  const auto sent = agent.sent();
+  const auto bytes_before = agent.bytes_sent_so_far();
   const Micros since = clock.now();
   run(6'000'000);
-  EXPECT_LT(double(agent.sent() - sent) / (double(clock.now() - since) / 1e6 * kFaster), 2'000);
+  const double seconds = double(clock.now() - since) / 1e6 * kSpeedup;  // in service
+  EXPECT_LT(double(agent.bytes_sent_so_far() - bytes_before) / seconds, 2'000);
 }
 
 TEST(GatewayListIntake, AListBeyondTheMemoryLimitIsRejectedAndTheOneInForceStays) {
-  // Guards against a limit that is the same for a gateway of 32 MB and one of 256.
+  // The limit depends on the gateway's memory: 1 MB is too little for 2,000 endpoints, 32 MB are
+  // not.
   for (const std::size_t memory_mb : {1, 32}) {
     Rig rig;
     FakeServer server(rig.io);
@@ -294,41 +311,43 @@
     rig.config.memory_limit_mb = memory_mb;
     rig.discovery.first = list(42, true, fleet(2'000));
     ::testing::internal::CaptureStderr();
-    GatewayServer& driver = rig.start();
-    const auto taken = [&] {
-      return driver.render_stats().find("app.targets=2000\n") != std::string::npos;
+    GatewayServer& gateway = rig.start();
+    const auto accepted = [&] {
+      return gateway.render_stats().find("app.targets=2000\n") != std::string::npos;
     };
-    const auto failed = [&] { return rig.discovery.asked.size() > 3; };
-    ASSERT_TRUE(rig.until([&] { return taken() || failed(); }));
+    const auto rejected = [&] { return rig.discovery.asked.size() > 3; };
+    ASSERT_TRUE(rig.until([&] { return accepted() || rejected(); }));
     const std::string log = ::testing::internal::GetCapturedStderr();
-    EXPECT_EQ(taken(), memory_mb == 32) << log;
-    EXPECT_EQ(failed(), memory_mb == 1) << log;
-    if (failed()) {
-      EXPECT_NE(driver.render_stats().find("app.targets=1\n"), std::string::npos);
+    EXPECT_EQ(accepted(), memory_mb == 32) << log;
+    EXPECT_EQ(rejected(), memory_mb == 1) << log;
+    if (rejected()) {
+      EXPECT_NE(gateway.render_stats().find("app.targets=1\n"), std::string::npos);
     }
   }
 }
 
 TEST_F(ListIntakeTest, RejectsAListThatTricklesAndRequestsItLessAndLessOften) {
-  // Guards against one that always has another byte, and against requesting it 20 times a second.
-  agent.answer = [](const std::string&) { return in_pieces(list(50, true, fleet(100)), 1); };
+  // It always has another byte, and would otherwise be requested 20 times a second.
+  agent.respond = [](const std::string&) { return in_pieces(list(50, true, fleet(100)), 1); };
   agent.pause = 5'000;
   ListLimits limits;
   limits.max_unfinished_lists = 3;
   start(limits);
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
-  EXPECT_LT(agent.asked_at[1] - agent.asked_at[0], 2'000'000);
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 12; }));
-  EXPECT_GT(agent.asked_at[11] - agent.asked_at[7], 2'000'000);  // 0.8 s with waits that don't grow
+  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 2; }));
+  EXPECT_LT(agent.requested_at[1] - agent.requested_at[0], 2'000'000);
+  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 12; }));
+  // 0.8 s with waits that don't grow.
+  EXPECT_GT(agent.requested_at[11] - agent.requested_at[7], 2'000'000);
   EXPECT_TRUE(updates.empty());
 }
 
 TEST_F(ListIntakeTest, RejectsALargeListThatBeginsToTrickle) {
-  // Guards against time that a list has earned while it came fast.
-  agent.answer = [this](const std::string&) -> ListAgent::Pieces {
-    return [this, n = 0, fast = endless(50)]() mutable {
-      if (++n < 500) {
-        return fast();
+  // The time that a list has earned while it came fast is limited.
+  agent.respond = [this](const std::string&) -> ListAgent::Pieces {
+    return [this, piece_count = 0, next_fast_piece = endless(50)]() mutable {
+      ++piece_count;
+      if (piece_count < 500) {
+        return next_fast_piece();
       }
       agent.pause = 5'000;
       return std::string(" ");
@@ -336,20 +355,19 @@
   };
   start();
   ASSERT_TRUE(until(io, [&] { return agent.pause > 0; }));
-  const Micros trickles = clock.now();
-  ASSERT_TRUE(until(io, [&] { return agent.asked.size() == 2; }));
-  EXPECT_LT(clock.now() - trickles, 4'000'000);
+  const Micros trickles_since = clock.now();
+  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 2; }));
+  EXPECT_LT(clock.now() - trickles_since, 4'000'000);
   EXPECT_TRUE(updates.empty());
 }
 
 TEST_F(ListIntakeTest, ALargeListMayTakeLongerThanASmallOne) {
-  // Guards against one time limit for lists of any size.
   const std::string text = list(50, true, fleet(10'000));
-  agent.answer = [&](const std::string&) { return in_pieces(text, 32768); };
+  agent.respond = [&](const std::string&) { return in_pieces(text, 32768); };
   agent.pause = 8'000;  // 43 times: past 150 ms and well over half a MB a second
   start();
   ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
-  EXPECT_EQ(agent.asked.size(), 1U);
+  EXPECT_EQ(agent.requests.size(), 1U);
 }
 
 }  // namespace
