--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -1,17 +1,15 @@
 #include "net/discovery/endpoint_table.hpp"
 
-#include <compare>
 #include <utility>
 
 namespace quota_gateway::net {
 namespace {
 
-// Of two endpoints listed at one address, the one with the greater claim is there: the one that
+// Of two endpoints listed at one address, the one with the stronger claim is there: the one that
 // started last, and of equals the one listed last.
 struct AddressClaim {
   Micros started_at = 0;
   ListSequence listed_by = 0;
-  auto operator<=>(const AddressClaim&) const = default;
 };
 
 AddressClaim claim_of(const EndpointRecord& record) {
@@ -22,6 +20,13 @@
   return {endpoint.entry.started_at, sequence};
 }
 
+bool is_weaker(const AddressClaim& claim, const AddressClaim& other) {
+  if (claim.started_at != other.started_at) {
+    return claim.started_at < other.started_at;
+  }
+  return claim.listed_by < other.listed_by;
+}
+
 }  // namespace
 
 void EndpointTable::enqueue(EndpointList list) {
@@ -200,7 +205,7 @@
     return;
   }
   const auto is_older = [&](const EndpointRecord& other) {
-    return claim_of(other) < claim_of(endpoint, sequence);
+    return is_weaker(claim_of(other), claim_of(endpoint, sequence));
   };
   while (const auto other = store_.find_other_at_address(endpoint, is_older)) {
     changes_.replaced.push_back(store_.at(*other).id);
@@ -210,7 +215,7 @@
 
 bool EndpointTable::is_outranked(const ListedEndpoint& endpoint, ListSequence sequence) const {
   const auto is_newer = [&](const EndpointRecord& other) {
-    return claim_of(other) > claim_of(endpoint, sequence);
+    return is_weaker(claim_of(endpoint, sequence), claim_of(other));
   };
   return endpoint.address.port() != 0 &&
          store_.find_other_at_address(endpoint, is_newer).has_value();
--- a/src/net/discovery/json_scanner.cpp
+++ b/src/net/discovery/json_scanner.cpp
@@ -9,7 +9,7 @@
 namespace quota_gateway::net {
 namespace {
 
-// Longer strings are not kept whole; a key that is looked for is shorter.
+// Only so much of a string is kept; a key that is searched for is shorter.
 constexpr std::size_t kMaxKeyBytes = 256;
 
 // A key may be written with escapes and has to be found all the same.
--- a/src/net/discovery/list_intake.cpp
+++ b/src/net/discovery/list_intake.cpp
@@ -36,7 +36,8 @@
   return header.complete.value_or(true);
 }
 
-// A list that fails again and again is left as soon as it can be told from one that would not.
+// While lists fail again and again, one that would fail too is abandoned as soon as it can be
+// distinguished from one that may be accepted.
 bool ListIntake::enforce_read_scope() {
   if (scope_ == ListReadScope::kUnlimited) {
     return false;
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -81,7 +81,7 @@
   for (const std::string& text : {with(good + good),
                                   with(good + ","),
                                   with("," + good),
-                                  with(good + ",," + good),
+                                  with(std::string(good).append(",,").append(good)),
                                   with(good + "}"),
                                   with("1"),
                                   with("[" + good + "]"),
@@ -93,7 +93,7 @@
                                   with(edited("\"s\"", "null")),
                                   with(edited("\"up\"", "\"odd\"")),
                                   with(edited("10.0.0.1:8", "10.0.0.1")),
-                                  with(edited("}", ",\"size\":\"1\"}")),
+                                  with(edited("}", R"(,"size":"1"})")),
                                   with(edited("}", ",\"cell\":null}")),
                                   with(edited("}", ",\"locality\":1}")),
                                   with(edited("}", ",\"flavor\":1}")),
@@ -127,10 +127,10 @@
   };
   const std::vector<EndlessText> endless_texts = {
       {begin + member, "," + member},  // entries
-      {begin + "{\"id\":\"", "s"},     // a string in an entry
+      {begin + R"({"id":")", "s"},     // a string in an entry
       {begin, " "},                    // nothing
       {begin + "{\"id\":", "[["},      // depth
-      {"{\"x\":\"", "s"},              // a string before the entries
+      {R"({"x":")", "s"},              // a string before the entries
       {"{\"x\":", "["},
       {"{", "                "},
   };
--- a/tests/net/discovery/list_intake_test.cpp
+++ b/tests/net/discovery/list_intake_test.cpp
@@ -112,7 +112,7 @@
 ListAgent::Pieces in_pieces(std::string text, std::size_t size) {
   return [text = std::make_shared<const std::string>(std::move(text)), position = std::size_t(0),
           size]() mutable {
-    const std::string piece = text->substr(std::min(position, text->size()), size);
+    std::string piece = text->substr(std::min(position, text->size()), size);
     position += size;
     return piece;
   };
@@ -285,7 +285,7 @@
     };
     updates.clear();
     agent.hang_up();
-    ASSERT_TRUE(until(io, [&] { return updates.size() >= 1; }));
+    ASSERT_TRUE(until(io, [&] { return !updates.empty(); }));
     EXPECT_EQ(updates[0].revision, revision);
   }
 }
