--- a/src/net/admin/admin_connection.cpp
+++ b/src/net/admin/admin_connection.cpp
@@ -29,6 +29,19 @@
   return target.substr(0, target.find('?'));
 }
 
+// `extra_header`: empty, or begins with a line break.
+std::string render_response(int status, const std::string& extra_header, const std::string& body) {
+  const auto reason = http::obsolete_reason(http::status(status));
+  std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
+  text.append(reason.data(), reason.size());
+  text += "\r\nContent-Type: text/plain";
+  text += "\r\nCache-Control: no-store";
+  text += "\r\nConnection: close";
+  text += "\r\nContent-Length: " + std::to_string(body.size());
+  text += extra_header + "\r\n\r\n" + body;
+  return text;
+}
+
 }  // namespace
 
 AdminConnection::AdminConnection(tcp::socket socket, Timers& timers, const AdminHandlers& handlers,
@@ -102,7 +115,8 @@
   }
 }
 
-// The parser stops behind the header first, so that a body over the limit is not waited for.
+// The parser stops after the header first, so that a body over the limit is rejected before it has
+// arrived.
 bool AdminConnection::accept_header() {
   parser_.eager(true);
   try {
@@ -117,15 +131,15 @@
 void AdminConnection::respond_to_request() {
   const auto& request = parser_.get();
   const std::string_view path = path_of({request.target().data(), request.target().size()});
-  const bool asks_readiness = path == "/ops/readiness";
-  const bool asks_stats = path == "/ops/stats";
-  if (!asks_readiness && !asks_stats) {
+  const bool is_readiness_request = path == "/ops/readiness";
+  const bool is_stats_request = path == "/ops/stats";
+  if (!is_readiness_request && !is_stats_request) {
     return respond(404, "no such call\n");
   }
   if (request.method() != http::verb::get) {
     return respond(405, "only GET\n", "\r\nAllow: GET");
   }
-  if (asks_stats) {
+  if (is_stats_request) {
     return respond(200, handlers_.render_stats());
   }
   if (handlers_.is_ready()) {
@@ -143,12 +157,7 @@
   if (std::exchange(responded_, true)) {
     return;
   }
-  const auto reason = http::obsolete_reason(http::status(status));
-  response_ = "HTTP/1.1 " + std::to_string(status) + " " +
-              std::string(reason.data(), reason.size()) +
-              "\r\nContent-Type: text/plain\r\nCache-Control: no-store\r\nConnection: "
-              "close\r\nContent-Length: " +
-              std::to_string(body.size()) + extra_header + "\r\n\r\n" + body;
+  response_ = render_response(status, extra_header, body);
   asio::async_write(
       socket_, asio::buffer(response_),
       [this, self = shared_from_this()](error_code ec, std::size_t) { on_response_written(ec); });
--- a/src/net/admin/admin_connection.hpp
+++ b/src/net/admin/admin_connection.hpp
@@ -16,7 +16,7 @@
 
 namespace quota_gateway::net {
 
-// What the admin server's responses are made of. Called from the event loop, once a request.
+// Where the admin server's responses come from. Called from the event loop, once a request.
 struct AdminHandlers {
   // Whether the gateway is fit to serve clients.
   std::function<bool()> is_ready;
@@ -24,7 +24,7 @@
   std::function<std::string()> render_stats;
 };
 
-// Pending handlers share its ownership with the server that accepted it.
+// Its pending operations share its ownership with the server that accepted it.
 class AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
   // `timers` and `handlers` must outlive the connection. `on_close` is called from within close(),
@@ -54,7 +54,7 @@
 
   boost::beast::http::request_parser<boost::beast::http::string_body> parser_;
   std::array<char, 2048> read_buffer_;
-  std::string unparsed_;
+  std::string unparsed_;  // received bytes that the parser has not consumed
   std::string response_;
   bool responded_ = false;
 };
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -1,8 +1,6 @@
 #include "net/admin/admin_server.hpp"
 
-#include <functional>
 #include <iostream>
-#include <string>
 #include <utility>
 
 namespace quota_gateway::net {
@@ -31,11 +29,11 @@
 
 }  // namespace
 
-AdminServer::AdminServer(asio::io_context& io, Timers& timers, const tcp::endpoint& address,
-                         std::function<bool()> is_ready, std::function<std::string()> render_stats)
+AdminServer::AdminServer(asio::io_context& io, Timers& timers, tcp::endpoint address,
+                         AdminHandlers handlers)
     : timers_(timers),
-      configured_address_(address),
-      handlers_{std::move(is_ready), std::move(render_stats)},
+      configured_address_(std::move(address)),
+      handlers_(std::move(handlers)),
       acceptor_(io) {
   listen();
 }
@@ -68,7 +66,7 @@
 
 void AdminServer::add_connection(tcp::socket socket) {
   if (connections_.size() >= kMaxAdminConnections) {
-    // A copy, for close() removes it from the list.
+    // A copy, since close() removes it from the list.
     const std::shared_ptr<AdminConnection> oldest = connections_.front();
     oldest->close();
   }
--- a/src/net/admin/admin_server.hpp
+++ b/src/net/admin/admin_server.hpp
@@ -5,28 +5,24 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <cstddef>
-#include <functional>
 #include <list>
 #include <memory>
-#include <string>
 
 #include "net/admin/admin_connection.hpp"
 #include "net/event_loop/timers.hpp"
 
 namespace quota_gateway::net {
 
-// Connections at a time. Their file descriptors are reserved, so that clients can't use them up. A
+// At a time. Their file descriptors are reserved, so that clients can't use them up. A
 // connection past that many closes the oldest one, so that slow tools can't use them up either.
 constexpr std::size_t kMaxAdminConnections = 8;
 
 class AdminServer {
  public:
   // Listens at `address`; port 0: at any free port. If it can't, it logs that and retries every
-  // 0.5 s. `timers` must outlive the server, and its event loop must not run after the server is
-  // gone.
-  AdminServer(boost::asio::io_context& io, Timers& timers,
-              const boost::asio::ip::tcp::endpoint& address, std::function<bool()> is_ready,
-              std::function<std::string()> render_stats);
+  // 0.5 s. `timers` must outlive the server, and the event loop must not run after it is gone.
+  AdminServer(boost::asio::io_context& io, Timers& timers, boost::asio::ip::tcp::endpoint address,
+              AdminHandlers handlers);
 
   // Where it listens. Throws boost::system::system_error if it doesn't yet.
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
--- a/src/net/hot_restart/hot_restart.cpp
+++ b/src/net/hot_restart/hot_restart.cpp
@@ -12,17 +12,18 @@
 using boost::system::error_code;
 
 // An old version of the program hands over to a new one through this socket. So its name in the
-// shared directory and the packets that pass over it keep the product's first name; with others,
-// a new version would not find the old one, and connections would be lost. A later version that
-// needs other packets uses another number.
+// shared directory and its packets keep the product's former name: with others, a new version would
+// not find the old one, and connections would be lost. A later version that needs other packets
+// uses another number.
 constexpr std::string_view kSocketName = "/cottonroad.sock";
 constexpr std::string_view kIdentityPrefix = "cottonroad/1 ";
 constexpr std::string_view kWelcomePacket = "cottonroad/1 welcome";
 constexpr std::string_view kReadyPacket = "cottonroad/1 ready";
 
-// At the start, for a parent to answer; then the process opens a listening socket of its own.
+// Within this time of the start the parent answers; else the process opens a listening socket of
+// its own.
 constexpr auto kParentAnswerTimeout = std::chrono::milliseconds(500);
-// For a process that connects to say who it is.
+// Within this time a process that connects has sent its identity.
 constexpr Micros kChildIdentityTimeout = 500'000;
 
 std::string socket_path(const std::string& directory) {
@@ -50,8 +51,8 @@
 
 // ---- The parent
 
-// Whatever is there, a socket that nobody serves, a file, a stranger or a process that dies midway:
-// without a listener to inherit, this process starts on its own.
+// Without a listener to inherit, this process starts on its own: if the path is an abandoned socket
+// or a file, if a foreign process listens there, or if the parent ends meanwhile.
 void HotRestart::find_parent() {
   OwnedDescriptor link = connect_packet_socket(socket_path_);
   if (!link.is_open() || !is_peer_same_user(link.get()) ||
@@ -69,7 +70,7 @@
   watch_parent();
 }
 
-// The parent says nothing more; what is waited for is its end.
+// The parent sends nothing more; this waits for its end.
 void HotRestart::watch_parent() {
   parent_->async_wait(Descriptor::wait_read, [this](error_code ec) {
     if (ec || !parent_) {
@@ -142,12 +143,13 @@
 
 void HotRestart::on_child_identity(Descriptor& candidate) {
   const Packet packet = receive_packet(candidate.native_handle());
-  // There is one child at a time; another one, or a process of another gateway, gets no answer.
+  // There is one child at a time. A second one, or a process of another gateway, gets no answer.
   if (packet.text != identity_packet_ || child_) {
     return;
   }
   child_ = std::make_unique<Descriptor>(io_, candidate.release());
-  // Before the welcome, after which the child may serve: from then on there are two processes.
+  // Before the welcome, after which the child may serve: by then this process must share its limits
+  // with it.
   on_change_();
   if (child_) {
     send_packet(child_->native_handle(), kWelcomePacket, listening_socket_);
--- a/src/net/hot_restart/hot_restart.hpp
+++ b/src/net/hot_restart/hot_restart.hpp
@@ -1,10 +1,10 @@
-// How two processes of one gateway, the parent that serves and the child that replaces it, meet at
-// a socket in the directory that they share. The parent passes the very socket on which clients
-// connect to the child, so that no connection is lost between them. Each then holds the link until
-// the other has gone.
+// The link between two processes of one gateway: the parent, which serves, and the child, which
+// replaces it. They find each other through a socket in the directory that they share. The parent
+// passes its listening socket to the child, so that no client connection is lost between them. Each
+// keeps the link open until the other process has ended.
 //
-// GatewayServer owns it and decides what to do at each change. A process may be the child of an
-// older one and the parent of a younger one at once.
+// HandoverCoordinator owns it and decides what to do at each change. A process may be the child of
+// an older one and the parent of a younger one at once.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,10 +22,10 @@
 
 class HotRestart {
  public:
-  // Looks for a parent, which may block for up to 0.5 s. With an empty `directory` no parent is
-  // looked for, and no child can follow. Processes belong together if they have the directory,
-  // `gateway_name` and `client_address`, on which clients connect, in common. `on_change` follows
-  // each change of has_parent(), has_child() and child_accepting(), never from within the
+  // Looks for a parent, which may block for up to 0.5 s. With an empty `directory` there is neither
+  // a parent nor a child. Processes belong together if they have the directory, `gateway_name` and
+  // `client_address`, on which clients connect, in common. `on_change` follows each change of
+  // has_parent(), has_child() and child_accepting(), from the event loop, never from within the
   // constructor.
   HotRestart(boost::asio::io_context& io, Timers& timers, const std::string& directory,
              const std::string& gateway_name, const boost::asio::ip::tcp::endpoint& client_address,
@@ -34,10 +34,10 @@
   // The parent's listening socket, at the first call after a parent was found. The caller closes
   // it.
   std::optional<int> take_inherited_listener();
-  // From now on a child finds this process and is given `listening_socket`, which must stay open as
-  // long as this object lives.
+  // From now on a child can find this process and receives `listening_socket`, which must stay open
+  // as long as this object lives. If the directory can't be used, logs that, and there is no child.
   void listen_for_child(int listening_socket);
-  // Tells the parent, if any, to leave new clients to this process.
+  // Notifies the parent, if any, that this process accepts new clients in its place.
   void notify_parent_ready();
 
   bool has_parent() const { return bool(parent_); }
@@ -63,8 +63,8 @@
   const boost::asio::ip::tcp::endpoint client_address_;
   std::function<void()> on_change_;
 
-  OwnedDescriptor inherited_listener_;   // until it is taken
-  std::optional<int> listening_socket_;  // of the clients; another owns it
+  OwnedDescriptor inherited_listener_;   // until take_inherited_listener()
+  std::optional<int> listening_socket_;  // for clients; not owned
   std::unique_ptr<Descriptor> child_acceptor_;
   std::unique_ptr<Descriptor> parent_;
   std::unique_ptr<Descriptor> child_;
--- a/src/net/hot_restart/packet_socket.cpp
+++ b/src/net/hot_restart/packet_socket.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t kMaxPacketSize = 512;
 constexpr int kListenBacklog = 4;
 
-// Room for the one descriptor that a packet may carry.
+// Space for the one descriptor that a packet may carry.
 struct ControlBuffer {
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> bytes{};
 };
@@ -42,16 +42,16 @@
   return OwnedDescriptor(::socket(AF_UNIX, SOCK_SEQPACKET | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
-OwnedDescriptor take_descriptor(msghdr& message) {
-  OwnedDescriptor taken;
+OwnedDescriptor extract_descriptor(msghdr& message) {
+  OwnedDescriptor extracted;
   for (cmsghdr* header = CMSG_FIRSTHDR(&message); header; header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level == SOL_SOCKET && header->cmsg_type == SCM_RIGHTS) {
       int fd = -1;
       std::memcpy(&fd, CMSG_DATA(header), sizeof fd);
-      taken = OwnedDescriptor(fd);
+      extracted = OwnedDescriptor(fd);
     }
   }
-  return taken;
+  return extracted;
 }
 
 Packet end_packet() {
@@ -89,8 +89,8 @@
   return connected;
 }
 
-// A name that is removed before ours is there would leave a moment in which a new process finds
-// nobody. So ours is made under another name and then renamed over whatever is there.
+// Binds under a temporary name, then renames that over whatever is at `path`: between a removal and
+// a bind at `path` itself, a new process would find no parent.
 OwnedDescriptor listen_packet_socket(const std::string& path) {
   const std::string temporary_path = path + "." + std::to_string(::getpid());
   OwnedDescriptor listening = open_packet_socket();
@@ -166,7 +166,7 @@
   packet.is_end = size == 0 || (size < 0 && errno != EAGAIN && errno != EINTR);
   if (size > 0) {
     packet.text.assign(bytes.data(), std::size_t(size));
-    packet.descriptor = take_descriptor(message);
+    packet.descriptor = extract_descriptor(message);
   }
   return packet;
 }
--- a/src/net/hot_restart/packet_socket.hpp
+++ b/src/net/hot_restart/packet_socket.hpp
@@ -1,5 +1,5 @@
-// Packets between two processes of one user over a Unix socket, each with a file descriptor beside
-// it if wanted. HotRestart decides what passes; here are the system calls only.
+// Packets between two processes of one user over a Unix socket, each with or without a file
+// descriptor. Only the system calls; HotRestart, which owns the sockets, decides what is sent.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -22,7 +22,7 @@
   ~OwnedDescriptor();
 
   bool is_open() const { return fd_ >= 0; }
-  // -1 if there is none, as the system calls return and take it.
+  // -1 if there is none, as for the system calls.
   int get() const { return fd_; }
   // The caller closes it.
   int release();
@@ -43,7 +43,7 @@
 // is empty or too long for a socket.
 OwnedDescriptor connect_packet_socket(const std::string& path);
 
-// A socket that listens at `path` in place of whatever is there. Not open: it can't.
+// A socket that listens at `path` in place of whatever is there. Not open: that failed.
 OwnedDescriptor listen_packet_socket(const std::string& path);
 
 // The next connection of a listening socket. Not open: there is none.
@@ -62,7 +62,7 @@
 
 // Never waits.
 Packet receive_packet(int packet_socket);
-// Blocks until a packet or the end comes; after `timeout` returns an end.
+// Blocks until a packet or the end arrives. After `timeout` returns an end.
 Packet receive_packet_within(int packet_socket, std::chrono::milliseconds timeout);
 
 }  // namespace quota_gateway::net
--- a/src/net/server/action_executor.hpp
+++ b/src/net/server/action_executor.hpp
@@ -28,9 +28,9 @@
   void perform(const Reject& action);
   void perform(const Fail& action);
   void perform(const SetTimer& action);
-  void perform(const SendHealthCheck& action);
+  static void perform(const SendHealthCheck& action);
   void perform(const AddToCounter& action);
-  void perform(const LogLine& action);
+  static void perform(const LogLine& action);
 
   EventLoop loop_;
   EventBatcher& events_;
--- /dev/null
+++ b/src/net/server/attempt_reporter.cpp
@@ -0,0 +1,41 @@
+#include "net/server/attempt_reporter.hpp"
+
+#include <string>
+#include <utility>
+
+namespace quota_gateway::net {
+
+AttemptResult result_without_response(Outcome outcome) {
+  AttemptResult result;
+  result.outcome = outcome;
+  return result;
+}
+
+AttemptReporter::AttemptReporter(const Clock& clock, RequestTable& requests, EventBatcher& events)
+    : clock_(clock), requests_(requests), events_(events) {}
+
+void AttemptReporter::report_complete(RequestTable::Iterator entry, AttemptKey key,
+                                      const AttemptResult& result) {
+  Request& request = entry->second;
+  Attempt& attempt = request.attempt(key.attempt);
+  attempt.in_flight = false;
+  --request.attempts_in_flight;
+  request.last_attempt_timed_out = result.outcome == Outcome::kTimeout;
+  AttemptCompleted completed;
+  completed.id = std::to_string(key.request);
+  completed.attempt = key.attempt;
+  completed.server = attempt.endpoint;
+  completed.outcome = result.outcome;
+  // Up to the first byte only: a response that trickles in keeps its server no longer than others.
+  // Counted as the server's work it would look like a fleet with too much in flight.
+  const Micros ended_at = result.first_byte_at ? *result.first_byte_at : clock_.now();
+  completed.duration = ended_at - attempt.sent_at;
+  completed.load = result.load;
+  completed.billed_units = result.billed_units;
+  completed.quota_usage_percent = result.quota_usage_percent;
+  completed.request_answered = request.finished || request.response_started;
+  events_.push(std::move(completed));
+  requests_.remove_if_done(entry);
+}
+
+}  // namespace quota_gateway::net
--- a/src/net/server/endpoint_list_applier.cpp
+++ b/src/net/server/endpoint_list_applier.cpp
@@ -29,8 +29,8 @@
 
 // Discovery counts its knowledge as delivered from our first call on, and the persisted list may
 // name endpoints that have long been draining. So the persisted list is applied only once discovery
-// answers, with the changes right behind it; without discovery it must do. Requests that arrive
-// meanwhile are held as while no endpoint has capacity.
+// answers, immediately before the changes, or after a grace time without an answer. Requests that
+// arrive meanwhile are held as while no endpoint has capacity.
 void EndpointListApplier::apply_persisted_list() {
   if (!persisted_) {
     return;
@@ -47,8 +47,8 @@
   }
 }
 
-// One slice, with the loop running before the next: a small list is in force at once. Without
-// slices, a list of many thousand changes would delay every request.
+// Applies one slice, and the next in a later turn of the loop. Without slices, a list of many
+// thousand changes would delay every request; a small list fits one slice and is in force at once.
 void EndpointListApplier::apply_slice(EndpointListUpdate::Kind kind) {
   next_slice_posted_ = false;
   EndpointListUpdate update;
@@ -75,8 +75,8 @@
   return pool_.has_endpoint_up() && has_initial_list();
 }
 
-// Without this, a fleet that was started at once would turn to the few endpoints that are first in
-// its list.
+// Without this, all gateways of a fleet that starts at once would send their requests to the few
+// endpoints that are first in its list.
 bool EndpointListApplier::requests_must_wait() const {
   const bool persisted_needs_slices =
       persisted_ && persisted_->endpoints.size() > EndpointTable::kMaxChangesPerSlice;
--- a/src/net/server/endpoint_list_applier.hpp
+++ b/src/net/server/endpoint_list_applier.hpp
@@ -17,7 +17,7 @@
 
 // Called from within a turn that applies a slice, `on_list_applied` before `on_slice_applied`.
 struct EndpointListCallbacks {
-  // All lists that have come are completely in force.
+  // All lists that have arrived are completely in force.
   std::function<void()> on_list_applied;
   std::function<void()> on_slice_applied;
 };
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -53,7 +53,12 @@
       gateway_(config.settings, config.seed),
       events_(loop_, gateway_, executor_),
       executor_(loop_, events_, dispatcher_),
-      dispatcher_(loop_, {settings_, pool_, clients_, events_, stats_, endpoint_lists_}),
+      finisher_(requests_, clients_, stats_),
+      reporter_(clock_, requests_, events_),
+      deadlines_(loop_, {requests_, pool_, clients_, events_, finisher_}, expiry_callback()),
+      streamer_(clock_, {requests_, pool_, clients_, events_, finisher_, reporter_, deadlines_}),
+      dispatcher_(loop_, {settings_, requests_, pool_, events_, stats_, finisher_, reporter_,
+                          deadlines_, streamer_, endpoint_lists_}),
       endpoint_lists_(loop_, pool_, events_, std::move(config.persisted_endpoints),
                       endpoint_list_callbacks()),
       pool_(io, timers_, clock_, pool_limits(config), attempt_events()),
@@ -64,32 +69,37 @@
       clients_(io, timers_, clock_, settings_, max_clients(config), client_callbacks()),
       handover_(loop_, config, {pool_, clients_, events_, endpoint_lists_},
                 max_connections(config)),
-      shutdown_(loop_, dispatcher_, clients_) {
+      shutdown_(loop_, requests_, deadlines_, clients_) {
   use_counter(config.counter_address);
   discovery_.start();
   stats_.add_classes(settings_.classes);
   handover_.start();
   endpoint_lists_.start();
   if (config.admin_address) {
-    admin_.emplace(
-        io, timers_, *config.admin_address, [this] { return is_ready(); },
-        [this] { return render_stats(); });
+    const AdminHandlers handlers{[this] { return is_ready(); }, [this] { return render_stats(); }};
+    admin_.emplace(io, timers_, *config.admin_address, handlers);
   }
 }
 
+std::function<void(AttemptKey, AttemptResult)> GatewayServer::expiry_callback() {
+  return [this](AttemptKey key, AttemptResult result) {
+    dispatcher_.on_attempt_complete(key, std::move(result));
+  };
+}
+
 AttemptEvents GatewayServer::attempt_events() {
   AttemptEvents events;
   events.on_complete = [this](AttemptKey key, AttemptResult result) {
     dispatcher_.on_attempt_complete(key, std::move(result));
   };
   events.on_request_written = [this](AttemptKey key) { dispatcher_.on_attempt_written(key); };
-  events.on_body_wanted = [this](AttemptKey key) { dispatcher_.on_body_piece_written(key); };
-  events.on_response_started = [this](AttemptKey key, AttemptResult result,
+  events.on_body_wanted = [this](AttemptKey key) { streamer_.on_body_piece_written(key); };
+  events.on_response_started = [this](AttemptKey key, const AttemptResult& result,
                                       std::optional<std::uint64_t> length) {
-    dispatcher_.on_response_started(key, std::move(result), length);
+    streamer_.on_response_started(key, result, length);
   };
   events.on_response_piece = [this](AttemptKey key, std::string piece) {
-    dispatcher_.on_response_piece(key, std::move(piece));
+    streamer_.on_response_piece(key, std::move(piece));
   };
   return events;
 }
@@ -102,10 +112,10 @@
   callbacks.on_client_disconnected = [this](std::uint64_t id) {
     dispatcher_.on_client_disconnect(id);
   };
-  callbacks.on_body_piece = [this](std::uint64_t id, const std::string& piece, bool last) {
-    dispatcher_.on_body_piece(id, piece, last);
+  callbacks.on_body_piece = [this](std::uint64_t id, const std::string& piece, bool is_last) {
+    streamer_.on_body_piece(id, piece, is_last);
   };
-  callbacks.on_piece_sent = [this](std::uint64_t id) { dispatcher_.on_response_piece_sent(id); };
+  callbacks.on_piece_sent = [this](std::uint64_t id) { streamer_.on_response_piece_sent(id); };
   callbacks.is_serving = [this] { return endpoint_lists_.has_initial_list(); };
   return callbacks;
 }
@@ -159,7 +169,7 @@
   }
   auto counter = std::make_shared<CounterClient>(
       io_, timers_, clock_, *address, settings_.counter_timeout, connect_timeout_,
-      [this](CounterReply reply) { events_.push(std::move(reply)); });
+      [this](const CounterReply& reply) { events_.push(reply); });
   executor_.use_counter(counter);
   counter->start();
 }
--- a/src/net/server/gateway_server.hpp
+++ b/src/net/server/gateway_server.hpp
@@ -16,11 +16,16 @@
 #include "net/event_loop/clock.hpp"
 #include "net/event_loop/timers.hpp"
 #include "net/server/action_executor.hpp"
+#include "net/server/attempt_reporter.hpp"
 #include "net/server/endpoint_list_applier.hpp"
 #include "net/server/event_batcher.hpp"
 #include "net/server/gateway_stats.hpp"
 #include "net/server/handover_coordinator.hpp"
+#include "net/server/message_streamer.hpp"
+#include "net/server/request_deadlines.hpp"
 #include "net/server/request_dispatcher.hpp"
+#include "net/server/request_finisher.hpp"
+#include "net/server/request_table.hpp"
 #include "net/server/shutdown_coordinator.hpp"
 #include "net/upstream/connection_pool.hpp"
 #include "quota_gateway/gateway.hpp"
@@ -41,17 +46,19 @@
   void reload(const GatewayConfig& config);
   // Counts a new configuration that could not be used.
   void on_reload_rejected();
-  // Goes on accepting, answers all that has come before the process may be killed, then calls
+  // Goes on accepting, answers every request before the process may be killed, then calls
   // `on_drained`, once.
   void drain(std::function<void()> on_drained);
 
-  // Endpoints are known, by discovery if it answers at all, and clients are let in.
+  // Endpoints are known, by discovery if it answers at all, and clients are accepted.
   bool is_ready() const;
   // For the operators, one line a figure: `app.NAME=VALUE`.
   std::string render_stats() const;
 
  private:
   AttemptEvents attempt_events();
+  // Of the attempts that end by their deadline.
+  std::function<void(AttemptKey, AttemptResult)> expiry_callback();
   ClientListenerCallbacks client_callbacks();
   EndpointListCallbacks endpoint_list_callbacks();
   DiscoveryCallbacks discovery_callbacks();
@@ -67,6 +74,11 @@
   Gateway gateway_;
   EventBatcher events_;
   ActionExecutor executor_;
+  RequestTable requests_;
+  RequestFinisher finisher_;
+  AttemptReporter reporter_;
+  RequestDeadlines deadlines_;
+  MessageStreamer streamer_;
   RequestDispatcher dispatcher_;
   EndpointListApplier endpoint_lists_;
   ConnectionPool pool_;
--- a/src/net/server/handover_coordinator.hpp
+++ b/src/net/server/handover_coordinator.hpp
@@ -1,6 +1,6 @@
-// Hot restart: decides, as the processes of this gateway come and go, which of them lets new
-// clients in, and splits the connection limit between them. Owned by GatewayServer; HotRestart
-// carries the messages between the processes.
+// Hot restart: decides, as processes of this gateway start and end, which of them accepts new
+// clients, and splits the connection limit between them. Owned by GatewayServer; HotRestart carries
+// the messages between the processes.
 #pragma once
 
 #include <cstddef>
@@ -31,7 +31,7 @@
   // Listens for clients, on the parent process's socket if there is one. Throws std::exception if
   // the address can't be used.
   void start();
-  // Lets clients in, in place of the parent process, once the endpoint list allows it.
+  // Accepts clients in place of the parent process, once the endpoint list allows it.
   void open_if_ready();
 
  private:
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -15,7 +15,7 @@
 namespace quota_gateway::net {
 namespace {
 
-// An exception that left the loop would end the process with all requests in flight.
+// Without this, an exception would end the process with all requests in flight.
 void run_until_stopped(boost::asio::io_context& io) {
   while (true) {
     try {
--- /dev/null
+++ b/src/net/server/message_streamer.cpp
@@ -0,0 +1,106 @@
+#include "net/server/message_streamer.hpp"
+
+#include <string>
+#include <utility>
+
+namespace quota_gateway::net {
+
+MessageStreamer::MessageStreamer(const Clock& clock, Collaborators collaborators)
+    : clock_(clock),
+      requests_(collaborators.requests),
+      pool_(collaborators.pool),
+      clients_(collaborators.clients),
+      events_(collaborators.events),
+      finisher_(collaborators.finisher),
+      reporter_(collaborators.reporter),
+      deadlines_(collaborators.deadlines) {}
+
+void MessageStreamer::on_body_piece(std::uint64_t id, const std::string& piece, bool is_last) {
+  const auto entry = requests_.find(id);
+  if (entry == requests_.end() || entry->second.finished) {
+    return;
+  }
+  Request& request = entry->second;
+  request.body_forwarded = true;
+  request.body_complete = is_last;
+  if (is_last) {
+    request.deadline = deadlines_.limit(clock_.now() + request.time_limit);
+    deadlines_.schedule_decision_check(id, request.deadline);
+  }
+  pool_.send_body_piece({id, request.latest_attempt()}, piece, is_last);
+}
+
+void MessageStreamer::on_body_piece_written(AttemptKey key) {
+  const auto entry = requests_.find(key.request);
+  if (entry != requests_.end()) {
+    clients_.request_body_piece(entry->second.client);
+  }
+}
+
+void MessageStreamer::on_request_written(AttemptKey key) {
+  const auto entry = requests_.find(key.request);
+  // The time of a long body runs from here on, since a body that comes slowly keeps its server no
+  // longer than others; that of a short one has run since it was sent.
+  if (entry == requests_.end() || !entry->second.body_forwarded) {
+    return;
+  }
+  Attempt& attempt = entry->second.attempt(key.attempt);
+  attempt.sent_at = clock_.now();
+  attempt.deadline = deadlines_.limit(attempt.sent_at + attempt.time_limit);
+  deadlines_.schedule_attempt_expiry(key, attempt.deadline);
+  events_.push(AttemptWritten{std::to_string(key.request), key.attempt});
+}
+
+// For the decision module the attempt has ended well: its server has done the work, and nothing is
+// left to decide.
+void MessageStreamer::on_response_started(AttemptKey key, const AttemptResult& result,
+                                          std::optional<std::uint64_t> length) {
+  const auto entry = requests_.find(key.request);
+  if (entry == requests_.end() || !entry->second.attempt(key.attempt).in_flight) {
+    return;
+  }
+  Request& request = entry->second;
+  request.response_started = true;
+  const ClientId client = request.client;
+  const bool client_has_left = request.finished;
+  // Removes the request if its client has left.
+  reporter_.report_complete(entry, key, result);
+  if (client_has_left) {
+    // Nobody will ask for the next piece, so the connection would stay occupied for good.
+    pool_.abandon(key);
+    return;
+  }
+  clients_.begin_response(client, length, result.body);
+}
+
+void MessageStreamer::on_response_piece(AttemptKey key, std::string piece) {
+  const auto entry = requests_.find(key.request);
+  if (entry != requests_.end()) {
+    clients_.send_body_piece(entry->second.client, std::move(piece));
+  }
+}
+
+void MessageStreamer::on_response_piece_sent(std::uint64_t id) {
+  const auto entry = requests_.find(id);
+  if (entry != requests_.end()) {
+    pool_.resume({id, entry->second.latest_attempt()});
+  }
+}
+
+void MessageStreamer::finish_response(Request& request, AttemptKey key, Outcome outcome) {
+  const bool is_complete = outcome == Outcome::kOk;
+  const RequestOutcome request_outcome =
+      is_complete ? RequestOutcome::kSuccess : RequestOutcome::kError;
+  if (!finisher_.try_finish(request, request_outcome)) {
+    return;
+  }
+  if (is_complete) {
+    clients_.finish_response(request.client);
+  } else {
+    clients_.abort_response(request.client);
+    events_.push(ResponseAborted{request.attempt(key.attempt).endpoint});
+  }
+  requests_.remove_if_done(requests_.find(key.request));
+}
+
+}  // namespace quota_gateway::net
--- /dev/null
+++ b/src/net/server/request_deadlines.cpp
@@ -0,0 +1,108 @@
+#include "net/server/request_deadlines.hpp"
+
+#include <algorithm>
+#include <iostream>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "net/server/attempt_reporter.hpp"
+
+namespace quota_gateway::net {
+
+RequestDeadlines::RequestDeadlines(
+    EventLoop loop, Collaborators collaborators,
+    std::function<void(AttemptKey, AttemptResult)> on_attempt_expired)
+    : loop_(loop),
+      requests_(collaborators.requests),
+      pool_(collaborators.pool),
+      clients_(collaborators.clients),
+      events_(collaborators.events),
+      finisher_(collaborators.finisher),
+      on_attempt_expired_(std::move(on_attempt_expired)) {}
+
+Micros RequestDeadlines::limit(Micros deadline) const {
+  return latest_deadline_ ? std::min(deadline, *latest_deadline_) : deadline;
+}
+
+void RequestDeadlines::schedule_attempt_expiry(AttemptKey key, Micros deadline) {
+  loop_.timers.at(deadline, [this, key] { expire_attempt(key); });
+}
+
+void RequestDeadlines::schedule_decision_check(std::uint64_t id, Micros deadline) {
+  loop_.timers.at(deadline + kDecisionGrace, [this, id] { fail_without_decision(id); });
+}
+
+void RequestDeadlines::expire_attempt(AttemptKey key) {
+  const auto entry = requests_.find(key.request);
+  if (entry == requests_.end()) {
+    return;
+  }
+  Request& request = entry->second;
+  const Attempt& attempt = request.attempt(key.attempt);
+  if (!attempt.in_flight) {
+    return;
+  }
+  // The time of a long body runs once all of it has been written.
+  if (!request.body_complete || loop_.clock.now() < attempt.deadline) {
+    return;
+  }
+  const bool written = pool_.abandon(key);
+  const Outcome outcome = written ? Outcome::kTimeout : Outcome::kConnectFailed;
+  on_attempt_expired_(key, result_without_response(outcome));
+}
+
+// A request must not go unanswered, whatever the decision module does.
+void RequestDeadlines::fail_without_decision(std::uint64_t id) {
+  const auto entry = requests_.find(id);
+  if (entry == requests_.end() || entry->second.finished || entry->second.response_started) {
+    return;
+  }
+  std::cerr << "request " << id << " failed: no decision by its deadline\n";
+  entry->second.last_attempt_timed_out = true;
+  finisher_.fail(entry);
+  events_.push(ClientDisconnected{std::to_string(id)});
+}
+
+void RequestDeadlines::limit_all(Micros latest) {
+  latest_deadline_ = latest;
+}
+
+void RequestDeadlines::expire_attempts() {
+  std::vector<AttemptKey> in_flight;
+  for (auto& [id, request] : requests_) {
+    request.deadline = limit(request.deadline);
+    for (int index = 0; index <= request.latest_attempt(); ++index) {
+      Attempt& attempt = request.attempt(index);
+      if (attempt.in_flight) {
+        attempt.deadline = limit(attempt.deadline);
+        in_flight.push_back({id, index});
+      }
+    }
+  }
+  for (const AttemptKey& key : in_flight) {
+    expire_attempt(key);
+  }
+}
+
+void RequestDeadlines::fail_unfinished_requests() {
+  std::vector<std::uint64_t> unfinished;
+  for (const auto& [id, request] : requests_) {
+    if (!request.finished) {
+      unfinished.push_back(id);
+    }
+  }
+  for (const std::uint64_t id : unfinished) {
+    const auto entry = requests_.find(id);
+    if (entry == requests_.end()) {
+      continue;
+    }
+    if (entry->second.response_started) {
+      clients_.abort_response(entry->second.client);
+    } else {
+      fail_without_decision(id);
+    }
+  }
+}
+
+}  // namespace quota_gateway::net
--- a/src/net/server/request_table.hpp
+++ b/src/net/server/request_table.hpp
@@ -1,5 +1,5 @@
 // The client requests that this gateway has accepted and not finished, with their attempts. Owned
-// by RequestDispatcher, which alone changes them.
+// by GatewayServer; changed by RequestDispatcher and the modules that share its work.
 #pragma once
 
 #include <cstdint>
@@ -34,11 +34,11 @@
   // Its end has been counted: it was answered, broken off or abandoned by its client.
   bool finished = false;
   bool last_attempt_timed_out = false;
-  // All of its body has come.
+  // All of its body has arrived.
   bool body_complete = true;
-  // Part of its body went to a server and was not kept, so there can be no other attempt.
+  // Part of its body went to a server and was not stored, so there can be no other attempt.
   bool body_forwarded = false;
-  // A long response has begun, and passes piece by piece.
+  // A long response has begun, and is streamed to the client piece by piece.
   bool response_started = false;
   int attempts_in_flight = 0;
   ForwardedRequest forwarded;
--- a/src/net/server/shutdown_coordinator.cpp
+++ b/src/net/server/shutdown_coordinator.cpp
@@ -28,9 +28,9 @@
 
 }  // namespace
 
-ShutdownCoordinator::ShutdownCoordinator(EventLoop loop, RequestDispatcher& dispatcher,
-                                         ClientListener& clients)
-    : loop_(loop), dispatcher_(dispatcher), clients_(clients) {}
+ShutdownCoordinator::ShutdownCoordinator(EventLoop loop, const RequestTable& requests,
+                                         RequestDeadlines& deadlines, ClientListener& clients)
+    : loop_(loop), requests_(requests), deadlines_(deadlines), clients_(clients) {}
 
 void ShutdownCoordinator::start(const std::vector<ClassSettings>& classes,
                                 std::function<void()> on_drained) {
@@ -40,15 +40,15 @@
   on_drained_ = std::move(on_drained);
   const Micros deadline = loop_.clock.now() + time_until_kill(classes) - kMarginBeforeKill;
   deadline_ = deadline;
-  dispatcher_.limit_deadlines(deadline);
+  deadlines_.limit_all(deadline);
   clients_.drain();
   loop_.timers.after(kMinDrainTime, [this, deadline] { check_drained(deadline); });
-  loop_.timers.at(deadline, [this] { dispatcher_.expire_attempts(); });
-  loop_.timers.at(deadline + kDecisionGrace, [this] { dispatcher_.fail_unfinished_requests(); });
+  loop_.timers.at(deadline, [this] { deadlines_.expire_attempts(); });
+  loop_.timers.at(deadline + kDecisionGrace, [this] { deadlines_.fail_unfinished_requests(); });
 }
 
 void ShutdownCoordinator::check_drained(Micros deadline) {
-  const bool drained = dispatcher_.all_requests_finished() && clients_.is_idle();
+  const bool drained = requests_.all_finished() && clients_.is_idle();
   if (drained || loop_.clock.now() >= deadline + kAnswerTime) {
     on_drained_();
     return;
--- a/src/net/server/shutdown_coordinator.hpp
+++ b/src/net/server/shutdown_coordinator.hpp
@@ -1,4 +1,4 @@
-// Graceful shutdown: the gateway goes on accepting clients, answers all that has come before the
+// Graceful shutdown: the gateway goes on accepting clients, answers every request before the
 // process may be killed, then reports that it may exit. Owned by GatewayServer.
 #pragma once
 
@@ -8,14 +8,16 @@
 
 #include "net/client/client_listener.hpp"
 #include "net/event_loop/event_loop.hpp"
-#include "net/server/request_dispatcher.hpp"
+#include "net/server/request_deadlines.hpp"
+#include "net/server/request_table.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
 class ShutdownCoordinator {
  public:
-  ShutdownCoordinator(EventLoop loop, RequestDispatcher& dispatcher, ClientListener& clients);
+  ShutdownCoordinator(EventLoop loop, const RequestTable& requests, RequestDeadlines& deadlines,
+                      ClientListener& clients);
 
   // Starts to drain and calls `on_drained` once, from a timer. `classes`: their longest deadline
   // decides when the process may be killed. Does nothing if the shutdown has begun.
@@ -26,10 +28,11 @@
   void check_drained(Micros deadline);
 
   EventLoop loop_;
-  RequestDispatcher& dispatcher_;
+  const RequestTable& requests_;
+  RequestDeadlines& deadlines_;
   ClientListener& clients_;
   std::function<void()> on_drained_;
-  std::optional<Micros> deadline_;  // of all attempts
+  std::optional<Micros> deadline_;  // of all attempts; none: not started
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/server/signal_handler.hpp
+++ b/src/net/server/signal_handler.hpp
@@ -9,8 +9,8 @@
 
 class SignalHandler {
  public:
-  // SIGTERM, SIGINT and SIGHUP no longer end the process from now on; those that come are kept
-  // until start().
+  // SIGTERM, SIGINT and SIGHUP no longer end the process from now on; those that arrive before
+  // start() are reported then.
   explicit SignalHandler(boost::asio::io_context& io);
 
   struct Callbacks {
