--- a/src/net/admin/admin_connection.cpp
+++ b/src/net/admin/admin_connection.cpp
@@ -23,8 +23,6 @@
 // For the operator's tool to read the response before the connection closes.
 constexpr Micros kLingerTime = 500'000;
 
-constexpr int kHttp11 = 11;
-
 std::string_view path_of(std::string_view target) {
   return target.substr(0, target.find('?'));
 }
@@ -106,7 +104,7 @@
 bool AdminConnection::accept_header() {
   parser_.eager(true);
   try {
-    check_framing(parser_.get(), parser_.get().version() == kHttp11);
+    check_framing(parser_.get(), http_version(parser_.get().version()));
     return true;
   } catch (const HttpError& e) {
     respond(int(e.status()), std::string(e.what()) + "\n");
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -55,7 +55,7 @@
   }
   is_reading_ = true;
   if (is_in(SessionState::kClosing)) {
-    return discard_input(shared_from_this(), context_);
+    return discard_input_until_closed(shared_from_this(), context_);
   }
   socket_.async_wait(tcp::socket::wait_read,
                      [this, self = shared_from_this()](error_code ec) { on_readable(ec); });
@@ -272,7 +272,7 @@
   if (!is_in(SessionState::kAwaitingResponse)) {
     return;
   }
-  const BodyDelimiter delimiter = choose_body_delimiter(content_length, reader_.is_http11());
+  const BodyDelimiter delimiter = choose_body_delimiter(content_length, reader_.version());
   const bool closes = delimiter == BodyDelimiter::kConnectionClose;
   const ConnectionUse use = closes ? ConnectionUse::kClose : use_after_response();
   error_code ignored;
@@ -358,7 +358,7 @@
 // ---- Closing
 
 void ClientSession::close_after_last_response() {
-  send_end(socket_);
+  send_end_of_stream(socket_);
   reader_.discard_input();
   enter(SessionState::kClosing);
 }
--- a/src/net/client/lingering_close.cpp
+++ b/src/net/client/lingering_close.cpp
@@ -44,21 +44,22 @@
   }
   context.timers.after(kDiscardInterval, [connection = std::move(connection), &context] {
     if (connection->socket().is_open()) {
-      discard_input(connection, context);
+      discard_input_until_closed(connection, context);
     }
   });
 }
 
 }  // namespace
 
-void send_end(tcp::socket& socket) {
+void send_end_of_stream(tcp::socket& socket) {
   error_code ignored;
   socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
 // Without this, a client that sends 60 MB before it reads would never see its response. Reading all
 // of it as it arrives would delay the other clients, so it is dropped in the kernel, at intervals.
-void discard_input(std::shared_ptr<LingeringConnection> connection, ClientSessionContext& context) {
+void discard_input_until_closed(std::shared_ptr<LingeringConnection> connection,
+                                ClientSessionContext& context) {
   tcp::socket& socket = connection->socket();
   socket.async_wait(tcp::socket::wait_read,
                     [connection = std::move(connection), &context](error_code ec) mutable {
--- a/src/net/client/lingering_close.hpp
+++ b/src/net/client/lingering_close.hpp
@@ -25,11 +25,12 @@
 };
 
 // Tells the client that nothing follows the response.
-void send_end(boost::asio::ip::tcp::socket& socket);
+void send_end_of_stream(boost::asio::ip::tcp::socket& socket);
 
 // Discards input until the client has finished or the socket is closed, and keeps the connection
 // alive meanwhile. No other read may be pending. Calls the connection later, never from within.
 // `context` must outlive the connection.
-void discard_input(std::shared_ptr<LingeringConnection> connection, ClientSessionContext& context);
+void discard_input_until_closed(std::shared_ptr<LingeringConnection> connection,
+                                ClientSessionContext& context);
 
 }  // namespace quota_gateway::net
--- a/src/net/client/request_reader.cpp
+++ b/src/net/client/request_reader.cpp
@@ -11,7 +11,6 @@
 using boost::system::error_code;
 
 constexpr std::uint32_t kMaxHeaderBytes = 8 << 10;
-constexpr unsigned kHttp11 = 11;
 
 http::status status_of(const error_code& ec) {
   const bool too_large = ec == http::error::body_limit || ec == http::error::header_limit;
@@ -32,16 +31,15 @@
   parser_->body_limit(kMaxBodyBytes);
 }
 
-error_code RequestReader::parse_input(std::size_t& parsed_bytes) {
-  error_code ec;
-  parsed_bytes = parser_->put(boost::asio::buffer(input_), ec);
-  input_.erase(0, parsed_bytes);
-  return ec;
+RequestReader::ParseResult RequestReader::parse_input() {
+  ParseResult result{};
+  result.bytes = parser_->put(boost::asio::buffer(input_), result.ec);
+  input_.erase(0, result.bytes);
+  return result;
 }
 
 RequestReader::Progress RequestReader::advance() {
-  std::size_t parsed_bytes = 0;
-  const error_code ec = parse_input(parsed_bytes);
+  const auto [parsed_bytes, ec] = parse_input();
   const bool needs_input = ec == http::error::need_more;
   if (ec && !needs_input) {
     throw HttpError(ec.message(), status_of(ec));
@@ -71,8 +69,8 @@
   parser_->eager(true);
   const auto& head = parser_->get();
   keep_alive_ = head.keep_alive();
-  is_http11_ = head.version() == kHttp11;
-  check_framing(head, is_http11_);
+  version_ = http_version(head.version());
+  check_framing(head, version_);
   if (head.method() == http::verb::get && head.target() == "/_health") {
     if (parser_->content_length().value_or(0) > 0) {
       throw HttpError("a body where none belongs");
@@ -109,8 +107,7 @@
 
 std::optional<BodyPiece> RequestReader::take_body_piece() {
   while (!input_.empty() && !parser_->is_done()) {
-    std::size_t parsed_bytes = 0;
-    const error_code ec = parse_input(parsed_bytes);
+    const auto [parsed_bytes, ec] = parse_input();
     if (ec && ec != http::error::need_more) {
       throw HttpError(ec.message(), status_of(ec));
     }
--- a/src/net/client/request_reader.hpp
+++ b/src/net/client/request_reader.hpp
@@ -59,12 +59,17 @@
 
   // As the last head says.
   bool keeps_alive() const { return keep_alive_; }
-  bool is_http11() const { return is_http11_; }
+  HttpVersion version() const { return version_; }
 
  private:
   using Parser = boost::beast::http::request_parser<IncrementalBody>;
 
-  boost::system::error_code parse_input(std::size_t& parsed_bytes);
+  struct ParseResult {
+    std::size_t bytes;             // parsed, and dropped from the input
+    boost::system::error_code ec;  // need_more: the message goes on behind the input
+  };
+
+  ParseResult parse_input();
   void check_head();
   bool is_ready();
 
@@ -75,7 +80,7 @@
   bool body_incomplete_ = false;
   bool expects_continue_ = false;
   bool keep_alive_ = true;
-  bool is_http11_ = true;
+  HttpVersion version_ = HttpVersion::kHttp11;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/client/response_encoder.cpp
+++ b/src/net/client/response_encoder.cpp
@@ -44,11 +44,13 @@
   return message.append(kEndOfHead).append(response.body);
 }
 
-BodyDelimiter choose_body_delimiter(std::optional<std::uint64_t> content_length, bool is_http11) {
+BodyDelimiter choose_body_delimiter(std::optional<std::uint64_t> content_length,
+                                    HttpVersion version) {
   if (content_length) {
     return BodyDelimiter::kContentLength;
   }
-  return is_http11 ? BodyDelimiter::kChunked : BodyDelimiter::kConnectionClose;
+  return version == HttpVersion::kHttp11 ? BodyDelimiter::kChunked
+                                         : BodyDelimiter::kConnectionClose;
 }
 
 std::string encode_streamed_head(std::optional<std::uint64_t> content_length,
--- a/src/net/client/response_encoder.hpp
+++ b/src/net/client/response_encoder.hpp
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "net/client/client_callbacks.hpp"
+#include "net/http/framing.hpp"
 
 namespace quota_gateway::net {
 
@@ -18,8 +19,9 @@
 // How the end of a streamed response's body is marked.
 enum class BodyDelimiter : std::uint8_t { kContentLength, kChunked, kConnectionClose };
 
-// The delimiter of a body whose length is known or not, to a client of HTTP/1.1 or of 1.0.
-BodyDelimiter choose_body_delimiter(std::optional<std::uint64_t> content_length, bool is_http11);
+// The delimiter of a body whose length is known or not, to a client of that HTTP version.
+BodyDelimiter choose_body_delimiter(std::optional<std::uint64_t> content_length,
+                                    HttpVersion version);
 
 // The head of a streamed 200 response. `content_length` counts the whole body, in bytes; it must be
 // given for kContentLength only.
--- a/src/net/http/framing.cpp
+++ b/src/net/http/framing.cpp
@@ -9,6 +9,7 @@
 
 namespace http = boost::beast::http;
 
+constexpr unsigned kBeastHttp11 = 11;
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kMaxSizeDigits = 2 * sizeof(std::size_t);
 constexpr std::string_view kLineEnd = "\r\n";
@@ -21,14 +22,18 @@
   }
 }
 
-void check_transfer_encoding(boost::beast::string_view encoding, bool is_http11) {
-  if (!is_http11 || !boost::beast::iequals(encoding, "chunked")) {
+void check_transfer_encoding(boost::beast::string_view encoding, HttpVersion version) {
+  if (version != HttpVersion::kHttp11 || !boost::beast::iequals(encoding, "chunked")) {
     throw HttpError("unknown encoding");
   }
 }
 
 }  // namespace
 
+HttpVersion http_version(unsigned beast_version) {
+  return beast_version == kBeastHttp11 ? HttpVersion::kHttp11 : HttpVersion::kHttp10;
+}
+
 std::string encode_chunk(std::string_view piece) {
   std::array<char, kMaxSizeDigits> digits{};
   const auto written =
@@ -40,7 +45,7 @@
   return chunk;
 }
 
-void check_framing(const http::fields& head, bool is_http11) {
+void check_framing(const http::fields& head, HttpVersion version) {
   const auto lengths = head.count(http::field::content_length);
   const auto encodings = head.count(http::field::transfer_encoding);
   if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0)) {
@@ -50,7 +55,7 @@
     check_content_length(head[http::field::content_length]);
   }
   if (encodings > 0) {
-    check_transfer_encoding(head[http::field::transfer_encoding], is_http11);
+    check_transfer_encoding(head[http::field::transfer_encoding], version);
   }
 }
 
--- a/src/net/http/framing.hpp
+++ b/src/net/http/framing.hpp
@@ -40,6 +40,12 @@
 // longer one is rejected.
 inline constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{48} << 20;
 
+// The versions that the gateway understands.
+enum class HttpVersion : std::uint8_t { kHttp10, kHttp11 };
+
+// Of a message's version as Beast numbers it, such as 11 for HTTP/1.1. Anything else counts as 1.0.
+HttpVersion http_version(unsigned beast_version);
+
 // Ends a chunked body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
@@ -84,6 +90,6 @@
 // Checks that the head announces its body's length in exactly one way that every HTTP reader
 // understands alike. Without this, two readers could disagree where the message ends, and its body
 // could smuggle in another message. Throws HttpError.
-void check_framing(const boost::beast::http::fields& head, bool is_http11);
+void check_framing(const boost::beast::http::fields& head, HttpVersion version);
 
 }  // namespace quota_gateway::net
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -98,7 +98,7 @@
 // Without a length of its own, a complete response can't be told from one that was cut short.
 void UpstreamConnection::check_head() {
   const auto& head = parser->get();
-  check_framing(head, head.version() == 11);
+  check_framing(head, http_version(head.version()));
   if (parser->need_eof() && !is_interim(head)) {
     throw HttpError("no length");
   }
--- a/tests/net/client/lingering_close_test.cpp
+++ b/tests/net/client/lingering_close_test.cpp
@@ -43,7 +43,7 @@
 };
 
 TEST_F(LingeringCloseTest, TheClientSeesTheEndAndMaySendOn) {
-  send_end(connection->socket());
+  send_end_of_stream(connection->socket());
   std::array<char, 1> byte{};
   error_code ec;
   sockets.client.read_some(boost::asio::buffer(byte), ec);
@@ -53,7 +53,7 @@
 
 TEST_F(LingeringCloseTest, InputIsDiscardedUntilTheClientCloses) {
   boost::asio::write(sockets.client, boost::asio::buffer(std::string(1'000, 'x')));
-  discard_input(connection, context);
+  discard_input_until_closed(connection, context);
   ASSERT_TRUE(run_until([&] { return connection->has_discarded(); }));
   EXPECT_EQ(connection->socket().available(), 0U);
   EXPECT_FALSE(connection->client_finished());
@@ -67,20 +67,20 @@
   bool sent = false;
   boost::asio::async_write(sockets.client, boost::asio::buffer(input),
                            [&](error_code ec, std::size_t /*size*/) { sent = !ec; });
-  discard_input(connection, context);
+  discard_input_until_closed(connection, context);
   EXPECT_TRUE(run_until([&] { return sent; }));
   EXPECT_FALSE(connection->client_finished());
 }
 
 TEST_F(LingeringCloseTest, AResetIsAnEnd) {
-  discard_input(connection, context);
+  discard_input_until_closed(connection, context);
   sockets.client.set_option(boost::asio::socket_base::linger(true, 0));
   sockets.client.close();
   EXPECT_TRUE(run_until([&] { return connection->client_finished(); }));
 }
 
 TEST_F(LingeringCloseTest, AConnectionThatIsClosedHereIsReleasedWithoutACall) {
-  discard_input(connection, context);
+  discard_input_until_closed(connection, context);
   EXPECT_GT(connection.use_count(), 1);
   connection->socket().close();
   EXPECT_TRUE(run_until([&] { return connection.use_count() == 1; }));
--- a/tests/net/client/response_encoder_test.cpp
+++ b/tests/net/client/response_encoder_test.cpp
@@ -20,10 +20,11 @@
 }
 
 TEST(ResponseEncoder, ABodyOfUnknownLengthIsChunkedUnlessTheClientIsOfHttp10) {
-  EXPECT_EQ(choose_body_delimiter(5, true), BodyDelimiter::kContentLength);
-  EXPECT_EQ(choose_body_delimiter(5, false), BodyDelimiter::kContentLength);
-  EXPECT_EQ(choose_body_delimiter(std::nullopt, true), BodyDelimiter::kChunked);
-  EXPECT_EQ(choose_body_delimiter(std::nullopt, false), BodyDelimiter::kConnectionClose);
+  EXPECT_EQ(choose_body_delimiter(5, HttpVersion::kHttp11), BodyDelimiter::kContentLength);
+  EXPECT_EQ(choose_body_delimiter(5, HttpVersion::kHttp10), BodyDelimiter::kContentLength);
+  EXPECT_EQ(choose_body_delimiter(std::nullopt, HttpVersion::kHttp11), BodyDelimiter::kChunked);
+  EXPECT_EQ(choose_body_delimiter(std::nullopt, HttpVersion::kHttp10),
+            BodyDelimiter::kConnectionClose);
 }
 
 TEST(ResponseEncoder, AStreamedHeadSaysHowItsBodyEnds) {
--- a/tests/net/http/framing_test.cpp
+++ b/tests/net/http/framing_test.cpp
@@ -8,9 +8,6 @@
 
 namespace http = boost::beast::http;
 
-constexpr bool kHttp11 = true;
-constexpr bool kHttp10 = false;
-
 http::fields head_with(http::field name, const std::string& value) {
   http::fields head;
   head.insert(name, value);
@@ -27,29 +24,40 @@
 }
 
 TEST(Framing, OneContentLengthOfDigitsIsAccepted) {
-  EXPECT_NO_THROW(check_framing(head_with(http::field::content_length, "12"), kHttp11));
-  EXPECT_NO_THROW(check_framing({}, kHttp11));
-  EXPECT_THROW(check_framing(head_with(http::field::content_length, ""), kHttp11), HttpError);
-  EXPECT_THROW(check_framing(head_with(http::field::content_length, "+12"), kHttp11), HttpError);
-  EXPECT_THROW(check_framing(head_with(http::field::content_length, "1,2"), kHttp11), HttpError);
+  EXPECT_NO_THROW(
+      check_framing(head_with(http::field::content_length, "12"), HttpVersion::kHttp11));
+  EXPECT_NO_THROW(check_framing({}, HttpVersion::kHttp11));
+  EXPECT_THROW(check_framing(head_with(http::field::content_length, ""), HttpVersion::kHttp11),
+               HttpError);
+  EXPECT_THROW(check_framing(head_with(http::field::content_length, "+12"), HttpVersion::kHttp11),
+               HttpError);
+  EXPECT_THROW(check_framing(head_with(http::field::content_length, "1,2"), HttpVersion::kHttp11),
+               HttpError);
 }
 
 TEST(Framing, OnlyHttp11MayBeChunked) {
   const auto chunked = head_with(http::field::transfer_encoding, "Chunked");
-  EXPECT_NO_THROW(check_framing(chunked, kHttp11));
-  EXPECT_THROW(check_framing(chunked, kHttp10), HttpError);
-  EXPECT_THROW(check_framing(head_with(http::field::transfer_encoding, "gzip, chunked"), kHttp11),
+  EXPECT_NO_THROW(check_framing(chunked, HttpVersion::kHttp11));
+  EXPECT_THROW(check_framing(chunked, HttpVersion::kHttp10), HttpError);
+  EXPECT_THROW(check_framing(head_with(http::field::transfer_encoding, "gzip, chunked"),
+                             HttpVersion::kHttp11),
                HttpError);
 }
 
+TEST(Framing, AVersionThatIsNot11CountsAs10) {
+  EXPECT_EQ(http_version(11), HttpVersion::kHttp11);
+  EXPECT_EQ(http_version(10), HttpVersion::kHttp10);
+  EXPECT_EQ(http_version(12), HttpVersion::kHttp10);
+}
+
 TEST(Framing, MoreThanOneLengthIsRejected) {
   auto head = head_with(http::field::content_length, "5");
   head.insert(http::field::content_length, "5");
-  EXPECT_THROW(check_framing(head, kHttp11), HttpError);
+  EXPECT_THROW(check_framing(head, HttpVersion::kHttp11), HttpError);
 
   head = head_with(http::field::content_length, "5");
   head.insert(http::field::transfer_encoding, "chunked");
-  EXPECT_THROW(check_framing(head, kHttp11), HttpError);
+  EXPECT_THROW(check_framing(head, HttpVersion::kHttp11), HttpError);
 }
 
 TEST(Framing, AnErrorIsABadRequestUnlessItSaysOtherwise) {
