--- a/tests/net/client/session_table_test.cpp
+++ b/tests/net/client/session_table_test.cpp
@@ -22,7 +22,7 @@
   // Connects a client with the next id.
   std::shared_ptr<ClientSession> add_session() {
     ConnectedSockets& sockets = connections.emplace_back(io);
-    const auto session =
+    auto session =
         std::make_shared<ClientSession>(context, ++last_client, std::move(sockets.gateway));
     table.add(last_client, session);
     session->read();
