--- /dev/null
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -0,0 +1,106 @@
+// What requests look like on the wire, and whether a request may have run whose attempt ended
+// without a response.
+#include "net/upstream/attempt_runner.hpp"
+
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <deque>
+
+#include "connection_pool_fixture.hpp"
+
+namespace quota_gateway::net::testing {
+namespace {
+
+using AttemptRunnerTest = ConnectionPoolFixture;
+
+TEST_F(AttemptRunnerTest, SendsTheRequestWithItsTraceIdKeyAndTimeLeft) {
+  make_pool();
+  EXPECT_EQ(run_attempt(1).outcome, Outcome::kOk);
+  const Request_& received = server.requests.at(0);
+  EXPECT_EQ(received.target(), "/intro-request/1?q");
+  EXPECT_EQ(received["X-Trace-Id"], "t1");
+  EXPECT_EQ(received["Idempotency-Key"], "k1");
+  EXPECT_EQ(received["X-Expires-In"].back(), 'u');
+  EXPECT_EQ(received.body(), "hello");
+}
+
+TEST_F(AttemptRunnerTest, ReportsARefusedConnectionAsNeverRun) {
+  make_pool();
+  server.stop();
+  EXPECT_EQ(run_attempt(1).outcome, Outcome::kConnectFailed);
+}
+
+TEST_F(AttemptRunnerTest, ReportsAConnectTimeoutAsNeverRunAndSendsNothingLater) {
+  // A listener whose backlog is full lets connects hang, as a vanished machine does.
+  tcp::acceptor full(io, {asio::ip::address_v4::loopback(), 0}, true);
+  full.listen(0);
+  std::deque<tcp::socket> fillers;
+  for (int i = 0; i < 4; ++i) {
+    fillers.emplace_back(io);
+    fillers.back().async_connect(full.local_endpoint(), [](error_code) {});
+  }
+  ConnectionPoolLimits limits = immediate_reuse();
+  limits.connect_timeout = 50'000;
+  make_pool(limits);
+  endpoint_list.endpoints[0].address = full.local_endpoint();
+  pool().update(endpoint_list);
+  EXPECT_EQ(run_attempt(1).outcome, Outcome::kConnectFailed);
+  // A connection that is established after that carries nothing.
+  std::size_t accepted = 0;
+  fillers.clear();
+  full.non_blocking(true);
+  while (true) {
+    error_code ec;
+    tcp::socket late(io);
+    full.accept(late, ec);
+    if (ec) {
+      break;
+    }
+    ++accepted;
+    char byte = 0;
+    error_code read_error;
+    late.read_some(asio::buffer(&byte, 1), read_error);
+    EXPECT_TRUE(read_error);
+  }
+  EXPECT_GE(accepted, 1U);
+}
+
+TEST_F(AttemptRunnerTest, ReportsABreakBeforeTheLastByteAsNeverRun) {
+  // The request is larger than what the socket takes; the server reads little and breaks the
+  // connection.
+  request.body.assign(32 << 20, 'x');
+  tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
+  tcp::socket peer(io);
+  acceptor.async_accept(peer, [&](error_code) {
+    peer.async_wait(tcp::socket::wait_read, [&](error_code) {
+      peer.set_option(asio::socket_base::linger(true, 0));
+      peer.close();
+    });
+  });
+  make_pool();
+  endpoint_list.endpoints[0].address = acceptor.local_endpoint();
+  pool().update(endpoint_list);
+  EXPECT_EQ(run_attempt(1).outcome, Outcome::kConnectFailed);
+}
+
+TEST_F(AttemptRunnerTest, ReportsABreakAfterTheLastByteAsMayHaveRun) {
+  EXPECT_EQ(outcome_of_response_and_close(""), Outcome::kReset);
+  EXPECT_EQ(outcome_of_response_and_close("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf"),
+            Outcome::kReset);
+}
+
+TEST_F(AttemptRunnerTest, AbandonClosesTheConnectionAndReturnsWhetherTheRequestMayHaveRun) {
+  server.on_request = [](Peer&, const Request_&) {};
+  make_pool();
+  send(1);
+  EXPECT_FALSE(pool().abandon({1, 0}));  // still connecting
+  send(2);
+  ASSERT_TRUE(until(io, [&] { return !server.requests.empty(); }));
+  EXPECT_TRUE(pool().abandon({2, 0}));
+  ASSERT_TRUE(until(io, [&] { return server.peers.back()->over; }));
+  EXPECT_TRUE(results.empty());  // no event follows an abandoned attempt
+}
+
+}  // namespace
+}  // namespace quota_gateway::net::testing
