--- a/src/net/upstream/response_reader.cpp
+++ b/src/net/upstream/response_reader.cpp
@@ -236,7 +236,7 @@
   }
 }
 
-void ResponseReader::complete(const ConnectionPtr& connection) {
+void ResponseReader::complete(const ConnectionPtr& connection) const {
   const bool is_reusable = connection->parser->get().keep_alive() && connection->received.empty();
   response_events_.on_complete(
       connection, take_attempt_result(*connection),
--- a/src/net/upstream/response_reader.hpp
+++ b/src/net/upstream/response_reader.hpp
@@ -65,7 +65,7 @@
 
   void on_response_complete(const ConnectionPtr& connection);
   void receive_trailing_bytes(const ConnectionPtr& connection);
-  void complete(const ConnectionPtr& connection);
+  void complete(const ConnectionPtr& connection) const;
 
   boost::asio::io_context& io_;
   Timers& timers_;
