--- a/tests/simulator/wire_codec_test.cpp
+++ b/tests/simulator/wire_codec_test.cpp
@@ -2,6 +2,7 @@
 
 #include <gtest/gtest.h>
 
+#include <optional>
 #include <variant>
 
 namespace quota_gateway::simulator {
@@ -27,6 +28,8 @@
 
 TEST(WireCodec, WritesActions) {
   EXPECT_EQ(write_action(Reject{"t/a", 0}), Json::parse(R"({"what":"Reject","Id":"t/a"})"));
+  EXPECT_EQ(write_action(Reject{"t/a", std::nullopt}),
+            Json::parse(R"({"what":"Reject","Id":"t/a"})"));
   EXPECT_EQ(write_action(SendAttempt{"t/a", "s", 5}),
             Json::parse(R"({"what":"Send","Id":"t/a","Server":"s","TryForUs":5})"));
   EXPECT_EQ(write_action(AddToCounter{9, 4, 3}),
