--- a/src/net/client/response_output.cpp
+++ b/src/net/client/response_output.cpp
@@ -37,7 +37,7 @@
 
 void ResponseOutput::release_memory(std::size_t max_kept_bytes) {
   if (bytes_.capacity() > max_kept_bytes) {
-    std::string().swap(bytes_);  // `bytes_ = {}` would keep the memory
+    bytes_ = {};
   }
 }
 
--- a/src/net/client/response_output.hpp
+++ b/src/net/client/response_output.hpp
@@ -33,8 +33,8 @@
   // Leaves the streamed response incomplete.
   void abort_stream() { is_streaming_ = false; }
 
-  // Frees the memory of the bytes if it is more than `max_kept_bytes`; call it once they have been
-  // written.
+  // Empties the bytes if their memory is more than `max_kept_bytes`; call it once they have been
+  // written. The memory itself is kept until the next response (docs/known-issues.md).
   void release_memory(std::size_t max_kept_bytes);
 
  private:
--- a/src/net/server/message_streamer.cpp
+++ b/src/net/server/message_streamer.cpp
@@ -61,15 +61,9 @@
   }
   Request& request = entry->second;
   request.response_started = true;
+  // Read before the report, which removes the request if its client has left.
   const ClientId client = request.client;
-  const bool client_has_left = request.finished;
-  // Removes the request if its client has left.
   reporter_.report_complete(entry, key, result);
-  if (client_has_left) {
-    // Nobody will ask for the next piece, so the connection would stay occupied for good.
-    pool_.abandon(key);
-    return;
-  }
   clients_.begin_response(client, length, result.body);
 }
 
