--- a/src/net/server/action_executor.cpp
+++ b/src/net/server/action_executor.cpp
@@ -10,7 +10,7 @@
     : loop_(loop), events_(events), dispatcher_(dispatcher) {}
 
 void ActionExecutor::execute(const Action& action) {
-  std::visit([this](const auto& alternative) { perform(alternative); }, action);
+  std::visit([this](const auto& alternative) { this->perform(alternative); }, action);
 }
 
 void ActionExecutor::use_counter(std::shared_ptr<CounterClient> counter) {
--- a/tests/net/server/endpoint_lists_test.cpp
+++ b/tests/net/server/endpoint_lists_test.cpp
@@ -132,13 +132,13 @@
   rig.know(member("s1", server1));
   rig.start();
   ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
-  std::string up;
+  std::string accepting;
   std::string draining;
   for (int i = 0; i < count; ++i) {
-    up += (i > 0 ? "," : "") + servers.entry(label("n", i), i);
+    accepting += (i > 0 ? "," : "") + servers.entry(label("n", i), i);
     draining += (i > 0 ? "," : "") + servers.entry(label("n", i), i, "draining");
   }
-  rig.discovery.tell(list(42, false, up) + list(43, false, draining));
+  rig.discovery.tell(list(42, false, accepting) + list(43, false, draining));
   ASSERT_TRUE(rig.until([&] { return figure("targets_disabled") == std::uint64_t(count); }));
   Client client = rig.client();
   for (int i = 0; i < 50; ++i) {
--- a/tests/net/server/gateway_server_cost_test.cpp
+++ b/tests/net/server/gateway_server_cost_test.cpp
@@ -99,11 +99,13 @@
     rig.know(servers.member(label("n", i), i));
   }
   rig.start();
-  const bool up = rig.until([&] { return rig.driver->is_ready() && !rig.discovery.asked.empty(); });
-  EXPECT_TRUE(up) << rig.driver->is_ready() << " ready, watches " << rig.discovery.asked.size();
+  const bool is_ready =
+      rig.until([&] { return rig.driver->is_ready() && !rig.discovery.asked.empty(); });
+  EXPECT_TRUE(is_ready) << rig.driver->is_ready() << " ready, watches "
+                        << rig.discovery.asked.size();
   double least = 1e9;
   int draining = 0;
-  for (int run = 0; up && run < 19; ++run) {
+  for (int run = 0; is_ready && run < 19; ++run) {
     const double began = cpu_us();
     for (int change = 0; change < 10; ++change) {
       const std::string entry = servers.entry(label("n", draining), draining, "draining");
--- a/tests/net/server/input_validation_test.cpp
+++ b/tests/net/server/input_validation_test.cpp
@@ -12,9 +12,9 @@
 using ServerInputValidation = GatewayServerTest;
 
 // A valid request but for one replacement.
-std::string with(const std::string& from, const std::string& to) {
+std::string with(const std::string& original, const std::string& replacement) {
   std::string text = get("t");
-  text.replace(text.find(from), from.size(), to);
+  text.replace(text.find(original), original.size(), replacement);
   return text;
 }
 
@@ -119,7 +119,8 @@
       "t\r\nContent-Length: "
       "60000000\r\n\r\n";
   Client client = rig.client();
-  const std::string text = head + std::string(60'000'000, 'x');
+  std::string text = head;
+  text.append(60'000'000, 'x');
   bool sent = false;
   asio::async_write(client.socket, asio::buffer(text),
                     [&](error_code, std::size_t) { sent = true; });
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -20,8 +20,8 @@
 
 std::string hexadecimal(std::size_t number) {
   std::array<char, 16> digits{};
-  const auto end = std::to_chars(digits.begin(), digits.end(), number, 16).ptr;
-  return {digits.begin(), end};
+  char* const end = std::to_chars(digits.begin(), digits.end(), number, 16).ptr;
+  return {digits.data(), end};
 }
 
 std::string chunk(const std::string& content) {
--- a/tests/net/server/reload_test.cpp
+++ b/tests/net/server/reload_test.cpp
@@ -62,9 +62,9 @@
   const std::string first = config(port, server, discovery);
   Process process(first);
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
-  const auto edited = [&](const std::string& from, const std::string& to) {
+  const auto edited = [&](const std::string& original, const std::string& replacement) {
     std::string text = first;
-    text.replace(text.find(from), from.size(), to);
+    text.replace(text.find(original), original.size(), replacement);
     return text;
   };
   const auto status = [&](const std::string& request_class, const std::string& id) {
@@ -97,8 +97,8 @@
       edited(R"("MaxAttempts":4)", R"("MaxAttempts":-1)")};
   int count = 0;
   for (std::string text : broken) {
-    if (const auto at = text.find(name); at != std::string::npos) {
-      text.replace(at, name.size(), other);
+    if (const auto position = text.find(name); position != std::string::npos) {
+      text.replace(position, name.size(), other);
     }
     process.configure(text);
     process.hang_up();
--- a/tests/net/server/shutdown_test.cpp
+++ b/tests/net/server/shutdown_test.cpp
@@ -79,6 +79,7 @@
   ASSERT_TRUE(rig.until([&] { return Clock().now() - drain_started_at > 900'000; }));
   ASSERT_FALSE(done);
   std::vector<Client> late_clients;
+  late_clients.reserve(3);
   for (int i = 0; i < 3; ++i) {
     late_clients.push_back(rig.client());
   }
