--- a/scale/events.cpp
+++ b/scale/events.cpp
@@ -70,17 +70,17 @@
 class EventMeasurement {
  public:
   EventMeasurement(TestFleet& fleet, Report& report, std::string scenario,
-                   std::map<std::string, double> at)
+                   std::map<std::string, double> sizes)
       : fleet_(fleet),
         report_(report),
         scenario_(std::move(scenario)),
-        at_(std::move(at)),
+        sizes_(std::move(sizes)),
         usage_before_(fleet.usage()),
         state_before_(fleet.fleet().state()),
         memory_before_(allocated_bytes()),
         peak_memory_(memory_before_),
         started_at_(steady_now()) {
-    at_["gateways"] = double(fleet.layout().gateways);
+    sizes_["gateways"] = double(fleet.layout().gateways);
   }
 
   // Waits until all gateways have converged, kEventTimeout at most, and reports what it took. The
@@ -105,7 +105,7 @@
   }
 
   void add_figure(const std::string& name, double value, const std::string& unit) {
-    report_.add({scenario_, name, at_, value, unit});
+    report_.add({scenario_, name, sizes_, value, unit});
   }
 
  private:
@@ -182,7 +182,7 @@
   TestFleet& fleet_;
   Report& report_;
   const std::string scenario_;
-  std::map<std::string, double> at_;
+  std::map<std::string, double> sizes_;
   const FleetUsage usage_before_;
   const FleetState state_before_;
   const std::uint64_t memory_before_;
@@ -373,13 +373,14 @@
 
 }  // namespace
 
-void add_events(std::vector<Scenario>& to) {
-  to.push_back({kRestarts, "a tenth of the gateways restart at once", memory_of, run_restarts});
-  to.push_back({kRack, "a rack is lost and back", memory_of, run_rack});
-  to.push_back({kZone, "a zone is lost and back", memory_of, run_zone});
-  to.push_back({kRegion, "a region is cut from discovery for a shortened hour and back", memory_of,
-                run_region});
-  to.push_back({kControl, "a control machine is lost and back", memory_of, run_control});
+void add_events(std::vector<Scenario>& scenarios) {
+  scenarios.push_back(
+      {kRestarts, "a tenth of the gateways restart at once", memory_of, run_restarts});
+  scenarios.push_back({kRack, "a rack is lost and back", memory_of, run_rack});
+  scenarios.push_back({kZone, "a zone is lost and back", memory_of, run_zone});
+  scenarios.push_back({kRegion, "a region is cut from discovery for a shortened hour and back",
+                       memory_of, run_region});
+  scenarios.push_back({kControl, "a control machine is lost and back", memory_of, run_control});
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -436,45 +436,45 @@
 
 }  // namespace
 
-void add_fleet_slopes(std::vector<Scenario>& to) {
-  to.push_back(
+void add_fleet_slopes(std::vector<Scenario>& scenarios) {
+  scenarios.push_back(
       {kWatchers, "heartbeats, a change to each watcher, and how long until it is in force",
        [](const Options& o) {
          const std::size_t n = watchers_gateways(o);
          return require_descriptors(fleet_memory(double(n), double(watchers_servers(o))), n, false);
        },
        watchers});
-  to.push_back(
+  scenarios.push_back(
       {kChanges, "the target's day at several paces: bytes, agent and gateway by changes a second",
        [](const Options& o) {
          const std::size_t n = changes_gateways(o);
          return require_descriptors(fleet_memory(double(n), double(changes_servers(o))), n, false);
        },
        changes});
-  to.push_back({kLists, "a whole list to each of a few gateways, by listed servers",
-                [](const Options& o) {
-                  const std::size_t n = lists_gateways(o);
-                  return require_descriptors(fleet_memory(double(n), double(lists_servers(o))), n,
-                                             false);
-                },
-                lists});
-  to.push_back({kCalls,
-                "requests a second at each gateway: calls, their bytes, counter and gateway",
-                [](const Options& o) {
-                  const std::size_t n = calls_gateways(o);
-                  return require_descriptors(fleet_memory(double(n), double(calls_servers(o)), 600),
-                                             n, true);
-                },
-                calls});
-  to.push_back({kNames, "the counter by live names",
-                [](const Options& o) { return std::uint64_t(double(most_names(o)) * 400 + 20e6); },
-                names});
-  to.push_back({kTenants, "memory and processor time of a hollow gateway by tenants met",
-                [](const Options& o) {
-                  return fleet_memory(double(kTenantGateways), double(tenants_servers(o)),
-                                      double(most_tenants(o)));
-                },
-                tenants});
+  scenarios.push_back({kLists, "a whole list to each of a few gateways, by listed servers",
+                       [](const Options& o) {
+                         const std::size_t n = lists_gateways(o);
+                         return require_descriptors(
+                             fleet_memory(double(n), double(lists_servers(o))), n, false);
+                       },
+                       lists});
+  scenarios.push_back({kCalls,
+                       "requests a second at each gateway: calls, their bytes, counter and gateway",
+                       [](const Options& o) {
+                         const std::size_t n = calls_gateways(o);
+                         return require_descriptors(
+                             fleet_memory(double(n), double(calls_servers(o)), 600), n, true);
+                       },
+                       calls});
+  scenarios.push_back(
+      {kNames, "the counter by live names",
+       [](const Options& o) { return std::uint64_t(double(most_names(o)) * 400 + 20e6); }, names});
+  scenarios.push_back({kTenants, "memory and processor time of a hollow gateway by tenants met",
+                       [](const Options& o) {
+                         return fleet_memory(double(kTenantGateways), double(tenants_servers(o)),
+                                             double(most_tenants(o)));
+                       },
+                       tenants});
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -500,25 +500,26 @@
 
 }  // namespace
 
-void add_module_slopes(std::vector<Scenario>& to) {
-  to.push_back({"module.request", "a request in the module, by listed servers, idle and full",
-                server_memory, requests});
-  to.push_back(
+void add_module_slopes(std::vector<Scenario>& scenarios) {
+  scenarios.push_back({"module.request",
+                       "a request in the module, by listed servers, idle and full", server_memory,
+                       requests});
+  scenarios.push_back(
       {"module.change", "a change of one server, by listed servers", server_memory, changes});
-  to.push_back({"module.burst", "a zone's servers change in slices, by listed servers",
-                server_memory, bursts});
-  to.push_back(
+  scenarios.push_back({"module.burst", "a zone's servers change in slices, by listed servers",
+                       server_memory, bursts});
+  scenarios.push_back(
       {"module.list", "a whole list and its memory, by listed servers", server_memory, lists});
-  to.push_back({"module.classes", "memory and a change of the settings, by classes",
-                [](const Options& o) {
-                  return bytes(kBaseBytes + kClassBytes * double(class_sizes(o).back()));
-                },
-                classes});
-  to.push_back({"module.tenants", "memory by tenants met",
-                [](const Options& o) {
-                  return bytes(kBaseBytes + kTenantBytes * double(tenant_sizes(o).back()));
-                },
-                tenants});
+  scenarios.push_back({"module.classes", "memory and a change of the settings, by classes",
+                       [](const Options& o) {
+                         return bytes(kBaseBytes + kClassBytes * double(class_sizes(o).back()));
+                       },
+                       classes});
+  scenarios.push_back({"module.tenants", "memory by tenants met",
+                       [](const Options& o) {
+                         return bytes(kBaseBytes + kTenantBytes * double(tenant_sizes(o).back()));
+                       },
+                       tenants});
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/process_slopes.cpp
+++ b/scale/process_slopes.cpp
@@ -839,11 +839,11 @@
 
 }  // namespace
 
-void add_process_slopes(std::vector<Scenario>& to) {
-  const auto add = [&to](const std::string& name, const char* what,
-                         std::function<std::uint64_t(const Options&)> memory,
-                         void (*run)(const Options&, Report&)) {
-    to.push_back({name, what, std::move(memory), with_gateway(name, run)});
+void add_process_slopes(std::vector<Scenario>& scenarios) {
+  const auto add = [&scenarios](const std::string& name, const char* what,
+                                std::function<std::uint64_t(const Options&)> memory,
+                                void (*run)(const Options&, Report&)) {
+    scenarios.push_back({name, what, std::move(memory), with_gateway(name, run)});
   };
   add("process.known", "a gateway that starts with a list: time, memory, changes, SIGHUP",
       server_memory, known_lists);
--- a/scale/scenario.hpp
+++ b/scale/scenario.hpp
@@ -63,12 +63,12 @@
 // Each appends the scenarios of one file.
 
 // The decision module alone.
-void add_module_slopes(std::vector<Scenario>& to);
+void add_module_slopes(std::vector<Scenario>& scenarios);
 // Real gateway processes against fakes.
-void add_process_slopes(std::vector<Scenario>& to);
+void add_process_slopes(std::vector<Scenario>& scenarios);
 // Simulated gateways against fakes.
-void add_fleet_slopes(std::vector<Scenario>& to);
+void add_fleet_slopes(std::vector<Scenario>& scenarios);
 // What happens to a fleet of simulated gateways.
-void add_events(std::vector<Scenario>& to);
+void add_events(std::vector<Scenario>& scenarios);
 
 }  // namespace quota_gateway::scale
--- /dev/null
+++ b/tests/scale/day_test.cpp
@@ -0,0 +1,111 @@
+// The day that is drawn, and where servers are.
+#include "day.hpp"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cmath>
+#include <cstddef>
+#include <map>
+#include <utility>
+#include <vector>
+
+#include "layout.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+// Whether a count fits a Poisson distribution of that mean, within five standard deviations.
+bool fits_mean(std::size_t count, double mean) {
+  return std::abs(double(count) - mean) < 5 * std::sqrt(mean);
+}
+
+bool changes_server(const Disturbance& disturbance) {
+  return disturbance.cause != Cause::kRegion && disturbance.cause != Cause::kConfiguration;
+}
+
+// What a server's change must follow.
+Change change_before(const Disturbance& disturbance) {
+  if (disturbance.change == Change::kUp) {
+    return Change::kGone;
+  }
+  if (disturbance.change == Change::kGone && disturbance.cause == Cause::kRestart) {
+    return Change::kDraining;
+  }
+  return Change::kUp;
+}
+
+TEST(DayTest, HasTheTargetsCountsInOrder) {
+  const Target target;
+  const Layout layout = Layout::with_zones_of(target, target.servers, target.gateways);
+  const auto day = draw_day(layout, {.seed = 3});
+  ASSERT_TRUE(std::is_sorted(
+      day.begin(), day.end(),
+      [](const Disturbance& left, const Disturbance& right) { return left.at < right.at; }));
+  std::map<std::pair<Cause, Change>, std::size_t> counts;
+  for (const Disturbance& disturbance : day) {
+    ++counts[{disturbance.cause, disturbance.change}];
+  }
+  const std::size_t restarts = counts[{Cause::kRestart, Change::kDraining}];
+  EXPECT_TRUE(fits_mean(restarts, target.restarts_per_day));
+  EXPECT_EQ((counts[{Cause::kRestart, Change::kGone}]), restarts);
+  EXPECT_EQ((counts[{Cause::kRestart, Change::kUp}]), restarts);
+  EXPECT_TRUE(fits_mean(counts[{Cause::kConfiguration, Change::kSettingsChanged}],
+                        target.config_changes_per_day));
+  // Machines hold several servers each, of which some may be away already.
+  const std::size_t lost_with_machine = counts[{Cause::kMachine, Change::kGone}];
+  EXPECT_TRUE(fits_mean(lost_with_machine / kServersPerMachine, target.failures_per_day))
+      << lost_with_machine;
+  EXPECT_EQ(lost_with_machine, (counts[{Cause::kMachine, Change::kUp}]));
+}
+
+TEST(DayTest, DependsOnTheSeedAndScalesWithServersAndCompression) {
+  const Layout layout = Layout::with_zones_of(Target{}, 17'000, 740);
+  const auto day = draw_day(layout, {.seed = 3, .compression = 60});
+  EXPECT_EQ(day, draw_day(layout, {.seed = 3, .compression = 60}));
+  EXPECT_NE(day, draw_day(layout, {.seed = 4, .compression = 60}));
+  const auto restarts = std::count_if(day.begin(), day.end(), [](const Disturbance& disturbance) {
+    return disturbance.cause == Cause::kRestart && disturbance.change == Change::kUp;
+  });
+  // A tenth of the servers, all day long.
+  EXPECT_NEAR(double(restarts), 1400, 5 * std::sqrt(1400.0));
+  EXPECT_LT(day.back().at, Micros(30 * 3600e6 / 60));
+}
+
+TEST(DayTest, EachServersChangesFitTogether) {
+  const Layout layout = Layout::with_zones_of(Target{}, 2'000, 20);
+  // Many times the target's rates, so that causes meet.
+  const auto day = draw_day(layout, {.seed = 5, .target_rate_fraction = 1});
+  std::vector<Change> last_changes(layout.servers, Change::kUp);
+  for (const Disturbance& disturbance : day) {
+    if (!changes_server(disturbance)) {
+      continue;
+    }
+    Change& last_change = last_changes.at(disturbance.subject);
+    EXPECT_EQ(last_change, change_before(disturbance));
+    last_change = disturbance.change;
+  }
+  EXPECT_TRUE(std::all_of(last_changes.begin(), last_changes.end(),
+                          [](Change change) { return change == Change::kUp; }));
+}
+
+TEST(LayoutTest, ServersAreSpreadEvenly) {
+  const Layout layout = Layout::with_zones_of(Target{}, 170'000, 7'400);
+  std::map<std::size_t, std::size_t> servers_by_zone;
+  std::map<std::size_t, std::size_t> servers_by_rack;
+  for (std::size_t server = 0; server < layout.servers; ++server) {
+    ++servers_by_zone[layout.zone(server)];
+    ++servers_by_rack[layout.rack(server)];
+  }
+  ASSERT_EQ(servers_by_zone.size(), 7U);
+  EXPECT_EQ(servers_by_rack.size(), layout.racks());
+  for (const auto& [zone, servers] : servers_by_zone) {
+    EXPECT_NEAR(double(servers), 170'000 / 7.0, 1);
+  }
+  for (const auto& [rack, servers] : servers_by_rack) {
+    EXPECT_LE(servers, kServersPerRack);
+  }
+}
+
+}  // namespace
+}  // namespace quota_gateway::scale
