--- a/scale/events.cpp
+++ b/scale/events.cpp
@@ -2,21 +2,17 @@
 // machine are lost and return. Each scenario measures bytes, processor time, memory, how long until
 // all gateways have converged, whether one was without a list meanwhile, and how requests to
 // discovery bunch together.
-#include <algorithm>
 #include <array>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <stdexcept>
 #include <string>
-#include <utility>
 #include <vector>
 
-#include "clocks.hpp"
 #include "day.hpp"
+#include "event_measurement.hpp"
 #include "fleet_scenario.hpp"
-#include "process_resources.hpp"
 #include "report.hpp"
 #include "scenario.hpp"
 #include "test_fleet.hpp"
@@ -24,17 +20,11 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr Micros kMicrosInSecond = 1'000'000;
+constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMicrosPerMilli = 1e3;
-constexpr double kBytesPerMegabyte = 1e6;
 
-// In which a fleet converges after an event, or the report says that it has not.
-constexpr Micros kEventTimeout = 30'000'000;
 // At each gateway during an event; what is served shows that it works.
 constexpr double kRequestsPerS = 2;
-// The mean of requests to discovery is taken over so many seconds, or over the event if it lasts
-// longer.
-constexpr double kMinMeanWindowS = 10;
 // Gateways that restart together are one of these.
 constexpr std::size_t kGroups = 10;
 constexpr double kTenantsPerGateway = 100;
@@ -65,131 +55,6 @@
   return fleet;
 }
 
-// Measures one event, from its construction just before the event until all gateways have
-// converged.
-class EventMeasurement {
- public:
-  EventMeasurement(TestFleet& fleet, Report& report, std::string scenario,
-                   std::map<std::string, double> sizes)
-      : fleet_(fleet),
-        report_(report),
-        scenario_(std::move(scenario)),
-        sizes_(std::move(sizes)),
-        usage_before_(fleet.usage()),
-        state_before_(fleet.fleet().state()),
-        memory_before_(allocated_bytes()),
-        peak_memory_(memory_before_),
-        started_at_(steady_now()) {
-    sizes_["gateways"] = double(fleet.layout().gateways);
-  }
-
-  // Waits until all gateways have converged, kEventTimeout at most, and reports what it took. The
-  // figures' names begin with `name`.
-  void finish(const std::string& name) {
-    const std::size_t gateways = fleet_.layout().gateways;
-    std::size_t least_with_list = gateways;
-    FleetState last_state;
-    const bool converged = fleet_.fleet().wait_until(
-        [&](const FleetState& state) {
-          peak_memory_ = std::max(peak_memory_, allocated_bytes());
-          least_with_list = std::min(least_with_list, state.with_list);
-          last_state = state;
-          return state.converged == gateways;
-        },
-        kEventTimeout);
-    const FleetUsage usage = fleet_.usage().since(usage_before_);
-    report_convergence(name, converged, last_state);
-    report_usage(name, usage);
-    report_lists(name, usage, last_state, least_with_list);
-    report_requests(name, usage);
-  }
-
-  void add_figure(const std::string& name, double value, const std::string& unit) {
-    report_.add({scenario_, name, sizes_, value, unit});
-  }
-
- private:
-  void report_convergence(const std::string& name, bool converged, const FleetState& state) {
-    if (converged) {
-      const Micros took = std::max<Micros>(0, state.last_converged_at - started_at_);
-      add_figure(name + ".until_right", double(took) / kMicrosPerMilli, "ms");
-      return;
-    }
-    const std::size_t gateways = fleet_.layout().gateways;
-    const Micros timeout_s = kEventTimeout / kMicrosInSecond;
-    report_.note(scenario_, name + ": only " + std::to_string(state.converged) + " of " +
-                                std::to_string(gateways) + " gateways right after " +
-                                std::to_string(timeout_s) + " s");
-  }
-
-  void report_usage(const std::string& name, const FleetUsage& usage) {
-    const auto gateways = double(fleet_.layout().gateways);
-    add_figure(name + ".bytes", double(usage.discovery.traffic.sent) / gateways, "bytes/gateway");
-    add_figure(name + ".agents_cpu", double(usage.agents_cpu) / kMicrosPerMilli, "ms");
-    add_figure(name + ".gateways_cpu", double(usage.gateways_cpu) / gateways / kMicrosPerMilli,
-               "ms/gateway");
-    add_figure(name + ".module_cpu", double(usage.module_cpu) / gateways / kMicrosPerMilli,
-               "ms/gateway");
-    const double more_memory = double(peak_memory_) - double(memory_before_);
-    add_figure(name + ".memory_more", more_memory / kBytesPerMegabyte, "MB");
-  }
-
-  void report_lists(const std::string& name, const FleetUsage& usage, const FleetState& state,
-                    std::size_t least_with_list) {
-    const std::size_t gateways = fleet_.layout().gateways;
-    add_figure(name + ".whole_lists", double(usage.discovery.full_lists), "lists");
-    if (usage.discovery.full_lists > gateways) {
-      report_.note(scenario_,
-                   name +
-                       ": more whole lists than gateways: hollow gateways share a processor, and "
-                       "a list that does not come in its time is asked for again");
-    }
-    add_figure(name + ".differences", double(usage.discovery.partial_lists), "lists");
-    // Since the fleet began. Gateways that restart are not among them: they begin without a list.
-    add_figure(name + ".were_without_list", double(state.lost_list), "gateways");
-    add_figure(name + ".least_with_list", double(least_with_list), "gateways");
-    add_figure(name + ".failed", double(state.failed - state_before_.failed), "requests");
-    add_figure(name + ".log_lines", double(fleet_.log_lines()) / double(gateways), "lines/gateway");
-  }
-
-  // Requests to discovery: all, those of the highest second, and that second over the mean.
-  void report_requests(const std::string& name, const FleetUsage& usage) {
-    double highest = 0;
-    double sum = 0;
-    const auto& by_second = usage.discovery.requests_by_second;
-    const Micros first_second = started_at_ / kMicrosInSecond;
-    for (auto it = by_second.lower_bound(first_second); it != by_second.end(); ++it) {
-      const double requests = double(it->second) - requests_before(it->first);
-      highest = std::max(highest, requests);
-      sum += requests;
-    }
-    add_figure(name + ".asks", sum, "asks");
-    if (sum == 0) {
-      return;
-    }
-    const double mean = sum / std::max(kMinMeanWindowS, usage.seconds());
-    add_figure(name + ".asks_highest_second", highest, "asks");
-    add_figure(name + ".asks_highest_over_mean", highest / mean, "times");
-  }
-
-  // Requests of the second that came before the event, and not because of it.
-  double requests_before(Micros second) const {
-    const auto& by_second = usage_before_.discovery.requests_by_second;
-    const auto found = by_second.find(second);
-    return found == by_second.end() ? 0 : double(found->second);
-  }
-
-  TestFleet& fleet_;
-  Report& report_;
-  const std::string scenario_;
-  std::map<std::string, double> sizes_;
-  const FleetUsage usage_before_;
-  const FleetState state_before_;
-  const std::uint64_t memory_before_;
-  std::uint64_t peak_memory_;
-  const Micros started_at_;
-};
-
 // Publishes a change of each of the first servers, so that there is something to catch up with.
 void drain_servers(TestFleet& fleet, std::size_t servers) {
   for (std::size_t server = 0; server < servers; ++server) {
@@ -304,7 +169,7 @@
   TestFleet fleet(event_fleet_options(options, true));
   start_and_converge(fleet);
   const auto hour = draw_region_hour(options, fleet.layout());
-  const auto length = Micros(kRegionCutS * double(kMicrosInSecond) / region_compression(options));
+  const auto length = Micros(kRegionCutS * kMicrosPerSecond / region_compression(options));
   const FleetUsage before = fleet.usage();
   fleet.with_agent(kCutAgent, [](FakeDiscovery& agent) { agent.set_silent(true); });
   const std::size_t changes = fleet.replay(hour, length, kReplayStep);
--- a/scale/fleet_usage.cpp
+++ b/scale/fleet_usage.cpp
@@ -1,6 +1,5 @@
 #include "fleet_usage.hpp"
 
-#include <cstdint>
 #include <functional>
 
 namespace quota_gateway::scale {
@@ -44,13 +43,13 @@
   difference.counter_cpu -= before.counter_cpu;
   difference.gateways_cpu -= before.gateways_cpu;
   difference.module_cpu -= before.module_cpu;
-  combine(difference.discovery, before.discovery, std::minus<std::uint64_t>());
-  combine(difference.counter, before.counter, std::minus<std::uint64_t>());
+  combine(difference.discovery, before.discovery, std::minus<>());
+  combine(difference.counter, before.counter, std::minus<>());
   return difference;
 }
 
 void FleetUsage::add_agent(const FakeDiscovery::Counts& counts, Micros cpu_time) {
-  combine(discovery, counts, std::plus<std::uint64_t>());
+  combine(discovery, counts, std::plus<>());
   for (const auto& [second, requests] : counts.requests_by_second) {
     discovery.requests_by_second[second] += requests;
   }
--- a/scale/layout.cpp
+++ b/scale/layout.cpp
@@ -28,7 +28,9 @@
 }
 
 std::string zone_name(std::size_t zone) {
-  return std::string(1, char('a' + zone % kLetters));
+  std::string name;
+  name += char('a' + zone % kLetters);
+  return name;
 }
 
 }  // namespace quota_gateway::scale
