--- a/scale/simulated_gateway.cpp
+++ b/scale/simulated_gateway.cpp
@@ -43,7 +43,7 @@
   if (options.counter) {
     counter_ = std::make_shared<net::CounterClient>(
         io, timers_, clock_, *options.counter, options.settings.counter_timeout,
-        kCounterConnectTimeout, [this](CounterReply reply) { on_counter_reply(std::move(reply)); });
+        kCounterConnectTimeout, [this](const CounterReply& reply) { on_counter_reply(reply); });
     counter_->start();
   }
   discovery_.start();
@@ -144,14 +144,14 @@
   push(std::move(completed));
 }
 
-void SimulatedGateway::on_counter_reply(CounterReply reply) {
+void SimulatedGateway::on_counter_reply(const CounterReply& reply) {
   if (reply.outcome == CounterOutcome::kNotAdded) {
     ++totals_.counter_calls_not_added;
   }
   if (reply.outcome == CounterOutcome::kUnknown) {
     ++totals_.counter_calls_unknown;
   }
-  push(std::move(reply));
+  push(reply);
 }
 
 // The events of one turn of the loop are handed over together.
@@ -174,7 +174,7 @@
   totals_.module_cpu_time += thread_cpu_time() - cpu_time_before;
   check_lists_in_force();
   for (const Action& action : actions) {
-    std::visit([this](const auto& alternative) { perform(alternative); }, action);
+    std::visit([&](const auto& alternative) { perform(alternative); }, action);
   }
 }
 
--- a/scale/simulated_gateway.hpp
+++ b/scale/simulated_gateway.hpp
@@ -55,7 +55,7 @@
   void on_request_due();
   void end_attempt(const std::string& id, int attempt, const std::string& server, Outcome outcome,
                    Micros duration);
-  void on_counter_reply(CounterReply reply);
+  void on_counter_reply(const CounterReply& reply);
 
   void push(Event event);
   void handle_events();
