--- /dev/null
+++ b/scale/figure_recorder.cpp
@@ -0,0 +1,21 @@
+#include "figure_recorder.hpp"
+
+namespace quota_gateway::scale {
+
+void FigureRecorder::add(const std::string& name, const MeasuredAt& at, double value,
+                         const std::string& unit) const {
+  report_->add({scenario_, name, at, value, unit});
+}
+
+void FigureRecorder::note(const std::string& text) const {
+  report_->note(scenario_, text);
+}
+
+void FigureRecorder::fit(std::initializer_list<const char*> names, const std::string& size_name,
+                         double target) const {
+  for (const char* name : names) {
+    report_->fit(scenario_, name, size_name, target);
+  }
+}
+
+}  // namespace quota_gateway::scale
--- a/scale/module_slopes.cpp
+++ b/scale/module_slopes.cpp
@@ -10,9 +10,12 @@
 #include <unordered_map>
 #include <utility>
 
+#include "figure_recorder.hpp"
 #include "measure.hpp"
 #include "quota_gateway/gateway.hpp"
 #include "report.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
 
 namespace quota_gateway::scale {
 namespace {
@@ -101,7 +104,7 @@
   double tell(const Event& event) {
     const std::vector<Event> events{event};
     actions_.clear();
-    const double us = cpu_us_of([&] { gateway_.handle(now_, events, actions_); });
+    const double us = thread_cpu_us_of([&] { gateway_.handle(now_, events, actions_); });
     for (const Action& a : actions_) {
       std::visit([this](const auto& x) { on(x); }, a);
     }
@@ -249,7 +252,7 @@
   return {200, 2'000, 20'000, 200'000};
 }
 std::uint64_t server_memory(const Options& o) {
-  return bytes(kBaseBytes + kServerBytes * double(server_sizes(o).back()));
+  return to_bytes(kBaseBytes + kServerBytes * double(server_counts(o).back()));
 }
 
 Bench listed(const Options& o, std::size_t servers, std::size_t gateways) {
@@ -269,8 +272,8 @@
   return std::max<Micros>(1, Micros(double(kS) / rate));
 }
 
-void request_point(const Options& o, Teller tell, std::size_t servers, std::size_t gateways,
-                   bool full, const Bound& bound) {
+void request_point(const Options& o, FigureRecorder tell, std::size_t servers, std::size_t gateways,
+                   bool full, const TimeBudget& bound) {
   const double most_us = o.small ? 0.3e6 : 3e6;  // of one point
   const std::size_t most = o.small ? 200 : 2'000;
   const std::size_t least = 10;
@@ -299,7 +302,7 @@
   const std::size_t held = bench.held();
   std::vector<double> arrivals;
   const auto goes_on = [&] { return arrivals.size() < least || bench.all_us() - before < most_us; };
-  while (arrivals.size() < most && goes_on() && !bound.over()) {
+  while (arrivals.size() < most && goes_on() && !bound.is_exhausted()) {
     arrivals.push_back(next(most_us));
   }
   const std::map<std::string, double> at = {
@@ -323,25 +326,27 @@
 }
 
 void requests(const Options& o, Report& report) {
-  const Bound bound(o, 240);
-  const Teller tell{report, "module.request"};
+  const TimeBudget bound(o, 240);
+  const FigureRecorder tell(report, "module.request");
   // The first point would else pay for caches and a clock rate that the others find warm.
   Report unheard(nullptr);
-  request_point(o, {unheard, ""}, server_sizes(o).front(), gateway_sizes(o).front(), false, bound);
+  request_point(o, {unheard, ""}, server_counts(o).front(), gateway_sizes(o).front(), false, bound);
   for (const std::size_t gateways : gateway_sizes(o)) {
-    for (const std::size_t servers : server_sizes(o)) {
+    for (const std::size_t servers : server_counts(o)) {
       for (const bool full : {false, true}) {
-        if (!bound.over()) {
+        if (!bound.is_exhausted()) {
           request_point(o, tell, servers, gateways, full, bound);
         }
       }
     }
   }
-  Teller(tell).fit({"arrival", "arrival_p99", "request", "look"}, "servers", Target{}.servers);
+  FigureRecorder(tell).fit({"arrival", "arrival_p99", "request", "look"}, "servers",
+                           Target{}.servers);
 }
 
 // One server changes, and then a request comes: what a change puts off must show as well.
-void change_point(const Options& o, Teller tell, std::size_t servers, const Bound& bound) {
+void change_point(const Options& o, FigureRecorder tell, std::size_t servers,
+                  const TimeBudget& bound) {
   Bench bench = listed(o, servers, most_gateways(o));
   std::mt19937_64 random(o.seed);
   const std::size_t rounds = o.small ? 10 : 100;
@@ -354,7 +359,7 @@
     us["request_after"].push_back(bench.request(random() % 176));
   };
   double spent = 0;
-  for (std::size_t i = 0; i < rounds && spent < 4e6 && !bound.over(); ++i) {
+  for (std::size_t i = 0; i < rounds && spent < 4e6 && !bound.is_exhausted(); ++i) {
     EndpointEntry e = entry(random() % servers);
     e.state = EndpointState::kDraining;
     change("change_drain", e);
@@ -377,9 +382,9 @@
 }
 
 void changes(const Options& o, Report& report) {
-  const Bound bound(o, 120);
-  Teller tell{report, "module.change"};
-  for (const std::size_t servers : server_sizes(o)) {
+  const TimeBudget bound(o, 120);
+  FigureRecorder tell(report, "module.change");
+  for (const std::size_t servers : server_counts(o)) {
     change_point(o, tell, servers, bound);
   }
   tell.fit({"change", "change_p99", "change_drain", "change_removed", "change_restarted",
@@ -389,16 +394,16 @@
 
 // A zone goes, and comes back: a seventh of the servers, in slices, with a request after each.
 void bursts(const Options& o, Report& report) {
-  const Bound bound(o, 240);
-  Teller tell{report, "module.burst"};
-  for (const std::size_t servers : server_sizes(o)) {
+  const TimeBudget bound(o, 240);
+  FigureRecorder tell(report, "module.burst");
+  for (const std::size_t servers : server_counts(o)) {
     Bench bench = listed(o, servers, most_gateways(o));
     std::vector<double> slices;
     std::vector<double> after;
     std::size_t changed = 0;
     for (const EndpointState state : {EndpointState::kRemoved, EndpointState::kUp}) {
       EndpointListUpdate slice{EndpointListUpdate::Kind::kPartial, {}};
-      for (std::size_t i = 0; i < servers && !bound.over(); ++i) {
+      for (std::size_t i = 0; i < servers && !bound.is_exhausted(); ++i) {
         if (i % kBurstPart == 0) {
           slice.entries.push_back(entry(i)), slice.entries.back().state = state;
         }
@@ -427,8 +432,8 @@
 }
 
 void lists(const Options& o, Report& report) {
-  Teller tell{report, "module.list"};
-  for (const std::size_t servers : server_sizes(o)) {
+  FigureRecorder tell(report, "module.list");
+  for (const std::size_t servers : server_counts(o)) {
     const std::map<std::string, double> at = {{"servers", double(servers)}};
     const EndpointListUpdate list = whole_list(servers);
     const double before = heap_mb();
@@ -448,10 +453,10 @@
 
 // A service's routes are classes of the settings.
 void classes(const Options& o, Report& report) {
-  const Bound bound(o, 120);
-  Teller tell{report, "module.classes"};
+  const TimeBudget bound(o, 120);
+  FigureRecorder tell(report, "module.classes");
   for (const std::size_t n : class_sizes(o)) {
-    if (bound.over()) {
+    if (bound.is_exhausted()) {
       break;
     }
     const std::map<std::string, double> at = {{"classes", double(n)}};
@@ -475,17 +480,17 @@
 }
 
 void tenants(const Options& o, Report& report) {
-  const Bound bound(o, 120);
-  Teller tell{report, "module.tenants"};
+  const TimeBudget bound(o, 120);
+  FigureRecorder tell(report, "module.tenants");
   for (const std::size_t n : tenant_sizes(o)) {
-    if (bound.over()) {
+    if (bound.is_exhausted()) {
       break;
     }
     Bench bench = listed(o, 200, most_gateways(o));
     const double before = heap_mb();
     std::vector<double> arrivals;
     // All within a second of the bench's time: a tenant that is silent for long is forgotten.
-    for (std::size_t i = 0; i < n && !bound.over(); ++i) {
+    for (std::size_t i = 0; i < n && !bound.is_exhausted(); ++i) {
       arrivals.push_back(bench.request(i));
       bench.run(bench.now() + std::max<Micros>(1, kS / Micros(n)));
     }
@@ -511,12 +516,12 @@
       {"module.list", "a whole list and its memory, by listed servers", server_memory, lists});
   to.push_back({"module.classes", "memory and a change of the settings, by classes",
                 [](const Options& o) {
-                  return bytes(kBaseBytes + kClassBytes * double(class_sizes(o).back()));
+                  return to_bytes(kBaseBytes + kClassBytes * double(class_sizes(o).back()));
                 },
                 classes});
   to.push_back({"module.tenants", "memory by tenants met",
                 [](const Options& o) {
-                  return bytes(kBaseBytes + kTenantBytes * double(tenant_sizes(o).back()));
+                  return to_bytes(kBaseBytes + kTenantBytes * double(tenant_sizes(o).back()));
                 },
                 tenants});
 }
--- /dev/null
+++ b/scale/process/endless_list_slope.cpp
@@ -0,0 +1,68 @@
+#include <algorithm>
+#include <cmath>
+
+#include "figure_recorder.hpp"
+#include "process/endless_list_agent.hpp"
+#include "process/gateway_environment.hpp"
+#include "process/gateway_process.hpp"
+#include "process/polling.hpp"
+#include "process/process_slopes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr std::size_t kListedServers = 3;
+constexpr double kShortestWindowS = 0.5;
+
+// What a gateway has used, at a time since its start.
+struct Usage {
+  double at_s = 0;
+  double bytes_drawn = 0;
+  double cpu_ms = 0;
+};
+
+void record_window(const FigureRecorder& recorder, const Usage& before, const Usage& after,
+                   double duration_s) {
+  const MeasuredAt at = {{"from_s", before.at_s}, {"to_s", after.at_s}};
+  recorder.add("drawn", at, (after.bytes_drawn - before.bytes_drawn) / duration_s, "bytes/s");
+  recorder.add("cpu", at, (after.cpu_ms - before.cpu_ms) / duration_s, "ms cpu/s");
+}
+
+}  // namespace
+
+void measure_endless_list(const Options& options, Report& report) {
+  const TimeBudget budget(options, options.small ? 3 : 90);
+  const FigureRecorder recorder(report, "process.endless");
+  const GatewayEnvironment environment(kListedServers);
+  Machine agent_machine;
+  const EndlessListAgent& agent = agent_machine.host<EndlessListAgent>();
+  GatewayConfigOptions config =
+      environment.gateway_config(GatewayEnvironment::StartingList::kKnown);
+  config.discovery_address = agent.host_port();
+  const GatewayProcess gateway(options.gateway_program, config);
+  Usage before;
+  // Each window is as long as all before it, because only such windows show whether the gateway's
+  // waits between requests grow.
+  for (double window_end_s = 1; !budget.is_exhausted(); window_end_s *= 2) {
+    const double window_end_ms = gateway.started_at_ms() + 1e3 * window_end_s;
+    poll_until(std::min(budget.seconds_left(), window_end_s),
+               [&] { return wall_ms() >= window_end_ms; });
+    const double now_s = (wall_ms() - gateway.started_at_ms()) / 1e3;
+    if (now_s < before.at_s + kShortestWindowS) {
+      break;
+    }
+    Usage after;
+    after.at_s = std::round(now_s);
+    after.cpu_ms = gateway.cpu_ms();
+    after.bytes_drawn = double(agent_machine.run([&] { return agent.bytes_drawn(); }));
+    record_window(recorder, before, after, now_s - before.at_s);
+    before = after;
+  }
+  const MeasuredAt at = {{"to_s", before.at_s}};
+  recorder.add("asks", at, double(agent_machine.run([&] { return agent.requests(); })), "asks");
+  recorder.add("peak", at, gateway.peak_resident_mb(), "MB");
+  recorder.add("ready", at, gateway.is_ready() ? 1 : 0, "of 1");
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/process/gateway_measurements.cpp
@@ -0,0 +1,44 @@
+#include "process/gateway_measurements.hpp"
+
+#include <utility>
+
+#include "process/polling.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kReloadTimeoutS = 60;
+constexpr Micros kObjectiveChange = 1'000;  // us
+
+}  // namespace
+
+void record_start(const FigureRecorder& recorder, const MeasuredAt& at,
+                  const GatewayProcess& gateway) {
+  gateway.wait_until_ready(kReadyTimeoutS);
+  recorder.add("ready", at, wall_ms() - gateway.started_at_ms(), "ms");
+  gateway.wait_until_idle(kIdleTimeoutS);
+  recorder.add("start", at, gateway.cpu_ms(), "ms cpu");
+  recorder.add("start_resident", at, gateway.resident_mb(), "MB");
+  recorder.add("start_peak", at, gateway.peak_resident_mb(), "MB");
+}
+
+void record_reload(const FigureRecorder& recorder, const MeasuredAt& at, GatewayProcess& gateway,
+                   GatewayConfigOptions config) {
+  gateway.reset_peak_resident();
+  const double cpu_before = gateway.cpu_ms();
+  config.last_class_objective += kObjectiveChange;
+  gateway.reload(config, kReloadTimeoutS);
+  gateway.wait_until_idle(kIdleTimeoutS);
+  recorder.add("sighup", at, gateway.cpu_ms() - cpu_before, "ms cpu");
+  recorder.add("sighup_resident", at, gateway.resident_mb(), "MB");
+  recorder.add("sighup_peak", at, gateway.peak_resident_mb(), "MB");
+}
+
+double measure_idle_cpu(const GatewayProcess& gateway, double duration_s) {
+  const double cpu_before = gateway.cpu_ms();
+  const double started_at = wall_ms();
+  sleep_ms(1e3 * duration_s);
+  return (gateway.cpu_ms() - cpu_before) / (wall_ms() - started_at) * 1e3;
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/process/known_list_slope.cpp
@@ -0,0 +1,79 @@
+#include <algorithm>
+
+#include "figure_recorder.hpp"
+#include "process/gateway_environment.hpp"
+#include "process/gateway_measurements.hpp"
+#include "process/gateway_process.hpp"
+#include "process/polling.hpp"
+#include "process/process_slopes.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kDefaultSeconds = 240;
+constexpr double kChangePauseMs = 10;
+constexpr double kLastBytesMs = 100;  // until the last change's bytes have arrived
+constexpr double kChangesDoneTimeoutS = 20;
+
+// Servers drain and come up again, one at a time.
+void change_one_by_one(GatewayEnvironment& environment, std::size_t listed, std::size_t changes) {
+  for (std::size_t i = 0; i < changes; ++i) {
+    ListedServer server = environment.listed_server(i / 2 % listed);
+    if (i % 2 == 0) {
+      server.phase = Phase::kDraining;
+    }
+    environment.change({server});
+    sleep_ms(kChangePauseMs);
+  }
+}
+
+void record_changes(const Options& options, const FigureRecorder& recorder,
+                    GatewayEnvironment& environment, const GatewayProcess& gateway,
+                    std::size_t listed) {
+  const MeasuredAt at = {{"servers", double(listed)}};
+  const std::size_t changes = options.small ? 10 : 40;
+  const double idle_cpu = measure_idle_cpu(gateway, options.small ? 0.2 : 2);
+  recorder.add("idle", at, idle_cpu, "ms cpu/s");
+  const auto counts_before = environment.discovery_counts();
+  const double cpu_before = gateway.cpu_ms();
+  const double started_at = wall_ms();
+  change_one_by_one(environment, listed, changes);
+  sleep_ms(kLastBytesMs);
+  gateway.wait_until_idle(kChangesDoneTimeoutS);
+  const double idle_share = idle_cpu * (wall_ms() - started_at) / 1e3;
+  const double cpu = gateway.cpu_ms() - cpu_before - idle_share;
+  const auto counts = environment.discovery_counts();
+  const auto bytes = double(counts.traffic.sent - counts_before.traffic.sent);
+  recorder.add("change", at, std::max(0.0, cpu) / double(changes), "ms cpu");
+  recorder.add("change_bytes", at, bytes / double(changes), "bytes");
+}
+
+void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed) {
+  const MeasuredAt at = {{"servers", double(listed)}};
+  GatewayEnvironment environment(listed);
+  const GatewayConfigOptions config =
+      environment.gateway_config(GatewayEnvironment::StartingList::kKnown);
+  GatewayProcess gateway(options.gateway_program, config);
+  record_start(recorder, at, gateway);
+  record_changes(options, recorder, environment, gateway, listed);
+  record_reload(recorder, at, gateway, config);
+}
+
+}  // namespace
+
+void measure_known_lists(const Options& options, Report& report) {
+  const TimeBudget budget(options, kDefaultSeconds);
+  const FigureRecorder recorder(report, "process.known");
+  for (const std::size_t listed : server_counts(options)) {
+    if (!budget.is_exhausted()) {
+      measure_point(options, recorder, listed);
+    }
+  }
+  recorder.fit({"ready", "start", "start_resident", "start_peak", "idle", "change", "change_bytes",
+                "sighup", "sighup_resident", "sighup_peak"},
+               "servers", double(Target{}.servers));
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/process/polling.cpp
@@ -0,0 +1,34 @@
+#include "process/polling.hpp"
+
+#include <chrono>
+#include <thread>
+
+#include "standins.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kPollMs = 2;
+
+}  // namespace
+
+void sleep_ms(double duration_ms) {
+  std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(duration_ms));
+}
+
+double wall_ms() {
+  return double(steady_now()) / 1e3;
+}
+
+bool poll_until(double timeout_s, const std::function<bool()>& condition) {
+  const double end_ms = wall_ms() + 1e3 * timeout_s;
+  while (!condition()) {
+    if (wall_ms() > end_ms) {
+      return false;
+    }
+    sleep_ms(kPollMs);
+  }
+  return true;
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/process/pushed_list_slope.cpp
@@ -0,0 +1,62 @@
+#include <string>
+
+#include "figure_recorder.hpp"
+#include "process/gateway_environment.hpp"
+#include "process/gateway_process.hpp"
+#include "process/polling.hpp"
+#include "process/process_slopes.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kDefaultSeconds = 180;
+constexpr double kListDoneTimeoutS = 5;
+
+void record_taken(const FigureRecorder& recorder, const MeasuredAt& at,
+                  const GatewayProcess& gateway, double ready_after_ms,
+                  const DiscoveryAgent::Counts& counts) {
+  recorder.add("ready", at, ready_after_ms, "ms");
+  recorder.add("list", at, gateway.cpu_ms(), "ms cpu");
+  recorder.add("list_bytes", at, double(counts.traffic.sent), "bytes");
+  recorder.add("resident", at, gateway.resident_mb(), "MB");
+  recorder.add("peak", at, gateway.peak_resident_mb(), "MB");
+}
+
+void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed) {
+  const MeasuredAt at = {{"servers", double(listed)}};
+  GatewayEnvironment environment(listed);
+  const GatewayProcess gateway(options.gateway_program,
+                               environment.gateway_config(GatewayEnvironment::StartingList::kNone));
+  const bool list_taken = gateway.wait_until_serving(options.small ? 5 : 10);
+  const double waited_ms = wall_ms() - gateway.started_at_ms();
+  gateway.wait_until_idle(kListDoneTimeoutS);
+  const auto counts = environment.discovery_counts();
+  recorder.add("taken", at, list_taken ? 1 : 0, "of 1");
+  recorder.add("lists_sent", at, double(counts.lists), "lists");
+  if (list_taken) {
+    record_taken(recorder, at, gateway, waited_ms, counts);
+    return;
+  }
+  recorder.add("not_taken", at, gateway.cpu_ms(), "ms cpu");
+  recorder.note("a list of " + std::to_string(listed) + " servers was not taken in " +
+                std::to_string(int(waited_ms / 1e3)) + " s, and was sent " +
+                std::to_string(counts.lists) + " times");
+}
+
+}  // namespace
+
+void measure_pushed_lists(const Options& options, Report& report) {
+  const TimeBudget budget(options, kDefaultSeconds);
+  const FigureRecorder recorder(report, "process.pushed");
+  for (const std::size_t listed : server_counts(options)) {
+    if (!budget.is_exhausted()) {
+      measure_point(options, recorder, listed);
+    }
+  }
+  recorder.fit({"ready", "list", "list_bytes", "resident", "peak"}, "servers",
+               double(Target{}.servers));
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/process/request_slope.cpp
@@ -0,0 +1,133 @@
+#include <algorithm>
+#include <cmath>
+#include <functional>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "figure_recorder.hpp"
+#include "measure.hpp"
+#include "process/gateway_environment.hpp"
+#include "process/gateway_measurements.hpp"
+#include "process/gateway_process.hpp"
+#include "process/paced_client.hpp"
+#include "process/polling.hpp"
+#include "process/process_slopes.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kDefaultSeconds = 180;
+constexpr double kRequestsPerS = 257;       // the operators' requests over their gateways
+constexpr double kAnswersTimeoutS = 10;     // after the last request is due
+constexpr std::size_t kSliceEntries = 500;  // of a zone's servers, told at once
+
+// All servers of one zone drain, in slices that are spread over `duration_s`.
+void drain_zone(GatewayEnvironment& environment, std::size_t listed, double duration_s) {
+  const std::size_t zone_servers = listed / kZones;
+  const std::size_t slices =
+      std::max<std::size_t>(1, (zone_servers + kSliceEntries - 1) / kSliceEntries);
+  std::vector<ListedServer> slice;
+  for (std::size_t i = 0; i < listed; i += kZones) {
+    slice.push_back(environment.listed_server(i));
+    slice.back().phase = Phase::kDraining;
+    const bool is_last = i + kZones >= listed;
+    if (slice.size() < kSliceEntries && !is_last) {
+      continue;
+    }
+    environment.change(slice);
+    slice.clear();
+    sleep_ms(1e3 * duration_s / double(slices));
+  }
+}
+
+// A client's requests for `duration_s` while `meanwhile` runs, and what they waited beyond the
+// server's own time.
+class RequestTrial {
+ public:
+  RequestTrial(const FigureRecorder& recorder, double duration_s)
+      : recorder_(recorder),
+        duration_s_(duration_s),
+        requests_(std::size_t(kRequestsPerS * duration_s)) {}
+
+  void run(const MeasuredAt& at, const boost::asio::ip::tcp::endpoint& server,
+           const std::function<void()>& meanwhile) const {
+    Machine machine;
+    PacedClient& client =
+        machine.host<PacedClient>(PacedClientOptions{server, kRequestsPerS, requests_});
+    meanwhile();
+    poll_until(duration_s_ + kAnswersTimeoutS,
+               [&] { return machine.run([&] { return client.is_finished(); }); });
+    const auto latencies = machine.run([&] { return client.latencies_ms(); });
+    const auto failed = machine.run([&] { return client.failed(); });
+    record(at, latencies, failed);
+  }
+
+ private:
+  void record(const MeasuredAt& at, const std::vector<double>& latencies_ms,
+              std::size_t failed) const {
+    std::vector<double> added_ms;
+    added_ms.reserve(latencies_ms.size());
+    for (const double latency_ms : latencies_ms) {
+      added_ms.push_back(latency_ms - double(kServerServiceTime) / 1e3);
+    }
+    const std::size_t served = latencies_ms.size();
+    recorder_.add("added", at, median(added_ms), "ms");
+    recorder_.add("added_p99", at, p99(added_ms), "ms");
+    recorder_.add("served", at, 100.0 * double(served) / double(requests_), "%");
+    if (served < requests_) {
+      recorder_.note(std::to_string(requests_ - served) + " of " + std::to_string(requests_) +
+                     " requests were not served (" + std::to_string(failed) +
+                     " refused or failed)");
+    }
+  }
+
+  FigureRecorder recorder_;
+  double duration_s_;
+  std::size_t requests_;
+};
+
+MeasuredAt measured_at(std::size_t listed, double gateways, double changes) {
+  return {{"servers", double(listed)}, {"gateway", gateways}, {"changes", changes}};
+}
+
+void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed,
+                   double duration_s) {
+  const auto nothing = [] {};
+  const RequestTrial trial(recorder, duration_s);
+  GatewayEnvironment environment(listed);
+  // Without a gateway: how much of each figure is the client's and the servers' own.
+  trial.run(measured_at(listed, 0, 0), environment.server_address(), nothing);
+
+  const GatewayProcess gateway(
+      options.gateway_program,
+      environment.gateway_config(GatewayEnvironment::StartingList::kKnown));
+  gateway.wait_until_ready(kReadyTimeoutS);
+  gateway.wait_until_idle(kIdleTimeoutS);
+  const MeasuredAt unchanged = measured_at(listed, 1, 0);
+  const double cpu_before = gateway.cpu_ms();
+  trial.run(unchanged, gateway.endpoint(), nothing);
+  const double cpu = gateway.cpu_ms() - cpu_before;
+  recorder.add("cpu", unchanged, cpu / (kRequestsPerS * duration_s) * 1e3, "us cpu/request");
+
+  const double drained = std::ceil(double(listed) / double(kZones));
+  trial.run(measured_at(listed, 1, drained), gateway.endpoint(),
+            [&] { drain_zone(environment, listed, duration_s / 2); });
+}
+
+}  // namespace
+
+void measure_request_delays(const Options& options, Report& report) {
+  const TimeBudget budget(options, kDefaultSeconds);
+  const FigureRecorder recorder(report, "process.request");
+  const double duration_s = options.small ? 0.4 : 6;
+  for (const std::size_t listed : server_counts(options)) {
+    if (!budget.is_exhausted()) {
+      measure_point(options, recorder, listed, duration_s);
+    }
+  }
+}
+
+}  // namespace quota_gateway::scale
--- a/scale/report.cpp
+++ b/scale/report.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <cmath>
 #include <iomanip>
+#include <ios>
 #include <nlohmann/json.hpp>
 #include <ostream>
 #include <sstream>
@@ -12,167 +13,230 @@
 namespace {
 
 using nlohmann::json;
+using TableRow = std::vector<std::string>;
 
-std::string number(double value) {
-  std::ostringstream out;
-  out << std::setprecision(4) << value;
-  if (out.str().find('e') == std::string::npos) {
-    return out.str();
+constexpr int kTableDigits = 4;
+// Columns from the left that hold names; the others hold numbers and are aligned to the right.
+constexpr std::size_t kNameColumns = 3;
+
+// With four significant digits; a number that would take an exponent is rounded to a whole one, and
+// keeps the exponent only below 1.
+std::string format_number(double value) {
+  std::ostringstream shortest;
+  shortest << std::setprecision(kTableDigits) << value;
+  if (shortest.str().find('e') == std::string::npos) {
+    return shortest.str();
+  }
+  std::ostringstream text;
+  text << std::setprecision(0);
+  if (std::abs(value) >= 1) {
+    text << std::fixed << value;
+  } else {
+    text << std::scientific << value;
   }
-  out.str("");
-  out << std::fixed << std::setprecision(0) << value;
-  return std::abs(value) >= 1 ? out.str()
-                              : (out.str(""), out << std::scientific << value, out.str());
+  return text.str();
 }
 
-std::string places(const std::map<std::string, double>& at) {
+std::string format_sizes(const MeasuredAt& at) {
   std::string text;
   for (const auto& [key, value] : at) {
-    text += (text.empty() ? "" : ", ") + key + " " + number(value);
+    if (!text.empty()) {
+      text += ", ";
+    }
+    text += key + " " + format_number(value);
   }
   return text;
 }
 
-json named(const std::string& scenario, const char* kind, const std::string& name,
-           std::uint64_t seed) {
+json json_line(const std::string& scenario, const char* kind, const std::string& name,
+               std::uint64_t seed) {
   return {{"scenario", scenario}, {kind, name}, {"seed", seed}};
 }
 
-// The least-squares line through (x, y); its slope is 0 where all x are one.
-std::pair<double, double> line_through(const std::vector<std::pair<double, double>>& points) {
-  const double n = double(points.size());
-  double mx = 0;
-  double my = 0;
-  double sxx = 0;
-  double sxy = 0;
-  for (const auto& [x, y] : points) {
-    mx += x / n, my += y / n;
+struct Line {
+  double intercept = 0;
+  double slope = 0;
+};
+
+// By least squares; the slope is 0 where all sizes are one.
+Line line_through(const std::vector<Point>& points) {
+  const double count = double(points.size());
+  double mean_size = 0;
+  double mean_value = 0;
+  for (const Point& point : points) {
+    mean_size += point.size / count;
+    mean_value += point.value / count;
+  }
+  double size_variance = 0;
+  double covariance = 0;
+  for (const Point& point : points) {
+    const double size_offset = point.size - mean_size;
+    size_variance += size_offset * size_offset;
+    covariance += size_offset * (point.value - mean_value);
+  }
+  const double slope = size_variance > 0 ? covariance / size_variance : 0;
+  return {mean_value - slope * mean_size, slope};
+}
+
+std::vector<std::size_t> column_widths(const std::vector<TableRow>& rows) {
+  std::vector<std::size_t> widths(rows.front().size());
+  for (const TableRow& row : rows) {
+    for (std::size_t i = 0; i < row.size(); ++i) {
+      widths[i] = std::max(widths[i], row[i].size());
+    }
+  }
+  return widths;
+}
+
+std::string format_row(const TableRow& row, const std::vector<std::size_t>& widths) {
+  std::ostringstream text;
+  for (std::size_t i = 0; i < row.size(); ++i) {
+    text << (i > 0 ? "  " : "") << (i < kNameColumns ? std::left : std::right)
+         << std::setw(int(widths[i])) << row[i];
+  }
+  std::string line = text.str();
+  line.erase(line.find_last_not_of(' ') + 1);
+  return line;
+}
+
+// The first row is the head; a table of nothing else is left out.
+void print_table(std::ostream& out, const std::vector<TableRow>& rows) {
+  if (rows.size() < 2) {
+    return;
   }
-  for (const auto& [x, y] : points) {
-    sxx += (x - mx) * (x - mx), sxy += (x - mx) * (y - my);
+  const std::vector<std::size_t> widths = column_widths(rows);
+  for (const TableRow& row : rows) {
+    out << format_row(row, widths) << '\n';
   }
-  const double each = sxx > 0 ? sxy / sxx : 0;
-  return {my - each * mx, each};
+  out << '\n';
+}
+
+TableRow table_row(const Figure& figure) {
+  return {figure.scenario, figure.name, format_sizes(figure.at), format_number(figure.value),
+          figure.unit};
+}
+
+TableRow table_row(const Fit& fit) {
+  const std::string deviation =
+      format_number(fit.deviation) + " at " + format_number(fit.deviation_at);
+  return {fit.scenario,
+          fit.name,
+          format_sizes(fit.at),
+          fit.size_name,
+          format_number(fit.intercept),
+          format_number(fit.slope),
+          format_number(fit.target),
+          format_number(fit.target_value),
+          fit.unit,
+          format_number(fit.extrapolation) + "x",
+          deviation,
+          format_number(std::round(100 * fit.deviation_fraction)) + "%"};
 }
 
 }  // namespace
 
-Fit fit_line(const std::vector<std::pair<double, double>>& points, double target) {
+Fit fit_line(const std::vector<Point>& points, double target) {
+  const Line line = line_through(points);
   Fit fit;
   fit.points = points.size();
+  fit.intercept = line.intercept;
+  fit.slope = line.slope;
   fit.target = target;
-  std::tie(fit.fixed, fit.each) = line_through(points);
-  fit.value = fit.fixed + fit.each * target;
-  double largest = 0;
-  for (const auto& [x, y] : points) {
-    largest = std::max(largest, x);
-    const double off = y - (fit.fixed + fit.each * x);
-    if (std::abs(off) < std::abs(fit.deviation)) {
+  fit.target_value = line.intercept + line.slope * target;
+  double largest_size = 0;
+  for (const Point& point : points) {
+    largest_size = std::max(largest_size, point.size);
+    const double deviation = point.value - (line.intercept + line.slope * point.size);
+    if (std::abs(deviation) < std::abs(fit.deviation)) {
       continue;
     }
-    fit.deviation = off;
-    fit.deviation_at = x;
-    fit.deviation_share = y != 0 ? off / y : 0;
+    fit.deviation = deviation;
+    fit.deviation_at = point.size;
+    fit.deviation_fraction = point.value != 0 ? deviation / point.value : 0;
   }
-  fit.extrapolated = largest > 0 ? target / largest : 0;
+  fit.extrapolation = largest_size > 0 ? target / largest_size : 0;
   return fit;
 }
 
-void Report::line(const std::string& text) {
-  if (lines_) {
-    *lines_ << text << '\n' << std::flush;
+void Report::write_line(const std::string& text) {
+  if (lines_ == nullptr) {
+    return;
   }
+  // Flushed, so that a run that is ended has written all that it measured.
+  *lines_ << text << '\n' << std::flush;
 }
 
 void Report::add(Figure figure) {
-  json out = named(figure.scenario, "name", figure.name, seed_);
+  json out = json_line(figure.scenario, "name", figure.name, seed_);
   out["at"] = figure.at;
   out["value"] = figure.value;
   out["unit"] = figure.unit;
-  line(out.dump());
+  write_line(out.dump());
   figures_.push_back(std::move(figure));
 }
 
-void Report::fit(const std::string& scenario, const std::string& name, const std::string& by,
+void Report::fit(const std::string& scenario, const std::string& name, const std::string& size_name,
                  double target) {
-  std::map<std::map<std::string, double>, std::vector<std::pair<double, double>>> groups;
+  std::map<MeasuredAt, std::vector<Point>> points_by_other_sizes;
   std::string unit;
-  for (const Figure& f : figures_) {
-    if (f.scenario != scenario || f.name != name || !f.at.contains(by)) {
+  for (const Figure& figure : figures_) {
+    if (figure.scenario != scenario || figure.name != name || !figure.at.contains(size_name)) {
       continue;
     }
-    auto rest = f.at;
-    rest.erase(by);
-    groups[rest].emplace_back(f.at.at(by), f.value);
-    unit = f.unit;
+    MeasuredAt other_sizes = figure.at;
+    other_sizes.erase(size_name);
+    points_by_other_sizes[other_sizes].push_back({figure.at.at(size_name), figure.value});
+    unit = figure.unit;
   }
-  if (groups.empty()) {
-    note(scenario, "no figures to fit " + name + " by " + by);
+  if (points_by_other_sizes.empty()) {
+    note(scenario, "no figures to fit " + name + " by " + size_name);
   }
-  for (const auto& [rest, points] : groups) {
+  for (const auto& [other_sizes, points] : points_by_other_sizes) {
     Fit fit = fit_line(points, target);
     fit.scenario = scenario;
     fit.name = name;
-    fit.by = by;
+    fit.size_name = size_name;
     fit.unit = unit;
-    fit.at = rest;
-    json out = named(scenario, "fit", name, seed_);
-    out.update({{"by", by}, {"at", rest}, {"unit", unit}, {"points", fit.points}});
-    out.update(
-        {{"fixed", fit.fixed}, {"each", fit.each}, {"target", target}, {"value", fit.value}});
-    out.update({{"extrapolated", fit.extrapolated},
-                {"deviation", fit.deviation},
-                {"deviation_at", fit.deviation_at},
-                {"deviation_share", fit.deviation_share}});
-    line(out.dump());
+    fit.at = other_sizes;
+    write_fit(fit);
     fits_.push_back(std::move(fit));
   }
 }
 
+void Report::write_fit(const Fit& fit) {
+  json out = json_line(fit.scenario, "fit", fit.name, seed_);
+  out["by"] = fit.size_name;
+  out["at"] = fit.at;
+  out["unit"] = fit.unit;
+  out["points"] = fit.points;
+  out["fixed"] = fit.intercept;
+  out["each"] = fit.slope;
+  out["target"] = fit.target;
+  out["value"] = fit.target_value;
+  out["extrapolated"] = fit.extrapolation;
+  out["deviation"] = fit.deviation;
+  out["deviation_at"] = fit.deviation_at;
+  out["deviation_share"] = fit.deviation_fraction;
+  write_line(out.dump());
+}
+
 void Report::note(const std::string& scenario, const std::string& text) {
-  line(named(scenario, "note", text, seed_).dump());
+  write_line(json_line(scenario, "note", text, seed_).dump());
   notes_.push_back(scenario + ": " + text);
 }
 
 void Report::table(std::ostream& out) const {
-  using Row = std::vector<std::string>;
-  const auto print = [&out](const std::vector<Row>& rows) {
-    if (rows.size() < 2) {
-      return;
-    }
-    Row empty(rows[0].size());
-    std::vector<std::size_t> widths(rows[0].size());
-    for (const Row& row : rows) {
-      for (std::size_t i = 0; i < row.size(); ++i) {
-        widths[i] = std::max(widths[i], row[i].size());
-      }
-    }
-    for (const Row& row : rows) {
-      std::ostringstream text;  // names to the left, numbers to the right
-      for (std::size_t i = 0; i < row.size(); ++i) {
-        text << (i > 0 ? "  " : "") << (i < 3 ? std::left : std::right) << std::setw(int(widths[i]))
-             << row[i];
-      }
-      std::string line = text.str();
-      line.erase(line.find_last_not_of(' ') + 1);
-      out << line << '\n';
-    }
-    out << '\n';
-  };
-  std::vector<Row> rows = {{"scenario", "figure", "at", "value", "unit"}};
-  for (const Figure& f : figures_) {
-    rows.push_back({f.scenario, f.name, places(f.at), number(f.value), f.unit});
-  }
-  print(rows);
-  rows = {{"scenario", "fitted", "at", "by", "fixed", "each", "target", "there", "unit",
-           "extrapolated", "deviates", "of it"}};
-  for (const Fit& f : fits_) {
-    rows.push_back({f.scenario, f.name, places(f.at), f.by, number(f.fixed), number(f.each),
-                    number(f.target), number(f.value), f.unit, number(f.extrapolated) + "x",
-                    number(f.deviation) + " at " + number(f.deviation_at),
-                    number(std::round(100 * f.deviation_share)) + "%"});
-  }
-  print(rows);
+  std::vector<TableRow> figure_rows = {{"scenario", "figure", "at", "value", "unit"}};
+  for (const Figure& figure : figures_) {
+    figure_rows.push_back(table_row(figure));
+  }
+  print_table(out, figure_rows);
+  std::vector<TableRow> fit_rows = {{"scenario", "fitted", "at", "by", "fixed", "each", "target",
+                                     "there", "unit", "extrapolated", "deviates", "of it"}};
+  for (const Fit& fit : fits_) {
+    fit_rows.push_back(table_row(fit));
+  }
+  print_table(out, fit_rows);
   for (const std::string& note : notes_) {
     out << note << '\n';
   }
--- a/scale/report.hpp
+++ b/scale/report.hpp
@@ -1,58 +1,81 @@
-// Results: JSON lines for programs, a table for people, and lines fitted through slopes.
+// Results of a run: each figure as a JSON line for programs, all of them as a table for people, and
+// lines fitted through the figures of a slope. Owned by the program's run; scenarios add to it,
+// from its thread only.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <iosfwd>
 #include <map>
 #include <string>
-#include <utility>
 #include <vector>
 
 namespace quota_gateway::scale {
 
-// One measured figure: at which sizes, and its value with its unit ("us", "MB", "bytes/s", ...).
+// The sizes at which something was measured, by name, such as {"servers": 20000, "gateways": 7400}.
+using MeasuredAt = std::map<std::string, double>;
+
 struct Figure {
-  std::string scenario, name;
-  std::map<std::string, double> at;  // such as {"servers": 20000, "gateways": 7400}
+  std::string scenario;
+  std::string name;
+  MeasuredAt at;
+  double value = 0;
+  std::string unit;  // of the value, such as "us", "MB" or "bytes/s"
+};
+
+// A value that was measured at a size.
+struct Point {
+  double size = 0;
   double value = 0;
-  std::string unit;
 };
 
-// A line through measured points, value = fixed + each * size, and how well it holds.
+// A line through measured points, value = intercept + slope * size, and how well it holds.
 struct Fit {
-  std::string scenario, name, by, unit;
-  std::map<std::string, double> at;  // what the points have in common, but for the size
-  double fixed = 0, each = 0;
-  double target = 0, value = 0;  // a size and the line's value there
-  double extrapolated = 0;     // target over the largest size measured; at most 1: it was measured
-  double deviation = 0;        // measured less fitted, where that is largest
-  double deviation_at = 0;     // the size of that point
-  double deviation_share = 0;  // of the value measured there
+  std::string scenario;
+  std::string name;
+  std::string size_name;  // the key of MeasuredAt that the line runs along
+  std::string unit;
+  MeasuredAt at;  // what the points have in common, without the size itself
+  double intercept = 0;
+  double slope = 0;
+  double target = 0;        // a size that is asked for
+  double target_value = 0;  // the line's value there
+  // The target over the largest size measured. Up to 1, the target lies among the measured sizes.
+  double extrapolation = 0;
+  double deviation = 0;           // measured less fitted, at the point where that is largest
+  double deviation_at = 0;        // the size of that point
+  double deviation_fraction = 0;  // the deviation over the value measured there
   std::size_t points = 0;
 };
-// By least squares; no points give a line of noughts.
-Fit fit_line(const std::vector<std::pair<double, double>>& points, double target);
+
+// The line by least squares. Points of one size only give a slope of 0, no points a line of zeros.
+Fit fit_line(const std::vector<Point>& points, double target);
 
 class Report {
  public:
-  // Each figure is written to `lines` as one JSON object the moment it is known; null: nowhere.
-  // `seed` repeats the run and is told with each.
+  // Each figure, fit and note is written to `lines` as one JSON object the moment it is known; with
+  // null it is not written. `lines` must outlive the report. `seed` repeats the run and is written
+  // with each.
   explicit Report(std::ostream* lines, std::uint64_t seed = 1) : lines_(lines), seed_(seed) {}
+
   void add(Figure figure);
-  // Fits value = fixed + each * at[by] through the figures of that name by least squares; tells
-  // both, the value at the target, how far that is extrapolated, and the largest deviation of a
-  // point from the line. Figures that were taken at other values of anything else (`at` without
-  // `by`) have a line of their own.
-  void fit(const std::string& scenario, const std::string& name, const std::string& by,
+  // Fits a line over at[size_name] through the figures of that name; reports the line, its value at
+  // the target and how well it holds. Figures that differ in anything else of `at` have lines of
+  // their own. Where there are no such figures, a note says so.
+  void fit(const std::string& scenario, const std::string& name, const std::string& size_name,
            double target);
   // A sentence about the run that is no figure, such as a deviation that was seen.
   void note(const std::string& scenario, const std::string& text);
+
+  // Writes all figures, fits and notes so far as aligned tables.
   void table(std::ostream& out) const;
+
   const std::vector<Figure>& figures() const { return figures_; }
   const std::vector<Fit>& fits() const { return fits_; }
 
  private:
-  void line(const std::string& text);
+  void write_line(const std::string& text);
+  void write_fit(const Fit& fit);
 
   std::ostream* lines_;
   std::uint64_t seed_;
--- a/tests/scale/report_test.cpp
+++ b/tests/scale/report_test.cpp
@@ -26,10 +26,10 @@
 
 TEST(Fit, FindsAnExactLineAndItsValueAtTheTarget) {
   const Fit fit = fit_line({{200, 7}, {2'000, 43}, {20'000, 403}}, 170'000);
-  EXPECT_NEAR(fit.fixed, 3, 1e-9);
-  EXPECT_NEAR(fit.each, 0.02, 1e-12);
-  EXPECT_NEAR(fit.value, 3'403, 1e-6);
-  EXPECT_DOUBLE_EQ(fit.extrapolated, 8.5);
+  EXPECT_NEAR(fit.intercept, 3, 1e-9);
+  EXPECT_NEAR(fit.slope, 0.02, 1e-12);
+  EXPECT_NEAR(fit.target_value, 3'403, 1e-6);
+  EXPECT_DOUBLE_EQ(fit.extrapolation, 8.5);
   EXPECT_NEAR(fit.deviation, 0, 1e-9);
   EXPECT_EQ(fit.points, 3U);
 }
@@ -37,18 +37,18 @@
 TEST(Fit, NamesThePointThatDeviatesMostWithItsSign) {
   // By hand: means 2 and 3, slope (1 + 0 + 3) / 2; the middle point lies 2 under that line.
   const Fit fit = fit_line({{1, 2}, {2, 1}, {3, 6}}, 3);
-  EXPECT_NEAR(fit.each, 2, 1e-9);
-  EXPECT_NEAR(fit.fixed, -1, 1e-9);
+  EXPECT_NEAR(fit.slope, 2, 1e-9);
+  EXPECT_NEAR(fit.intercept, -1, 1e-9);
   EXPECT_NEAR(fit.deviation, -2, 1e-9);
   EXPECT_DOUBLE_EQ(fit.deviation_at, 2);
-  EXPECT_NEAR(fit.deviation_share, -2, 1e-9);
-  EXPECT_DOUBLE_EQ(fit.extrapolated, 1);
+  EXPECT_NEAR(fit.deviation_fraction, -2, 1e-9);
+  EXPECT_DOUBLE_EQ(fit.extrapolation, 1);
 }
 
 TEST(Fit, OnePointOrNoneIsNoSlope) {
-  EXPECT_DOUBLE_EQ(fit_line({{5, 7}}, 10).value, 7);
-  EXPECT_DOUBLE_EQ(fit_line({{5, 7}, {5, 9}}, 10).each, 0);
-  EXPECT_DOUBLE_EQ(fit_line({}, 10).value, 0);
+  EXPECT_DOUBLE_EQ(fit_line({{5, 7}}, 10).target_value, 7);
+  EXPECT_DOUBLE_EQ(fit_line({{5, 7}, {5, 9}}, 10).slope, 0);
+  EXPECT_DOUBLE_EQ(fit_line({}, 10).target_value, 0);
 }
 
 TEST(Report, EachFigureIsAJsonLineAtOnceWithTheSeed) {
@@ -74,8 +74,8 @@
   report.add({"another", "list", {{"servers", 9}}, 1e9, "ms"});
   report.fit("module.list", "list", "servers", 170'000);
   ASSERT_EQ(report.fits().size(), 2U);
-  EXPECT_NEAR(report.fits()[0].value, 170'000, 1e-3);
-  EXPECT_NEAR(report.fits()[1].value, 340'000, 1e-3);
+  EXPECT_NEAR(report.fits()[0].target_value, 170'000, 1e-3);
+  EXPECT_NEAR(report.fits()[1].target_value, 340'000, 1e-3);
   EXPECT_DOUBLE_EQ(report.fits()[1].at.at("gateways"), 7'400);
   const auto out = parsed(lines.str());
   ASSERT_EQ(out.size(), 10U);
