--- a/scale/figure_recorder.cpp
+++ b/scale/figure_recorder.cpp
@@ -2,9 +2,9 @@
 
 namespace quota_gateway::scale {
 
-void FigureRecorder::add(const std::string& name, const MeasuredAt& at, double value,
+void FigureRecorder::add(const std::string& name, const MeasuredSizes& sizes, double value,
                          const std::string& unit) const {
-  report_->add({scenario_, name, at, value, unit});
+  report_->add({scenario_, name, sizes, value, unit});
 }
 
 void FigureRecorder::note(const std::string& text) const {
--- a/scale/figure_recorder.hpp
+++ b/scale/figure_recorder.hpp
@@ -15,7 +15,7 @@
   FigureRecorder(Report& report, std::string scenario)
       : report_(&report), scenario_(std::move(scenario)) {}
 
-  void add(const std::string& name, const MeasuredAt& at, double value,
+  void add(const std::string& name, const MeasuredSizes& sizes, double value,
            const std::string& unit) const;
   void note(const std::string& text) const;
   // Fits a line through the figures of each of these names; see Report::fit.
--- a/scale/measure.cpp
+++ b/scale/measure.cpp
@@ -1,5 +1,7 @@
 #include "measure.hpp"
 
+#include <malloc.h>
+
 #include <algorithm>
 #include <cmath>
 #include <cstddef>
@@ -14,6 +16,11 @@
   return double(spent.tv_sec) * 1e6 + double(spent.tv_nsec) / 1e3;
 }
 
+double heap_in_use_mb() {
+  const struct mallinfo2 usage = ::mallinfo2();
+  return double(usage.uordblks + usage.hblkhd) / 1e6;
+}
+
 double percentile(std::vector<double> samples, double fraction) {
   if (samples.empty()) {
     return 0;
--- a/scale/measure.hpp
+++ b/scale/measure.hpp
@@ -1,4 +1,5 @@
-// What slopes are measured with: this thread's processor time, and statistics of samples. Called by
+// What slopes are measured with: this thread's processor time, the heap, and
+// statistics of samples. Called by
 // the slopes of every part; keeps no state.
 #pragma once
 
@@ -19,6 +20,9 @@
   return thread_cpu_us() - before;
 }
 
+// What this process's heap has in use, in MB of 1e6 bytes.
+double heap_in_use_mb();
+
 // The smallest sample that at least `fraction` of the samples do not exceed; 0 of no samples.
 double percentile(std::vector<double> samples, double fraction);
 double median(const std::vector<double>& samples);
--- /dev/null
+++ b/scale/module/burst_cost.cpp
@@ -0,0 +1,83 @@
+#include <numeric>
+#include <vector>
+
+#include "figure_recorder.hpp"
+#include "measure.hpp"
+#include "module/load_driver.hpp"
+#include "module/module_slopes.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kDefaultSeconds = 240;
+constexpr std::size_t kSliceEntries = 500;  // of a burst, told at once
+constexpr Micros kSliceInterval = 5 * kMillisecond;
+
+// A zone goes, and comes back: in slices, with a request after each.
+class BurstTrial {
+ public:
+  BurstTrial(const Options& options, std::size_t servers)
+      : servers_(servers),
+        driver_(driver_with_servers(options.seed, servers, most_module_gateways(options))) {}
+
+  void measure(const FigureRecorder& recorder, const TimeBudget& budget) {
+    change_zone(EndpointState::kRemoved, budget);
+    change_zone(EndpointState::kUp, budget);
+    record(recorder);
+  }
+
+ private:
+  void change_zone(EndpointState state, const TimeBudget& budget) {
+    EndpointListUpdate slice{EndpointListUpdate::Kind::kPartial, {}};
+    for (std::size_t i = 0; i < servers_ && !budget.is_exhausted(); ++i) {
+      if (i % kModuleZones == 0) {
+        slice.entries.push_back(listed_endpoint(i));
+        slice.entries.back().state = state;
+      }
+      const bool is_last = i + 1 == servers_;
+      if (slice.entries.size() == kSliceEntries || is_last) {
+        apply(slice, i % kTenants);
+        slice.entries.clear();
+      }
+    }
+  }
+
+  void apply(const EndpointListUpdate& slice, std::size_t tenant) {
+    changed_ += slice.entries.size();
+    slices_ms_.push_back(driver_.notify(slice) / 1e3);
+    requests_ms_.push_back(driver_.request(tenant) / 1e3);
+    driver_.run_until(driver_.now() + kSliceInterval);
+  }
+
+  void record(const FigureRecorder& recorder) const {
+    const MeasuredSizes sizes = {{"servers", double(servers_)}};
+    const double total_ms = std::accumulate(slices_ms_.begin(), slices_ms_.end(), 0.0);
+    recorder.add("changed", sizes, double(changed_), "servers");
+    recorder.add("slice_longest", sizes, largest(slices_ms_), "ms");
+    recorder.add("slice_median", sizes, median(slices_ms_), "ms");
+    recorder.add("all_slices", sizes, total_ms, "ms");
+    recorder.add("request_after_longest", sizes, largest(requests_ms_), "ms");
+  }
+
+  const std::size_t servers_;
+  LoadDriver driver_;
+  std::vector<double> slices_ms_;
+  std::vector<double> requests_ms_;  // each the first after a slice
+  std::size_t changed_ = 0;
+};
+
+}  // namespace
+
+void measure_module_bursts(const Options& options, Report& report) {
+  const TimeBudget budget(options, kDefaultSeconds);
+  const FigureRecorder recorder(report, "module.burst");
+  for (const std::size_t servers : server_counts(options)) {
+    BurstTrial(options, servers).measure(recorder, budget);
+  }
+  recorder.fit({"slice_longest", "all_slices", "request_after_longest"}, "servers",
+               double(Target{}.servers));
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/module/change_cost.cpp
@@ -0,0 +1,93 @@
+#include <map>
+#include <random>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "figure_recorder.hpp"
+#include "measure.hpp"
+#include "module/load_driver.hpp"
+#include "module/module_slopes.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kDefaultSeconds = 120;
+constexpr Micros kChangeInterval = 10 * kMillisecond;
+constexpr double kMostCpuUs = 4e6;  // of changes, at one point
+constexpr const char* kAllChanges = "change";
+
+// Changes single servers of a driver's list. After each comes a request, because what a change puts
+// off must show as well.
+class ChangeTrial {
+ public:
+  ChangeTrial(const Options& options, std::size_t servers)
+      : servers_(servers),
+        rounds_(options.small ? 10 : 100),
+        random_(options.seed),
+        driver_(driver_with_servers(options.seed, servers, most_module_gateways(options))) {}
+
+  void measure(const FigureRecorder& recorder, const TimeBudget& budget) {
+    for (std::size_t i = 0; i < rounds_ && changes_us_ < kMostCpuUs; ++i) {
+      if (budget.is_exhausted()) {
+        break;
+      }
+      restart_a_server();
+      change("change_new", listed_endpoint(servers_ + i));
+    }
+    record(recorder);
+  }
+
+ private:
+  void restart_a_server() {
+    EndpointEntry entry = listed_endpoint(random_() % servers_);
+    entry.state = EndpointState::kDraining;
+    change("change_drain", entry);
+    entry.state = EndpointState::kRemoved;
+    change("change_removed", entry);
+    entry.state = EndpointState::kUp;
+    entry.started_at = driver_.now();
+    change("change_restarted", entry);
+  }
+
+  void change(const std::string& kind, EndpointEntry entry) {
+    driver_.run_until(driver_.now() + kChangeInterval);
+    const double cpu_us = driver_.notify(single_change(std::move(entry)));
+    changes_us_ += cpu_us;
+    samples_us_[kind].push_back(cpu_us);
+    samples_us_[kAllChanges].push_back(cpu_us);
+    samples_us_["request_after"].push_back(driver_.request(random_() % kTenants));
+  }
+
+  void record(const FigureRecorder& recorder) {
+    const MeasuredSizes sizes = {{"servers", double(servers_)}};
+    for (const auto& [name, samples] : samples_us_) {
+      recorder.add(name, sizes, median(samples), "us");
+    }
+    recorder.add("change_p99", sizes, p99(samples_us_[kAllChanges]), "us");
+  }
+
+  const std::size_t servers_;
+  const std::size_t rounds_;
+  std::mt19937_64 random_;
+  LoadDriver driver_;
+  std::map<std::string, std::vector<double>> samples_us_;  // by the figure's name
+  double changes_us_ = 0;
+};
+
+}  // namespace
+
+void measure_module_changes(const Options& options, Report& report) {
+  const TimeBudget budget(options, kDefaultSeconds);
+  const FigureRecorder recorder(report, "module.change");
+  for (const std::size_t servers : server_counts(options)) {
+    ChangeTrial(options, servers).measure(recorder, budget);
+  }
+  recorder.fit({kAllChanges, "change_p99", "change_drain", "change_removed", "change_restarted",
+                "change_new", "request_after"},
+               "servers", double(Target{}.servers));
+}
+
+}  // namespace quota_gateway::scale
--- /dev/null
+++ b/scale/module/request_cost.cpp
@@ -0,0 +1,167 @@
+#include <algorithm>
+#include <random>
+#include <string>
+
+#include "figure_recorder.hpp"
+#include "measure.hpp"
+#include "module/load_driver.hpp"
+#include "module/module_slopes.hpp"
+#include "slope_sizes.hpp"
+#include "time_budget.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr double kDefaultSeconds = 240;
+constexpr double kRequestsPerS = 257;  // the operators' requests over their gateways
+// us of a server at capacity; an idle one takes kIdleServiceTime.
+constexpr Micros kFullServiceTime = 100 * kMillisecond;
+// After this much time at full servers as many requests are held as will be.
+constexpr Micros kSettleTime = kSecond;
+// Until the first totals of the counter and the first responses have come.
+constexpr std::size_t kWarmupRequests = 60;
+constexpr std::size_t kLeastRequests = 10;
+// A median and a 99th percentile of fewer requests are noted as such.
+constexpr std::size_t kEnoughRequests = 100;
+
+enum class ServerLoad { kIdle, kFull };
+
+struct RequestPoint {
+  std::size_t servers = 0;
+  std::size_t gateways = 0;
+  ServerLoad load = ServerLoad::kIdle;
+};
+
+// us between requests. Full: twice what the servers' share of this gateway bears, at the operators'
+// rate at least, so that requests are held. Idle: half of what that share bears at the most.
+Micros request_interval(const RequestPoint& point) {
+  const double own_servers = 2.0 * double(point.servers) / double(point.gateways);
+  const bool full = point.load == ServerLoad::kFull;
+  const double service_s = double(full ? kFullServiceTime : kIdleServiceTime) / double(kSecond);
+  const double rate = full ? std::max(kRequestsPerS, 2 * (own_servers + 2) / service_s)
+                           : std::min(kRequestsPerS, 0.5 * own_servers / service_s);
+  return std::max<Micros>(1, Micros(double(kSecond) / rate));
+}
+
+class RequestTrial {
+ public:
+  RequestTrial(const Options& options, const RequestPoint& point)
+      : point_(point),
+        cpu_budget_us_(options.small ? 0.3e6 : 3e6),
+        most_requests_(options.small ? 200 : 2'000),
+        interval_(request_interval(point)),
+        random_(options.seed),
+        driver_(driver_with_servers(options.seed, point.servers, point.gateways)) {}
+
+  void measure(const FigureRecorder& recorder, const TimeBudget& budget) {
+    for (std::size_t i = 0; i < kWarmupRequests; ++i) {
+      next_request(std::nullopt);
+    }
+    if (point_.load == ServerLoad::kFull) {
+      settle_at_full_servers();
+    }
+    const double cpu_before = driver_.cpu_us();
+    const double maintenance_before = driver_.total_maintenance_us();
+    const std::size_t held_before = driver_.held_requests();
+    send_requests(budget);
+    const double maintenance_us = driver_.total_maintenance_us() - maintenance_before;
+    requests_us_ = driver_.cpu_us() - cpu_before - maintenance_us;
+    held_ = driver_.held_requests() - held_before;
+    record(recorder);
+  }
+
+ private:
+  // Lets the time between two requests pass and sends one. Returns the us of its arrival.
+  double next_request(std::optional<double> cpu_budget_us) {
+    driver_.run_until(driver_.now() + interval_, cpu_budget_us);
+    return driver_.request(random_() % kTenants);
+  }
+
+  void settle_at_full_servers() {
+    driver_.set_service_time(kFullServiceTime);
+    const Micros end = driver_.now() + kSettleTime;
+    double budget_left_us = 3 * cpu_budget_us_;
+    while (driver_.now() < end && settled_) {
+      const double cpu_before = driver_.cpu_us();
+      next_request(budget_left_us);
+      budget_left_us -= driver_.cpu_us() - cpu_before;
+      settled_ = budget_left_us > 0;
+    }
+  }
+
+  void send_requests(const TimeBudget& budget) {
+    const double cpu_before = driver_.cpu_us();
+    while (arrivals_us_.size() < most_requests_ && !budget.is_exhausted()) {
+      const bool cpu_left = driver_.cpu_us() - cpu_before < cpu_budget_us_;
+      if (arrivals_us_.size() >= kLeastRequests && !cpu_left) {
+        return;
+      }
+      arrivals_us_.push_back(next_request(cpu_budget_us_));
+    }
+  }
+
+  void record(const FigureRecorder& recorder) const {
+    const bool full = point_.load == ServerLoad::kFull;
+    const MeasuredSizes sizes = {{"servers", double(point_.servers)},
+                                 {"gateways", double(point_.gateways)},
+                                 {"full", full ? 1.0 : 0.0}};
+    const auto requests = double(std::max<std::size_t>(1, arrivals_us_.size()));
+    recorder.add("arrival", sizes, median(arrivals_us_), "us");
+    recorder.add("arrival_p99", sizes, p99(arrivals_us_), "us");
+    recorder.add("request", sizes, requests_us_ / requests, "us");
+    recorder.add("held", sizes, 100.0 * double(held_) / requests, "%");
+    if (!full) {
+      recorder.add("look", sizes, median(driver_.maintenance_us()), "us");
+    }
+    if (arrivals_us_.size() < kEnoughRequests || !settled_) {
+      note_shortfall(recorder);
+    }
+  }
+
+  void note_shortfall(const FigureRecorder& recorder) const {
+    recorder.note("at " + std::to_string(point_.servers) + " servers, " +
+                  std::to_string(point_.gateways) + " gateways, " +
+                  (point_.load == ServerLoad::kFull ? "full" : "idle") +
+                  ": the time was up after " + std::to_string(arrivals_us_.size()) + " requests" +
+                  (settled_ ? "" : ", before as many were held as would be"));
+  }
+
+  const RequestPoint point_;
+  const double cpu_budget_us_;
+  const std::size_t most_requests_;
+  const Micros interval_;
+  std::mt19937_64 random_;
+  LoadDriver driver_;
+  bool settled_ = true;  // as many requests are held as will be
+  std::vector<double> arrivals_us_;
+  double requests_us_ = 0;  // of all events but periodic maintenance
+  std::size_t held_ = 0;
+};
+
+// Without this, the first point would pay for caches and a clock rate that the others find warm.
+void warm_up(const Options& options, const TimeBudget& budget) {
+  Report discarded(nullptr);
+  const RequestPoint point = {server_counts(options).front(),
+                              module_gateway_counts(options).front(), ServerLoad::kIdle};
+  RequestTrial(options, point).measure(FigureRecorder(discarded, ""), budget);
+}
+
+}  // namespace
+
+void measure_module_requests(const Options& options, Report& report) {
+  const TimeBudget budget(options, kDefaultSeconds);
+  const FigureRecorder recorder(report, "module.request");
+  warm_up(options, budget);
+  for (const std::size_t gateways : module_gateway_counts(options)) {
+    for (const std::size_t servers : server_counts(options)) {
+      for (const ServerLoad load : {ServerLoad::kIdle, ServerLoad::kFull}) {
+        if (!budget.is_exhausted()) {
+          RequestTrial(options, {servers, gateways, load}).measure(recorder, budget);
+        }
+      }
+    }
+  }
+  recorder.fit({"arrival", "arrival_p99", "request", "look"}, "servers", double(Target{}.servers));
+}
+
+}  // namespace quota_gateway::scale
--- a/scale/process/class_count_slope.cpp
+++ b/scale/process/class_count_slope.cpp
@@ -13,14 +13,14 @@
 constexpr std::size_t kListedServers = 200;
 
 void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t classes) {
-  const MeasuredAt at = {{"classes", double(classes)}};
+  const MeasuredSizes sizes = {{"classes", double(classes)}};
   const GatewayEnvironment environment(kListedServers);
   GatewayConfigOptions config =
       environment.gateway_config(GatewayEnvironment::StartingList::kKnown);
   config.class_count = classes;
   GatewayProcess gateway(options.gateway_program, config);
-  record_start(recorder, at, gateway);
-  record_reload(recorder, at, gateway, config);
+  record_start(recorder, sizes, gateway);
+  record_reload(recorder, sizes, gateway, config);
 }
 
 }  // namespace
--- a/scale/process/endless_list_slope.cpp
+++ b/scale/process/endless_list_slope.cpp
@@ -24,9 +24,9 @@
 
 void record_window(const FigureRecorder& recorder, const Usage& before, const Usage& after,
                    double duration_s) {
-  const MeasuredAt at = {{"from_s", before.at_s}, {"to_s", after.at_s}};
-  recorder.add("drawn", at, (after.bytes_drawn - before.bytes_drawn) / duration_s, "bytes/s");
-  recorder.add("cpu", at, (after.cpu_ms - before.cpu_ms) / duration_s, "ms cpu/s");
+  const MeasuredSizes sizes = {{"from_s", before.at_s}, {"to_s", after.at_s}};
+  recorder.add("drawn", sizes, (after.bytes_drawn - before.bytes_drawn) / duration_s, "bytes/s");
+  recorder.add("cpu", sizes, (after.cpu_ms - before.cpu_ms) / duration_s, "ms cpu/s");
 }
 
 }  // namespace
@@ -59,10 +59,10 @@
     record_window(recorder, before, after, now_s - before.at_s);
     before = after;
   }
-  const MeasuredAt at = {{"to_s", before.at_s}};
-  recorder.add("asks", at, double(agent_machine.run([&] { return agent.requests(); })), "asks");
-  recorder.add("peak", at, gateway.peak_resident_mb(), "MB");
-  recorder.add("ready", at, gateway.is_ready() ? 1 : 0, "of 1");
+  const MeasuredSizes sizes = {{"to_s", before.at_s}};
+  recorder.add("asks", sizes, double(agent_machine.run([&] { return agent.requests(); })), "asks");
+  recorder.add("peak", sizes, gateway.peak_resident_mb(), "MB");
+  recorder.add("ready", sizes, gateway.is_ready() ? 1 : 0, "of 1");
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/process/gateway_measurements.cpp
+++ b/scale/process/gateway_measurements.cpp
@@ -12,26 +12,26 @@
 
 }  // namespace
 
-void record_start(const FigureRecorder& recorder, const MeasuredAt& at,
+void record_start(const FigureRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway) {
   gateway.wait_until_ready(kReadyTimeoutS);
-  recorder.add("ready", at, wall_ms() - gateway.started_at_ms(), "ms");
+  recorder.add("ready", sizes, wall_ms() - gateway.started_at_ms(), "ms");
   gateway.wait_until_idle(kIdleTimeoutS);
-  recorder.add("start", at, gateway.cpu_ms(), "ms cpu");
-  recorder.add("start_resident", at, gateway.resident_mb(), "MB");
-  recorder.add("start_peak", at, gateway.peak_resident_mb(), "MB");
+  recorder.add("start", sizes, gateway.cpu_ms(), "ms cpu");
+  recorder.add("start_resident", sizes, gateway.resident_mb(), "MB");
+  recorder.add("start_peak", sizes, gateway.peak_resident_mb(), "MB");
 }
 
-void record_reload(const FigureRecorder& recorder, const MeasuredAt& at, GatewayProcess& gateway,
-                   GatewayConfigOptions config) {
+void record_reload(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+                   GatewayProcess& gateway, GatewayConfigOptions config) {
   gateway.reset_peak_resident();
   const double cpu_before = gateway.cpu_ms();
   config.last_class_objective += kObjectiveChange;
   gateway.reload(config, kReloadTimeoutS);
   gateway.wait_until_idle(kIdleTimeoutS);
-  recorder.add("sighup", at, gateway.cpu_ms() - cpu_before, "ms cpu");
-  recorder.add("sighup_resident", at, gateway.resident_mb(), "MB");
-  recorder.add("sighup_peak", at, gateway.peak_resident_mb(), "MB");
+  recorder.add("sighup", sizes, gateway.cpu_ms() - cpu_before, "ms cpu");
+  recorder.add("sighup_resident", sizes, gateway.resident_mb(), "MB");
+  recorder.add("sighup_peak", sizes, gateway.peak_resident_mb(), "MB");
 }
 
 double measure_idle_cpu(const GatewayProcess& gateway, double duration_s) {
--- a/scale/process/gateway_measurements.hpp
+++ b/scale/process/gateway_measurements.hpp
@@ -14,13 +14,13 @@
 
 // Waits until the gateway is ready and idle, and adds what its start took. Throws
 // GatewayProcessError.
-void record_start(const FigureRecorder& recorder, const MeasuredAt& at,
+void record_start(const FigureRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway);
 
 // Has the gateway reload `config` with its last class changed, and adds what that took. Throws
 // GatewayProcessError.
-void record_reload(const FigureRecorder& recorder, const MeasuredAt& at, GatewayProcess& gateway,
-                   GatewayConfigOptions config);
+void record_reload(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+                   GatewayProcess& gateway, GatewayConfigOptions config);
 
 // Processor time in ms that it spends in a second without anything to do, watched for
 // `duration_s`.
--- a/scale/process/known_list_slope.cpp
+++ b/scale/process/known_list_slope.cpp
@@ -32,10 +32,10 @@
 void record_changes(const Options& options, const FigureRecorder& recorder,
                     GatewayEnvironment& environment, const GatewayProcess& gateway,
                     std::size_t listed) {
-  const MeasuredAt at = {{"servers", double(listed)}};
+  const MeasuredSizes sizes = {{"servers", double(listed)}};
   const std::size_t changes = options.small ? 10 : 40;
   const double idle_cpu = measure_idle_cpu(gateway, options.small ? 0.2 : 2);
-  recorder.add("idle", at, idle_cpu, "ms cpu/s");
+  recorder.add("idle", sizes, idle_cpu, "ms cpu/s");
   const auto counts_before = environment.discovery_counts();
   const double cpu_before = gateway.cpu_ms();
   const double started_at = wall_ms();
@@ -46,19 +46,19 @@
   const double cpu = gateway.cpu_ms() - cpu_before - idle_share;
   const auto counts = environment.discovery_counts();
   const auto bytes = double(counts.traffic.sent - counts_before.traffic.sent);
-  recorder.add("change", at, std::max(0.0, cpu) / double(changes), "ms cpu");
-  recorder.add("change_bytes", at, bytes / double(changes), "bytes");
+  recorder.add("change", sizes, std::max(0.0, cpu) / double(changes), "ms cpu");
+  recorder.add("change_bytes", sizes, bytes / double(changes), "bytes");
 }
 
 void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed) {
-  const MeasuredAt at = {{"servers", double(listed)}};
+  const MeasuredSizes sizes = {{"servers", double(listed)}};
   GatewayEnvironment environment(listed);
   const GatewayConfigOptions config =
       environment.gateway_config(GatewayEnvironment::StartingList::kKnown);
   GatewayProcess gateway(options.gateway_program, config);
-  record_start(recorder, at, gateway);
+  record_start(recorder, sizes, gateway);
   record_changes(options, recorder, environment, gateway, listed);
-  record_reload(recorder, at, gateway, config);
+  record_reload(recorder, sizes, gateway, config);
 }
 
 }  // namespace
--- a/scale/process/pushed_list_slope.cpp
+++ b/scale/process/pushed_list_slope.cpp
@@ -14,18 +14,18 @@
 constexpr double kDefaultSeconds = 180;
 constexpr double kListDoneTimeoutS = 5;
 
-void record_taken(const FigureRecorder& recorder, const MeasuredAt& at,
+void record_taken(const FigureRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway, double ready_after_ms,
                   const DiscoveryAgent::Counts& counts) {
-  recorder.add("ready", at, ready_after_ms, "ms");
-  recorder.add("list", at, gateway.cpu_ms(), "ms cpu");
-  recorder.add("list_bytes", at, double(counts.traffic.sent), "bytes");
-  recorder.add("resident", at, gateway.resident_mb(), "MB");
-  recorder.add("peak", at, gateway.peak_resident_mb(), "MB");
+  recorder.add("ready", sizes, ready_after_ms, "ms");
+  recorder.add("list", sizes, gateway.cpu_ms(), "ms cpu");
+  recorder.add("list_bytes", sizes, double(counts.traffic.sent), "bytes");
+  recorder.add("resident", sizes, gateway.resident_mb(), "MB");
+  recorder.add("peak", sizes, gateway.peak_resident_mb(), "MB");
 }
 
 void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed) {
-  const MeasuredAt at = {{"servers", double(listed)}};
+  const MeasuredSizes sizes = {{"servers", double(listed)}};
   GatewayEnvironment environment(listed);
   const GatewayProcess gateway(options.gateway_program,
                                environment.gateway_config(GatewayEnvironment::StartingList::kNone));
@@ -33,13 +33,13 @@
   const double waited_ms = wall_ms() - gateway.started_at_ms();
   gateway.wait_until_idle(kListDoneTimeoutS);
   const auto counts = environment.discovery_counts();
-  recorder.add("taken", at, list_taken ? 1 : 0, "of 1");
-  recorder.add("lists_sent", at, double(counts.lists), "lists");
+  recorder.add("taken", sizes, list_taken ? 1 : 0, "of 1");
+  recorder.add("lists_sent", sizes, double(counts.lists), "lists");
   if (list_taken) {
-    record_taken(recorder, at, gateway, waited_ms, counts);
+    record_taken(recorder, sizes, gateway, waited_ms, counts);
     return;
   }
-  recorder.add("not_taken", at, gateway.cpu_ms(), "ms cpu");
+  recorder.add("not_taken", sizes, gateway.cpu_ms(), "ms cpu");
   recorder.note("a list of " + std::to_string(listed) + " servers was not taken in " +
                 std::to_string(int(waited_ms / 1e3)) + " s, and was sent " +
                 std::to_string(counts.lists) + " times");
--- a/scale/process/request_slope.cpp
+++ b/scale/process/request_slope.cpp
@@ -47,26 +47,25 @@
 // server's own time.
 class RequestTrial {
  public:
-  RequestTrial(const FigureRecorder& recorder, double duration_s)
-      : recorder_(recorder),
+  RequestTrial(FigureRecorder recorder, double duration_s)
+      : recorder_(std::move(recorder)),
         duration_s_(duration_s),
         requests_(std::size_t(kRequestsPerS * duration_s)) {}
 
-  void run(const MeasuredAt& at, const boost::asio::ip::tcp::endpoint& server,
+  void run(const MeasuredSizes& sizes, const boost::asio::ip::tcp::endpoint& server,
            const std::function<void()>& meanwhile) const {
     Machine machine;
-    PacedClient& client =
-        machine.host<PacedClient>(PacedClientOptions{server, kRequestsPerS, requests_});
+    auto& client = machine.host<PacedClient>(PacedClientOptions{server, kRequestsPerS, requests_});
     meanwhile();
     poll_until(duration_s_ + kAnswersTimeoutS,
                [&] { return machine.run([&] { return client.is_finished(); }); });
     const auto latencies = machine.run([&] { return client.latencies_ms(); });
     const auto failed = machine.run([&] { return client.failed(); });
-    record(at, latencies, failed);
+    record(sizes, latencies, failed);
   }
 
  private:
-  void record(const MeasuredAt& at, const std::vector<double>& latencies_ms,
+  void record(const MeasuredSizes& sizes, const std::vector<double>& latencies_ms,
               std::size_t failed) const {
     std::vector<double> added_ms;
     added_ms.reserve(latencies_ms.size());
@@ -74,9 +73,9 @@
       added_ms.push_back(latency_ms - double(kServerServiceTime) / 1e3);
     }
     const std::size_t served = latencies_ms.size();
-    recorder_.add("added", at, median(added_ms), "ms");
-    recorder_.add("added_p99", at, p99(added_ms), "ms");
-    recorder_.add("served", at, 100.0 * double(served) / double(requests_), "%");
+    recorder_.add("added", sizes, median(added_ms), "ms");
+    recorder_.add("added_p99", sizes, p99(added_ms), "ms");
+    recorder_.add("served", sizes, 100.0 * double(served) / double(requests_), "%");
     if (served < requests_) {
       recorder_.note(std::to_string(requests_ - served) + " of " + std::to_string(requests_) +
                      " requests were not served (" + std::to_string(failed) +
@@ -89,7 +88,7 @@
   std::size_t requests_;
 };
 
-MeasuredAt measured_at(std::size_t listed, double gateways, double changes) {
+MeasuredSizes sizes_of(std::size_t listed, double gateways, double changes) {
   return {{"servers", double(listed)}, {"gateway", gateways}, {"changes", changes}};
 }
 
@@ -99,21 +98,21 @@
   const RequestTrial trial(recorder, duration_s);
   GatewayEnvironment environment(listed);
   // Without a gateway: how much of each figure is the client's and the servers' own.
-  trial.run(measured_at(listed, 0, 0), environment.server_address(), nothing);
+  trial.run(sizes_of(listed, 0, 0), environment.server_address(), nothing);
 
   const GatewayProcess gateway(
       options.gateway_program,
       environment.gateway_config(GatewayEnvironment::StartingList::kKnown));
   gateway.wait_until_ready(kReadyTimeoutS);
   gateway.wait_until_idle(kIdleTimeoutS);
-  const MeasuredAt unchanged = measured_at(listed, 1, 0);
+  const MeasuredSizes unchanged = sizes_of(listed, 1, 0);
   const double cpu_before = gateway.cpu_ms();
   trial.run(unchanged, gateway.endpoint(), nothing);
   const double cpu = gateway.cpu_ms() - cpu_before;
   recorder.add("cpu", unchanged, cpu / (kRequestsPerS * duration_s) * 1e3, "us cpu/request");
 
   const double drained = std::ceil(double(listed) / double(kZones));
-  trial.run(measured_at(listed, 1, drained), gateway.endpoint(),
+  trial.run(sizes_of(listed, 1, drained), gateway.endpoint(),
             [&] { drain_zone(environment, listed, duration_s / 2); });
 }
 
--- a/scale/report.cpp
+++ b/scale/report.cpp
@@ -37,9 +37,9 @@
   return text.str();
 }
 
-std::string format_sizes(const MeasuredAt& at) {
+std::string format_sizes(const MeasuredSizes& sizes) {
   std::string text;
-  for (const auto& [key, value] : at) {
+  for (const auto& [key, value] : sizes) {
     if (!text.empty()) {
       text += ", ";
     }
@@ -60,7 +60,7 @@
 
 // By least squares; the slope is 0 where all sizes are one.
 Line line_through(const std::vector<Point>& points) {
-  const double count = double(points.size());
+  const auto count = double(points.size());
   double mean_size = 0;
   double mean_value = 0;
   for (const Point& point : points) {
@@ -177,13 +177,13 @@
 
 void Report::fit(const std::string& scenario, const std::string& name, const std::string& size_name,
                  double target) {
-  std::map<MeasuredAt, std::vector<Point>> points_by_other_sizes;
+  std::map<MeasuredSizes, std::vector<Point>> points_by_other_sizes;
   std::string unit;
   for (const Figure& figure : figures_) {
     if (figure.scenario != scenario || figure.name != name || !figure.at.contains(size_name)) {
       continue;
     }
-    MeasuredAt other_sizes = figure.at;
+    MeasuredSizes other_sizes = figure.at;
     other_sizes.erase(size_name);
     points_by_other_sizes[other_sizes].push_back({figure.at.at(size_name), figure.value});
     unit = figure.unit;
--- a/scale/report.hpp
+++ b/scale/report.hpp
@@ -13,12 +13,12 @@
 namespace quota_gateway::scale {
 
 // The sizes at which something was measured, by name, such as {"servers": 20000, "gateways": 7400}.
-using MeasuredAt = std::map<std::string, double>;
+using MeasuredSizes = std::map<std::string, double>;
 
 struct Figure {
   std::string scenario;
   std::string name;
-  MeasuredAt at;
+  MeasuredSizes at;
   double value = 0;
   std::string unit;  // of the value, such as "us", "MB" or "bytes/s"
 };
@@ -33,9 +33,9 @@
 struct Fit {
   std::string scenario;
   std::string name;
-  std::string size_name;  // the key of MeasuredAt that the line runs along
+  std::string size_name;  // the key of MeasuredSizes that the line runs along
   std::string unit;
-  MeasuredAt at;  // what the points have in common, without the size itself
+  MeasuredSizes at;  // what the points have in common, without the size itself
   double intercept = 0;
   double slope = 0;
   double target = 0;        // a size that is asked for
