--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,237 +1,148 @@
-// The scale tests' program: which scenarios, at what sizes, and where the figures go.
-#include <sys/resource.h>
-#include <sys/sysinfo.h>
+// The scale tests' program: lists scenarios, or runs them and prints their figures.
 #include <unistd.h>
 
-#include <CLI/CLI.hpp>
-#include <algorithm>
 #include <cmath>
 #include <cstdint>
-#include <cstdlib>
 #include <ctime>
-#include <filesystem>
+#include <exception>
 #include <fstream>
 #include <iostream>
+#include <optional>
 #include <stdexcept>
 #include <string>
+#include <utility>
+#include <variant>
 #include <vector>
 
+#include "command_line.hpp"
 #include "report.hpp"
 #include "scenario.hpp"
+#include "scenario_selection.hpp"
+#include "standins.hpp"
+#include "usage_error.hpp"
 
 namespace quota_gateway::scale {
 namespace {
 
-constexpr int kBadInput = 2;
-constexpr double kMostSeconds = 3'600;  // that a scenario may ask for
-constexpr double kMemoryShare = 0.5;    // of the machine's, that a scenario may take
-// Scenarios stop by themselves within their bound; one that doesn't is ended, with its children.
-constexpr unsigned kOverdue = 3 * unsigned(kMostSeconds);
-
-// Input that nothing should be started for.
-struct BadInput : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-struct Arguments {
-  Options options;
-  std::vector<std::string> names;
-  std::string json;
-};
-
-std::vector<Scenario> all_scenarios() {
-  std::vector<Scenario> all;
-  add_module_slopes(all);
-  add_process_slopes(all);
-#ifdef QUOTA_GATEWAY_SCALE_FLEET
-  add_fleet_slopes(all);
-#endif
-#ifdef QUOTA_GATEWAY_SCALE_EVENTS
-  add_events(all);
-#endif
-  return all;
-}
+constexpr int kMostSeconds = 3'600;  // that a scenario may ask for
+// Scenarios stop by themselves within their time; a run that doesn't is ended, with its children.
+constexpr unsigned kRunTimeoutS = 3 * kMostSeconds;
 
-// Those of the names, or whose name begins with one, in their own order.
-std::vector<Scenario> chosen(const std::vector<Scenario>& all,
-                             const std::vector<std::string>& names) {
-  if (names.empty()) {
-    return all;
-  }
-  const auto asked = [](const Scenario& s, const std::string& name) {
-    return !name.empty() && s.name.compare(0, name.size(), name) == 0;
-  };
-  for (const std::string& name : names) {
-    if (std::none_of(all.begin(), all.end(), [&](const Scenario& s) { return asked(s, name); })) {
-      throw BadInput("unknown scenario '" + name + "'; 'list' tells those there are");
-    }
-  }
-  std::vector<Scenario> out;
-  for (const Scenario& s : all) {
-    if (std::any_of(names.begin(), names.end(),
-                    [&](const std::string& name) { return asked(s, name); })) {
-      out.push_back(s);
-    }
+void check_seconds(double seconds) {
+  if (!std::isfinite(seconds) || seconds > kMostSeconds) {
+    throw UsageError("--seconds: at most " + std::to_string(kMostSeconds));
   }
-  return out;
 }
 
-std::uint64_t machine_memory() {
-  struct sysinfo info {};
-  if (::sysinfo(&info) != 0) {
-    throw std::runtime_error("the machine's memory is not known");
+double rounded_megabytes(std::uint64_t bytes) {
+  return std::round(double(bytes) / 1e6);
+}
+
+void list_scenarios() {
+  const Options target_size;
+  Options small_size;
+  small_size.small = true;
+  for (const Scenario& scenario : all_scenarios()) {
+    std::cout << scenario.name << ": " << scenario.what << " ("
+              << rounded_megabytes(scenario.memory(target_size)) << " MB; small "
+              << rounded_megabytes(scenario.memory(small_size)) << " MB)\n";
   }
-  return std::uint64_t(info.totalram) * info.mem_unit;
 }
 
-double megabytes(std::uint64_t bytes) {
-  return std::round(double(bytes) / 1e6);
+std::ofstream open_json_file(const std::string& path) {
+  std::ofstream file(path, std::ios::trunc);
+  if (!file) {
+    throw UsageError("--json: cannot write '" + path + "'");
+  }
+  return file;
 }
 
-// A size that can't be had at all, such as one past the descriptors, is bad input as well.
-std::uint64_t memory_of(const Scenario& s, const Options& options) {
+// Whether it came to its end; a failure is noted in the report.
+bool run_scenario(const Scenario& scenario, const Options& options, Report& report) {
+  const std::time_t started_at = std::time(nullptr);
+  bool succeeded = true;
+  std::cerr << scenario.name << ": " << scenario.what << '\n';
   try {
-    return s.memory(options);
-  } catch (const std::invalid_argument& e) {
-    throw BadInput("scenario '" + s.name + "': " + e.what());
+    scenario.run(options, report);
+  } catch (const std::exception& e) {
+    succeeded = false;
+    report.note(scenario.name, std::string("FAILED: ") + e.what());
+    std::cerr << scenario.name << ": FAILED: " << e.what() << '\n';
   }
+  std::cerr << scenario.name << ": " << std::time(nullptr) - started_at << " s\n";
+  return succeeded;
 }
 
-void check_memory(const std::vector<Scenario>& scenarios, const Options& options) {
-  const double most = kMemoryShare * double(machine_memory());
-  for (const Scenario& s : scenarios) {
-    if (const std::uint64_t needs = memory_of(s, options); double(needs) > most) {
-      throw BadInput("scenario '" + s.name + "' would take about " +
-                     std::to_string(needs / 1'000'000) +
-                     " MB at this size; half of this machine's memory is " +
-                     std::to_string(std::uint64_t(most) / 1'000'000) + " MB");
+// Returns how many failed.
+std::size_t run_scenarios(const std::vector<Scenario>& scenarios, const Options& options,
+                          std::ostream* json_lines) {
+  Report report(json_lines, options.seed);
+  std::size_t failed = 0;
+  for (const Scenario& scenario : scenarios) {
+    if (!run_scenario(scenario, options, report)) {
+      ++failed;
     }
   }
+  report.table(std::cout);
+  std::cout << "seed " << options.seed << (options.small ? ", small" : "") << "; "
+            << scenarios.size() << " scenarios, " << failed << " failed\n";
+  return failed;
 }
 
-std::string gateway_beside() {
-  std::error_code unknown;
-  const auto self = std::filesystem::read_symlink("/proc/self/exe", unknown);
-  const auto beside = self.parent_path() / "quota_gateway";
-  return !unknown && ::access(beside.c_str(), X_OK) == 0 ? beside.string() : "";
-}
-
-void check_gateway(std::string& program) {
-  if (program.empty()) {
-    program = gateway_beside();
-  } else if (!std::filesystem::is_regular_file(program) || ::access(program.c_str(), X_OK) != 0) {
-    throw BadInput("--gateway: '" + program + "' is no program");
-  }
-  if (program.empty()) {
+ExitCode run(const CommandLine& arguments) {
+  Options options = arguments.options;
+  check_seconds(options.seconds);
+  const auto scenarios = select_scenarios(all_scenarios(), arguments.scenario_names);
+  options.gateway_program = find_gateway_program(options.gateway_program);
+  if (options.gateway_program.empty()) {
     std::cerr << "no gateway beside this program: none is started\n";
   }
+  check_memory(scenarios, options);
+  std::optional<std::ofstream> json_file;
+  if (arguments.json_path) {
+    json_file = open_json_file(*arguments.json_path);
+  }
+  // A fleet on one machine needs as many as the system lets a process have.
+  raise_descriptor_limit();
+  ::alarm(kRunTimeoutS);
+  const std::size_t failed = run_scenarios(scenarios, options, json_file ? &*json_file : nullptr);
+  if (json_file && !json_file->good()) {
+    throw std::runtime_error("--json: writing failed");
+  }
+  return failed > 0 ? ExitCode::kFailed : ExitCode::kSuccess;
 }
 
-// As many descriptors as the system lets a process have; a fleet on one machine needs them.
-void raise_descriptors() {
-  rlimit limit{};
-  if (::getrlimit(RLIMIT_NOFILE, &limit) != 0) {
-    return;
+ExitCode execute(const CommandLine& arguments) {
+  switch (arguments.command) {
+    case Command::kList:
+      list_scenarios();
+      return ExitCode::kSuccess;
+    case Command::kRun:
+      return run(arguments);
   }
-  limit.rlim_cur = limit.rlim_max;
-  ::setrlimit(RLIMIT_NOFILE, &limit);
+  return ExitCode::kFailed;
 }
 
-int list() {
-  const Options whole;
-  Options small;
-  small.small = true;
-  for (const Scenario& s : all_scenarios()) {
-    std::cout << s.name << ": " << s.what << " (" << megabytes(s.memory(whole)) << " MB; small "
-              << megabytes(s.memory(small)) << " MB)\n";
+ExitCode run_program(int argc, char** argv) {
+  const auto parsed = parse_command_line(argc, argv);
+  if (const auto* exit_code = std::get_if<ExitCode>(&parsed)) {
+    return *exit_code;
   }
-  return 0;
+  return execute(std::get<CommandLine>(parsed));
 }
 
-int run(Arguments arguments) {
-  Options& options = arguments.options;
-  if (!std::isfinite(options.seconds) || options.seconds > kMostSeconds) {
-    throw BadInput("--seconds: at most " + std::to_string(int(kMostSeconds)));
-  }
-  const auto scenarios = chosen(all_scenarios(), arguments.names);
-  check_gateway(options.gateway_program);
-  check_memory(scenarios, options);
-  std::ofstream lines;
-  if (!arguments.json.empty()) {
-    lines.open(arguments.json, std::ios::trunc);
-    if (!lines) {
-      throw BadInput("--json: cannot write '" + arguments.json + "'");
-    }
-  }
-  raise_descriptors();
-  ::alarm(kOverdue);
-  Report report(arguments.json.empty() ? nullptr : &lines, options.seed);
-  int failed = 0;
-  for (const Scenario& s : scenarios) {
-    const std::time_t begun = std::time(nullptr);
-    std::cerr << s.name << ": " << s.what << '\n';
-    try {
-      s.run(options, report);
-    } catch (const std::exception& e) {
-      ++failed;
-      report.note(s.name, std::string("FAILED: ") + e.what());
-      std::cerr << s.name << ": FAILED: " << e.what() << '\n';
-    }
-    std::cerr << s.name << ": " << std::time(nullptr) - begun << " s\n";
-  }
-  report.table(std::cout);
-  std::cout << "seed " << options.seed << (options.small ? ", small" : "") << "; "
-            << scenarios.size() << " scenarios, " << failed << " failed\n";
-  if (!lines.good() && !arguments.json.empty()) {
-    throw std::runtime_error("--json: writing failed");
-  }
-  return failed > 0 ? 1 : 0;
+ExitCode fail(const std::exception& error, ExitCode code) {
+  std::cerr << "quota_gateway_scale_test: " << error.what() << '\n';
+  return code;
 }
 
-int main_of(int argc, char** argv) {
-  Arguments arguments;
-  Options& options = arguments.options;
-  CLI::App app("Scale tests of the quota_gateway gateway, on loopback alone.",
-               "quota_gateway_scale_test");
-  app.set_version_flag("--version", QUOTA_GATEWAY_VERSION);
-  app.require_subcommand(1);
-  app.add_subcommand("list", "Tell the scenarios");
-  CLI::App* run_command = app.add_subcommand("run", "Run scenarios: a table on standard output");
-  run_command->add_option("NAME", arguments.names,
-                          "Scenarios, or what their names begin with; none: all");
-  // Danger: the parser takes "-1" for the largest number there is.
-  const CLI::Validator whole(
-      [](std::string& text) {
-        const bool digits = !text.empty() && text.size() < 20 &&
-                            text.find_first_not_of("0123456789") == std::string::npos;
-        return digits ? std::string() : "'" + text + "' is no whole number";
-      },
-      "WHOLE");
-  run_command->add_option("--seed", options.seed, "Draws all that is drawn")
-      ->check(whole)
-      ->capture_default_str();
-  run_command->add_flag("--small", options.small, "Sizes that take seconds");
-  run_command->add_option("--gateways", options.gateways, "The largest number of gateways")
-      ->check(whole)
-      ->check(CLI::PositiveNumber);
-  run_command->add_option("--servers", options.servers, "The largest number of servers")
-      ->check(whole)
-      ->check(CLI::PositiveNumber);
-  run_command->add_option("--seconds", options.seconds, "The most that a scenario may take")
-      ->check(CLI::PositiveNumber);
-  run_command->add_option("--gateway", options.gateway_program,
-                          "The real gateway; default: the one beside");
-  run_command->add_option("--json", arguments.json, "A file for the figures as JSON lines");
-  try {
-    app.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    return app.exit(e) == 0 ? 0 : kBadInput;
-  }
+ExitCode run_reporting_errors(int argc, char** argv) {
   try {
-    return app.got_subcommand("list") ? list() : run(std::move(arguments));
-  } catch (const BadInput& e) {
-    std::cerr << "quota_gateway_scale_test: " << e.what() << '\n';
-    return kBadInput;
+    return run_program(argc, argv);
+  } catch (const UsageError& e) {
+    return fail(e, ExitCode::kBadInput);
+  } catch (const std::exception& e) {
+    return fail(e, ExitCode::kFailed);
   }
 }
 
@@ -239,10 +150,5 @@
 }  // namespace quota_gateway::scale
 
 int main(int argc, char** argv) {
-  try {
-    return quota_gateway::scale::main_of(argc, argv);
-  } catch (const std::exception& e) {
-    std::cerr << "quota_gateway_scale_test: " << e.what() << '\n';
-    return 1;
-  }
+  return int(quota_gateway::scale::run_reporting_errors(argc, argv));
 }
