--- a/scale/fleet/watcher_slope.cpp
+++ b/scale/fleet/watcher_slope.cpp
@@ -50,7 +50,7 @@
   World::Spent measure_heartbeats() {
     const World::Spent before = world_.spent();
     pause(Sizes{options_}.window(8, 0.6));
-    const World::Spent quiet = world_.spent().since(before);
+    World::Spent quiet = world_.spent().since(before);
     const double seconds = quiet.seconds();
     const auto bytes = double(quiet.discovery.traffic.sent);
     recorder_.add("heartbeat_bytes", sizes_, bytes / seconds / gateways_, "bytes/s/watcher");
--- a/scale/process/endless_list_agent.hpp
+++ b/scale/process/endless_list_agent.hpp
@@ -16,7 +16,8 @@
   explicit EndlessListAgent(boost::asio::io_context& io);
 
   std::string host_port() const;
-  // Bytes handed to the kernel so far; up to the send buffer of each connection never leaves it.
+  // Bytes handed to the kernel so far, in whole chunks; up to the send buffer of each connection
+  // never leaves it.
   std::uint64_t bytes_drawn() const { return bytes_drawn_; }
   // Requests for the list so far.
   std::size_t requests() const { return requests_; }
--- a/scale/process/gateway_process.cpp
+++ b/scale/process/gateway_process.cpp
@@ -141,7 +141,11 @@
 }
 
 bool GatewayProcess::is_running() const {
-  return ::waitpid(pid_, nullptr, WNOHANG) == 0;
+  // Left to be waited for until the destructor, so that its id cannot become that of another
+  // process, which the destructor would kill.
+  siginfo_t ended{};
+  const int status = ::waitid(P_PID, id_t(pid_), &ended, WEXITED | WNOHANG | WNOWAIT);
+  return status == 0 && ended.si_pid == 0;
 }
 
 void GatewayProcess::wait_until_ready(double timeout_s) const {
@@ -168,7 +172,7 @@
 
 double GatewayProcess::cpu_ms() const {
   const std::optional<double> spent = process_cpu_ms(pid_);
-  if (!spent) {
+  if (!spent || !is_running()) {
     throw GatewayProcessError(
         Kind::kEnded, "the gateway has ended: " + read_file(log_path()).substr(0, kLogExcerpt));
   }
--- a/tests/scale/report_test.cpp
+++ b/tests/scale/report_test.cpp
@@ -115,5 +115,17 @@
   EXPECT_NE(table.str().find("module.list: a deviation that was seen\n"), std::string::npos);
 }
 
+TEST(Report, NumbersOfTheTableHaveNoExponentFrom1On) {
+  Report report(nullptr);
+  report.add(figure(200, 123'456.7));
+  report.add(figure(200, 0.000'012'34));
+  report.add(figure(200, 12.345'6));
+  std::ostringstream table;
+  report.table(table);
+  EXPECT_NE(table.str().find(" 123457 "), std::string::npos) << table.str();
+  EXPECT_NE(table.str().find(" 1e-05 "), std::string::npos) << table.str();
+  EXPECT_NE(table.str().find(" 12.35 "), std::string::npos) << table.str();
+}
+
 }  // namespace
 }  // namespace quota_gateway::scale
