--- a/scale/command_line.cpp
+++ b/scale/command_line.cpp
@@ -15,11 +15,10 @@
 
 // Without this check, the parser takes "-1" for the largest number there is.
 CLI::Validator whole_number() {
-  return CLI::Validator(
-      [](const std::string& text) {
-        return is_whole_number(text) ? std::string() : "'" + text + "' is no whole number";
-      },
-      "WHOLE");
+  return {[](const std::string& text) {
+            return is_whole_number(text) ? std::string() : "'" + text + "' is no whole number";
+          },
+          "WHOLE"};
 }
 
 void add_run_options(CLI::App& command, CommandLine& arguments, std::string& json_path) {
--- a/scale/fleet/change_rate_slope.cpp
+++ b/scale/fleet/change_rate_slope.cpp
@@ -1,3 +1,4 @@
+// How the cost of a fleet's watches grows with the changes in a second.
 #include <string>
 
 #include "day.hpp"
--- a/scale/fleet/complete_list_slope.cpp
+++ b/scale/fleet/complete_list_slope.cpp
@@ -1,3 +1,4 @@
+// What it costs to bring a complete list to each gateway of a fleet, by listed servers.
 #include <algorithm>
 #include <string>
 
--- a/scale/fleet/counter_call_slope.cpp
+++ b/scale/fleet/counter_call_slope.cpp
@@ -1,3 +1,4 @@
+// How calls to the counter and their cost grow with the requests in a second.
 #include <string>
 
 #include "figure_recorder.hpp"
--- a/scale/fleet/counter_name_slope.cpp
+++ b/scale/fleet/counter_name_slope.cpp
@@ -1,3 +1,4 @@
+// How the counter's memory and the cost of a call grow with the names that it keeps.
 #include <string>
 
 #include "figure_recorder.hpp"
--- a/scale/fleet/tenant_slope.cpp
+++ b/scale/fleet/tenant_slope.cpp
@@ -1,3 +1,4 @@
+// How a gateway's memory and cost grow with the tenants that it has met.
 #include <stdexcept>
 #include <string>
 
--- a/scale/fleet/watcher_slope.cpp
+++ b/scale/fleet/watcher_slope.cpp
@@ -1,3 +1,4 @@
+// How heartbeats, memory, and the cost and delay of a change grow with the watchers of one agent.
 #include <algorithm>
 #include <stdexcept>
 #include <string>
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -5,13 +5,13 @@
 
 namespace quota_gateway::scale {
 
-void add_fleet_slopes(std::vector<Scenario>& to) {
-  to.push_back(watcher_scenario());
-  to.push_back(change_rate_scenario());
-  to.push_back(complete_list_scenario());
-  to.push_back(counter_call_scenario());
-  to.push_back(counter_name_scenario());
-  to.push_back(tenant_scenario());
+void add_fleet_slopes(std::vector<Scenario>& scenarios) {
+  scenarios.push_back(watcher_scenario());
+  scenarios.push_back(change_rate_scenario());
+  scenarios.push_back(complete_list_scenario());
+  scenarios.push_back(counter_call_scenario());
+  scenarios.push_back(counter_name_scenario());
+  scenarios.push_back(tenant_scenario());
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/module/burst_cost.cpp
+++ b/scale/module/burst_cost.cpp
@@ -1,3 +1,4 @@
+// What it costs the decision module that a whole zone goes and comes back.
 #include <numeric>
 #include <vector>
 
@@ -12,7 +13,6 @@
 namespace {
 
 constexpr double kDefaultSeconds = 240;
-constexpr std::size_t kSliceEntries = 500;  // of a burst, told at once
 constexpr Micros kSliceInterval = 5 * kMillisecond;
 
 // A zone goes, and comes back: in slices, with a request after each.
@@ -32,13 +32,13 @@
   void change_zone(EndpointState state, const TimeBudget& budget) {
     EndpointListUpdate slice{EndpointListUpdate::Kind::kPartial, {}};
     for (std::size_t i = 0; i < servers_ && !budget.is_exhausted(); ++i) {
-      if (i % kModuleZones == 0) {
+      if (i % kZones == 0) {
         slice.entries.push_back(listed_endpoint(i));
         slice.entries.back().state = state;
       }
       const bool is_last = i + 1 == servers_;
       if (slice.entries.size() == kSliceEntries || is_last) {
-        apply(slice, i % kTenants);
+        apply(slice, i % kTenantsPerGateway);
         slice.entries.clear();
       }
     }
--- a/scale/module/change_cost.cpp
+++ b/scale/module/change_cost.cpp
@@ -1,3 +1,4 @@
+// What a change of one server costs the decision module, and the request after it.
 #include <map>
 #include <random>
 #include <string>
@@ -58,7 +59,7 @@
     changes_us_ += cpu_us;
     samples_us_[kind].push_back(cpu_us);
     samples_us_[kAllChanges].push_back(cpu_us);
-    samples_us_["request_after"].push_back(driver_.request(random_() % kTenants));
+    samples_us_["request_after"].push_back(driver_.request(random_() % kTenantsPerGateway));
   }
 
   void record(const FigureRecorder& recorder) {
--- a/scale/module/memory_cost.cpp
+++ b/scale/module/memory_cost.cpp
@@ -1,3 +1,4 @@
+// Slopes of the decision module by what it keeps: listed servers, classes and tenants.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
--- a/scale/module/module_inputs.cpp
+++ b/scale/module/module_inputs.cpp
@@ -2,6 +2,8 @@
 
 #include <utility>
 
+#include "slope_sizes.hpp"
+
 namespace quota_gateway::scale {
 namespace {
 
@@ -14,7 +16,7 @@
 constexpr double kQuota = 1e6;
 
 std::string zone_of(std::size_t server) {
-  const auto letter = char('a' + server % kModuleZones);
+  const auto letter = char('a' + server % kZones);
   return {letter};
 }
 
--- a/scale/module/module_inputs.hpp
+++ b/scale/module/module_inputs.hpp
@@ -12,11 +12,6 @@
 constexpr Micros kMillisecond = 1'000;
 constexpr Micros kSecond = 1'000'000;
 
-// Zones over which servers are spread, in turn: of as many as the operators have.
-constexpr std::size_t kModuleZones = 7;
-// Tenants whose requests come to a gateway in turn: the operators' tenants over their gateways,
-// rounded.
-constexpr std::size_t kTenants = 176;
 // The one plan and, where there is one only, the one class of the settings.
 constexpr const char* kPlanName = "plan";
 constexpr const char* kClassName = "read";
--- a/scale/module/module_sizes.cpp
+++ b/scale/module/module_sizes.cpp
@@ -1,3 +1,4 @@
+// Sizes of the decision module's slopes, and estimates of what they take.
 #include "module/module_slopes.hpp"
 #include "slope_sizes.hpp"
 
--- a/scale/module/request_cost.cpp
+++ b/scale/module/request_cost.cpp
@@ -1,3 +1,4 @@
+// What a request costs the decision module, with idle servers and with full ones.
 #include <algorithm>
 #include <random>
 #include <string>
@@ -13,7 +14,6 @@
 namespace {
 
 constexpr double kDefaultSeconds = 240;
-constexpr double kRequestsPerS = 257;  // the operators' requests over their gateways
 // us of a server at capacity; an idle one takes kIdleServiceTime.
 constexpr Micros kFullServiceTime = 100 * kMillisecond;
 // After this much time at full servers as many requests are held as will be.
@@ -38,8 +38,8 @@
   const double own_servers = 2.0 * double(point.servers) / double(point.gateways);
   const bool full = point.load == ServerLoad::kFull;
   const double service_s = double(full ? kFullServiceTime : kIdleServiceTime) / double(kSecond);
-  const double rate = full ? std::max(kRequestsPerS, 2 * (own_servers + 2) / service_s)
-                           : std::min(kRequestsPerS, 0.5 * own_servers / service_s);
+  const double rate = full ? std::max(kRequestsPerGatewayPerS, 2 * (own_servers + 2) / service_s)
+                           : std::min(kRequestsPerGatewayPerS, 0.5 * own_servers / service_s);
   return std::max<Micros>(1, Micros(double(kSecond) / rate));
 }
 
@@ -74,7 +74,7 @@
   // Lets the time between two requests pass and sends one. Returns the us of its arrival.
   double next_request(std::optional<double> cpu_budget_us) {
     driver_.run_until(driver_.now() + interval_, cpu_budget_us);
-    return driver_.request(random_() % kTenants);
+    return driver_.request(random_() % kTenantsPerGateway);
   }
 
   void settle_at_full_servers() {
--- a/scale/process/class_count_slope.cpp
+++ b/scale/process/class_count_slope.cpp
@@ -1,3 +1,4 @@
+// How start, memory and SIGHUP of a gateway process grow with the classes of its settings.
 #include "figure_recorder.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_measurements.hpp"
--- a/scale/process/endless_list_slope.cpp
+++ b/scale/process/endless_list_slope.cpp
@@ -1,3 +1,4 @@
+// What a gateway process draws and spends while its discovery agent sends a list without an end.
 #include <algorithm>
 #include <cmath>
 
--- a/scale/process/gateway_environment.cpp
+++ b/scale/process/gateway_environment.cpp
@@ -9,6 +9,8 @@
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/string_body.hpp>
 
+#include "slope_sizes.hpp"
+
 namespace quota_gateway::scale {
 namespace {
 
--- a/scale/process/gateway_environment.hpp
+++ b/scale/process/gateway_environment.hpp
@@ -12,7 +12,6 @@
 
 namespace quota_gateway::scale {
 
-constexpr std::size_t kZones = 7;             // over which the listed servers are spread
 constexpr Micros kServerServiceTime = 2'000;  // us from a request's last byte to its answer
 
 // The servers run on one thread, discovery and counter on another; calls block until it is done
--- a/scale/process/known_list_slope.cpp
+++ b/scale/process/known_list_slope.cpp
@@ -1,3 +1,5 @@
+// How start, memory, single changes and SIGHUP of a gateway process grow with the list that it
+// starts with.
 #include <algorithm>
 
 #include "figure_recorder.hpp"
--- a/scale/process/paced_client.cpp
+++ b/scale/process/paced_client.cpp
@@ -11,6 +11,7 @@
 #include <utility>
 
 #include "process/read_request.hpp"
+#include "slope_sizes.hpp"
 #include "standins.hpp"
 
 namespace quota_gateway::scale {
@@ -21,8 +22,6 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::size_t kCustomers = 176;  // the operators' tenants over their gateways, rounded
-
 void close(tcp::socket& socket) {
   error_code ignored;
   socket.close(ignored);
@@ -71,7 +70,7 @@
 
 void PacedClient::start_request(Micros due) {
   ReadRequest request;
-  request.customer = started_ % kCustomers + 1;
+  request.customer = started_ % kTenantsPerGateway + 1;
   request.trace_id = started_ + 1;
   const std::shared_ptr<Call> call = free_call();
   call->due = due;
--- a/scale/process/process_memory.cpp
+++ b/scale/process/process_memory.cpp
@@ -1,3 +1,4 @@
+// Estimates of what the process slopes take.
 #include "process/process_slopes.hpp"
 #include "slope_sizes.hpp"
 
--- a/scale/process/pushed_list_slope.cpp
+++ b/scale/process/pushed_list_slope.cpp
@@ -1,3 +1,5 @@
+// How long a gateway process that knows no server takes to accept a whole list, and what that
+// costs.
 #include <string>
 
 #include "figure_recorder.hpp"
--- a/scale/process/request_slope.cpp
+++ b/scale/process/request_slope.cpp
@@ -1,3 +1,5 @@
+// What a gateway process adds to the latency of requests, by listed servers, at rest and while a
+// zone drains.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -20,9 +22,7 @@
 namespace {
 
 constexpr double kDefaultSeconds = 180;
-constexpr double kRequestsPerS = 257;       // the operators' requests over their gateways
-constexpr double kAnswersTimeoutS = 10;     // after the last request is due
-constexpr std::size_t kSliceEntries = 500;  // of a zone's servers, told at once
+constexpr double kAnswersTimeoutS = 10;  // after the last request is due
 
 // All servers of one zone drain, in slices that are spread over `duration_s`.
 void drain_zone(GatewayEnvironment& environment, std::size_t listed, double duration_s) {
@@ -50,12 +50,13 @@
   RequestTrial(FigureRecorder recorder, double duration_s)
       : recorder_(std::move(recorder)),
         duration_s_(duration_s),
-        requests_(std::size_t(kRequestsPerS * duration_s)) {}
+        requests_(std::size_t(kRequestsPerGatewayPerS * duration_s)) {}
 
   void run(const MeasuredSizes& sizes, const boost::asio::ip::tcp::endpoint& server,
            const std::function<void()>& meanwhile) const {
     Machine machine;
-    auto& client = machine.host<PacedClient>(PacedClientOptions{server, kRequestsPerS, requests_});
+    auto& client =
+        machine.host<PacedClient>(PacedClientOptions{server, kRequestsPerGatewayPerS, requests_});
     meanwhile();
     poll_until(duration_s_ + kAnswersTimeoutS,
                [&] { return machine.run([&] { return client.is_finished(); }); });
@@ -109,7 +110,8 @@
   const double cpu_before = gateway.cpu_ms();
   trial.run(unchanged, gateway.endpoint(), nothing);
   const double cpu = gateway.cpu_ms() - cpu_before;
-  recorder.add("cpu", unchanged, cpu / (kRequestsPerS * duration_s) * 1e3, "us cpu/request");
+  recorder.add("cpu", unchanged, cpu / (kRequestsPerGatewayPerS * duration_s) * 1e3,
+               "us cpu/request");
 
   const double drained = std::ceil(double(listed) / double(kZones));
   trial.run(sizes_of(listed, 1, drained), gateway.endpoint(),
--- a/scale/process_slopes.cpp
+++ b/scale/process_slopes.cpp
@@ -30,21 +30,22 @@
 
 }  // namespace
 
-void add_process_slopes(std::vector<Scenario>& to) {
-  to.push_back(process_scenario("process.known",
-                                "a gateway that starts with a list: time, memory, changes, SIGHUP",
-                                process_server_memory, measure_known_lists));
-  to.push_back(process_scenario("process.pushed",
-                                "a gateway that is sent a whole list: time, memory, bytes",
-                                process_server_memory, measure_pushed_lists));
-  to.push_back(process_scenario(
+void add_process_slopes(std::vector<Scenario>& scenarios) {
+  scenarios.push_back(process_scenario(
+      "process.known", "a gateway that starts with a list: time, memory, changes, SIGHUP",
+      process_server_memory, measure_known_lists));
+  scenarios.push_back(process_scenario("process.pushed",
+                                       "a gateway that is sent a whole list: time, memory, bytes",
+                                       process_server_memory, measure_pushed_lists));
+  scenarios.push_back(process_scenario(
       "process.request",
       "what requests wait in a gateway, by listed servers and while a zone changes",
       process_server_memory, measure_request_delays));
-  to.push_back(process_scenario("process.endless", "a list that never ends: bytes drawn over time",
-                                process_base_memory, measure_endless_list));
-  to.push_back(process_scenario("process.settings", "SIGHUP, by classes", process_class_memory,
-                                measure_class_counts));
+  scenarios.push_back(process_scenario("process.endless",
+                                       "a list that never ends: bytes drawn over time",
+                                       process_base_memory, measure_endless_list));
+  scenarios.push_back(process_scenario("process.settings", "SIGHUP, by classes",
+                                       process_class_memory, measure_class_counts));
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/slope_sizes.hpp
+++ b/scale/slope_sizes.hpp
@@ -10,6 +10,14 @@
 
 namespace quota_gateway::scale {
 
+// The operators' target for one gateway, rounded.
+constexpr double kRequestsPerGatewayPerS = 257;
+constexpr std::size_t kTenantsPerGateway = 176;
+// Zones over which listed servers are spread, in turn.
+constexpr std::size_t kZones = Target{}.zones;
+// Servers of a zone that change at once.
+constexpr std::size_t kSliceEntries = 500;
+
 // Up to four sizes that end at `largest`: a thousandth, a hundredth, a tenth and all of it. Sizes
 // that round to the same number are given once.
 std::vector<std::size_t> sizes_up_to(std::size_t largest);
--- a/tests/scale/load_driver_test.cpp
+++ b/tests/scale/load_driver_test.cpp
@@ -3,6 +3,8 @@
 
 #include <gtest/gtest.h>
 
+#include "slope_sizes.hpp"
+
 namespace quota_gateway::scale {
 namespace {
 
@@ -56,7 +58,7 @@
   const auto held = [] {
     LoadDriver driver = small_driver();
     for (std::size_t i = 0; i < 400; ++i) {
-      driver.request(i % kTenants);
+      driver.request(i % kTenantsPerGateway);
       driver.run_until(driver.now() + kMillisecond);
     }
     return driver.held_requests();
--- a/tests/scale/program_test.cpp
+++ b/tests/scale/program_test.cpp
@@ -92,7 +92,7 @@
   EXPECT_TRUE(contains(result.output, "fleet.calls")) << result.output;
 }
 
-TEST(Program, TellsItsVersionItsHelpAndItsScenarios) {
+TEST(Program, PrintsItsVersionItsHelpAndItsScenarios) {
   EXPECT_EQ(run_program("--version").exit_code, kSuccess);
   EXPECT_EQ(run_program("--help").exit_code, kSuccess);
   EXPECT_EQ(run_program("run --help").exit_code, kSuccess);
