--- a/scale/scenario.hpp
+++ b/scale/scenario.hpp
@@ -41,9 +41,10 @@
 };
 
 // Scenarios of each part, appended.
-void add_module_slopes(std::vector<Scenario>& to);   // the decision module alone
-void add_process_slopes(std::vector<Scenario>& to);  // real gateway processes against stand-ins
-void add_fleet_slopes(std::vector<Scenario>& to);    // hollow gateways against stand-ins
-void add_events(std::vector<Scenario>& to);          // what happens to a fleet
+void add_module_slopes(std::vector<Scenario>& scenarios);  // the decision module alone
+void add_process_slopes(
+    std::vector<Scenario>& scenarios);  // real gateway processes against stand-ins
+void add_fleet_slopes(std::vector<Scenario>& scenarios);  // hollow gateways against stand-ins
+void add_events(std::vector<Scenario>& to);               // what happens to a fleet
 
 }  // namespace quota_gateway::scale
--- a/tests/scale/report_test.cpp
+++ b/tests/scale/report_test.cpp
@@ -101,16 +101,16 @@
   report.note("module.list", "a deviation that was seen");
   std::ostringstream table;
   report.table(table);
-  std::istringstream in(table.str());
+  std::istringstream lines(table.str());
   std::string head;
-  std::string first;
-  std::string second;
-  std::getline(in, head);
-  std::getline(in, first);
-  std::getline(in, second);
-  EXPECT_EQ(head.find(" at ") + 1, first.find("gateways 300"));
-  EXPECT_EQ(first.size(), second.size());
-  EXPECT_NE(second.find("servers 20000"), std::string::npos);
+  std::string first_row;
+  std::string second_row;
+  std::getline(lines, head);
+  std::getline(lines, first_row);
+  std::getline(lines, second_row);
+  EXPECT_EQ(head.find(" at ") + 1, first_row.find("gateways 300"));
+  EXPECT_EQ(first_row.size(), second_row.size());
+  EXPECT_NE(second_row.find("servers 20000"), std::string::npos);
   EXPECT_NE(table.str().find("8.5x"), std::string::npos);
   EXPECT_NE(table.str().find("module.list: a deviation that was seen\n"), std::string::npos);
 }
