--- /dev/null
+++ b/scale/fleet/tenant_slope.cpp
@@ -0,0 +1,97 @@
+// How a gateway's memory and cost grow with the tenants that it has met.
+#include <stdexcept>
+#include <string>
+
+#include "figure_recorder.hpp"
+#include "fleet/fleet_slopes.hpp"
+#include "fleet_options.hpp"
+#include "fleet_scenario.hpp"
+#include "fleet_state.hpp"
+#include "process_resources.hpp"
+#include "test_fleet.hpp"
+
+namespace quota_gateway::scale {
+namespace {
+
+constexpr const char* kScenario = "fleet.tenants";
+constexpr double kDefaultSeconds = 120;
+constexpr std::size_t kGateways = 4;
+// At which a gateway meets its tenants; faster than it would at the operators' target.
+constexpr double kMeetingRequestsPerS = 2'000;
+// Requests until each tenant has come once, over the number of tenants.
+constexpr double kMeetingRequests = 1.1;
+
+std::size_t most_tenants(const Options& options) {
+  return options.small ? 800 : 16'000;
+}
+
+std::size_t server_count(const Options& options) {
+  return Sizes{options}.servers(200, 50);
+}
+
+TestFleet::Options counter_fleet_options(const Options& options, std::size_t tenants) {
+  TestFleet::Options fleet_options = test_fleet_options(options, kGateways, server_count(options));
+  fleet_options.with_counter = true;
+  fleet_options.fleet.tenants_per_gateway = tenants;
+  return fleet_options;
+}
+
+void meet_tenants(TestFleet& test_fleet, std::size_t tenants) {
+  test_fleet.fleet().set_request_rate(kMeetingRequestsPerS);
+  const auto requests = std::uint64_t(double(tenants * kGateways) * kMeetingRequests);
+  const bool all_met = test_fleet.fleet().wait_until(
+      [&](const FleetState& state) { return state.requests >= requests; }, kConvergenceTimeout);
+  if (!all_met) {
+    throw std::runtime_error("requests come too slowly");
+  }
+}
+
+void measure_tenants(const Options& options, const FigureRecorder& recorder, std::size_t tenants) {
+  TestFleet test_fleet(counter_fleet_options(options, tenants));
+  start_and_converge(test_fleet);
+  const std::uint64_t allocated_before = allocated_bytes();
+  meet_tenants(test_fleet, tenants);
+  test_fleet.fleet().set_request_rate(Target{}.requests_per_s / double(Target{}.gateways));
+  sleep_for(Sizes{options}.window(3, 0.3));  // until what the fast requests left is over
+  const auto before = test_fleet.usage();
+  sleep_for(Sizes{options}.window(6, 0.5));
+  const auto usage = test_fleet.usage().since(before);
+  const auto allocated = double(allocated_bytes() - allocated_before);
+  const double gateway_seconds = usage.seconds() * double(kGateways);
+  const MeasuredSizes sizes = {{"tenants", double(tenants)}};
+  recorder.add("memory", sizes, allocated / double(kGateways) / 1e3, "KB/gateway");
+  recorder.add("gateway_cpu", sizes, double(usage.gateways_cpu) / gateway_seconds, "us/s/gateway");
+  recorder.add("module_cpu", sizes, double(usage.module_cpu) / gateway_seconds, "us/s/gateway");
+  recorder.add("calls", sizes, double(usage.counter.calls) / gateway_seconds, "1/s/gateway");
+}
+
+void run(const Options& options, Report& report) {
+  const FigureRecorder recorder(report, kScenario);
+  const ScenarioDeadline deadline(options, kDefaultSeconds);
+  for (const std::size_t divisor : {64, 16, 4, 1}) {
+    const std::size_t tenants = most_tenants(options) / divisor;
+    if (deadline.expired(report, kScenario, std::to_string(tenants) + " tenants")) {
+      break;
+    }
+    measure_tenants(options, recorder, tenants);
+  }
+  const int spread = FleetOptions{}.gateways_per_tenant;
+  const double tenants_met = double(Target{}.tenants) / double(Target{}.gateways) * spread;
+  recorder.fit({"memory", "gateway_cpu", "module_cpu", "calls"}, "tenants", tenants_met);
+  recorder.note("the target is a gateway's tenants where each comes through " +
+                std::to_string(spread) +
+                " gateways: assumed; calls still carry how fast they were met");
+}
+
+std::uint64_t memory(const Options& options) {
+  return fleet_memory(double(kGateways), double(server_count(options)),
+                      double(most_tenants(options)));
+}
+
+}  // namespace
+
+Scenario tenant_scenario() {
+  return {kScenario, "memory and processor time of a hollow gateway by tenants met", memory, run};
+}
+
+}  // namespace quota_gateway::scale
