--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <string>
 
-#include "support/loopback.hpp"
+#include "support/gateway_test_bed.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -18,9 +18,9 @@
 class AdminServerTest : public ::testing::Test {
  protected:
   AdminServerTest() {
-    rig.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
+    test_bed.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
   }
-  Client connect() { return {rig.io, *rig.driver->admin_address()}; }
+  Client connect() { return {test_bed.io, *test_bed.server->admin_address()}; }
   // The status of /ops/readiness.
   std::optional<int> readiness() {
     Client connection = connect();
@@ -51,31 +51,31 @@
     }
     return int(response->result_int());
   }
-  Rig rig;
-  FakeServer server_one{rig.io};
-  FakeServer server_two{rig.io};
+  GatewayTestBed test_bed;
+  FakeServer server_one{test_bed.io};
+  FakeServer server_two{test_bed.io};
 };
 
 TEST_F(AdminServerTest, DoesNotListenWithoutAConfiguredAddress) {
-  rig.config.admin_address.reset();
-  rig.start();
-  EXPECT_FALSE(rig.driver->admin_address());
+  test_bed.config.admin_address.reset();
+  test_bed.start();
+  EXPECT_FALSE(test_bed.server->admin_address());
 }
 
 // At a restart another process may still hold the admin address.
 TEST_F(AdminServerTest, AnAddressInUseDoesNotKeepTheGatewayFromServing) {
-  tcp::acceptor other_listener(rig.io, {asio::ip::address_v4::loopback(), 0}, false);
+  tcp::acceptor other_listener(test_bed.io, {asio::ip::address_v4::loopback(), 0}, false);
   const auto address = other_listener.local_endpoint();
-  rig.config.admin_address = address;
-  rig.know(member("s1", server_one));
-  rig.start();
-  Client connection = rig.client();
-  connection.send(get("a"));
+  test_bed.config.admin_address = address;
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.start();
+  Client connection = test_bed.client();
+  connection.send(get_request("a"));
   EXPECT_EQ(status(connection), 200);
   other_listener.close();
-  ASSERT_TRUE(rig.until([&] {
+  ASSERT_TRUE(test_bed.run_until([&] {
     error_code ec;
-    tcp::socket again(rig.io);
+    tcp::socket again(test_bed.io);
     again.connect(address, ec);
     return !ec;
   }));
@@ -83,27 +83,29 @@
 }
 
 TEST_F(AdminServerTest, IsReadyFromTheFirstEndpointUntilItDrains) {
-  rig.discovery.mute = true;
-  rig.start();
+  test_bed.discovery.unresponsive = true;
+  test_bed.start();
   EXPECT_EQ(readiness(), 503);
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
-  rig.discovery.raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  rig.discovery.tell(list(42, true, entry("s1", server_one.text(), "draining")));
-  ASSERT_TRUE(rig.until([&] { return stat("targets") == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
+  test_bed.discovery.send_raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+  test_bed.discovery.send_chunk(
+      list_json(42, true, entry_json("s1", server_one.host_port(), "draining")));
+  ASSERT_TRUE(test_bed.run_until([&] { return stat("targets") == 1; }));
   EXPECT_EQ(readiness(), 503);
   EXPECT_EQ(stat("targets_disabled"), 1);
-  rig.discovery.tell(list(43, false, entry("s2", server_two.text())));
-  ASSERT_TRUE(rig.until([&] { return stat("targets") == 2; }));
+  test_bed.discovery.send_chunk(list_json(43, false, entry_json("s2", server_two.host_port())));
+  ASSERT_TRUE(test_bed.run_until([&] { return stat("targets") == 2; }));
   EXPECT_EQ(readiness(), 200);
-  rig.discovery.tell(list(44, false, entry("s1", server_one.text(), "removed")));
-  ASSERT_TRUE(rig.until([&] { return stat("targets") == 1; }));
+  test_bed.discovery.send_chunk(
+      list_json(44, false, entry_json("s1", server_one.host_port(), "removed")));
+  ASSERT_TRUE(test_bed.run_until([&] { return stat("targets") == 1; }));
   EXPECT_EQ(stat("targets_disabled"), 0);
-  rig.driver->drain([] {});
+  test_bed.server->drain([] {});
   EXPECT_EQ(readiness(), 503);
 }
 
 TEST_F(AdminServerTest, RejectsAndClosesInvalidRequests) {
-  rig.start();
+  test_bed.start();
   const std::map<std::string, int> status_by_request = {
       {"nonsense\r\n\r\n", 400},
       {"GET /ops/nothing HTTP/1.1\r\nHost: x\r\n\r\n", 404},
@@ -122,38 +124,39 @@
 }
 
 TEST_F(AdminServerTest, IncompleteRequestsDoNotKeepOthersOut) {
-  rig.know(member("s1", server_one));
-  rig.start();
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.start();
   std::list<Client> slow_connections;
   for (std::size_t i = 0; i < 3 * kMaxAdminConnections; ++i) {
-    slow_connections.emplace_back(rig.io, *rig.driver->admin_address()).send("GET /ops/sta");
+    slow_connections.emplace_back(test_bed.io, *test_bed.server->admin_address())
+        .send("GET /ops/sta");
     EXPECT_EQ(stat("targets"), 1);
   }
   EXPECT_TRUE(slow_connections.front().ended());
 }
 
 TEST_F(AdminServerTest, ClientsThatUseEveryConnectionDoNotKeepOperatorsOut) {
-  rig.know(member("s1", server_one));
-  rig.config.max_sockets = 64;
-  rig.start();
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.config.max_sockets = 64;
+  test_bed.start();
   std::list<Client> client_connections;
   for (int i = 0; i < 100; ++i) {
-    client_connections.emplace_back(rig.client()).send("GET /profile");
+    client_connections.emplace_back(test_bed.client()).send("GET /profile");
   }
   EXPECT_EQ(stat("targets"), 1);
 }
 
 TEST_F(AdminServerTest, CountsEachRequestInOneFigure) {
-  rig.config.settings.plans[0].quota_rate = 2;
-  rig.config.settings.plans[0].quota_burst = 3;
-  rig.config.settings.gateway_count = 3;
-  rig.know(member("s1", server_one));
-  rig.start();
+  test_bed.config.settings.plans[0].quota_rate = 2;
+  test_bed.config.settings.plans[0].quota_burst = 3;
+  test_bed.config.settings.gateway_count = 3;
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.start();
   int served = 0;
   int rejected = 0;
   for (int i = 0; i < 8; ++i) {
-    Client connection = rig.client();
-    connection.send(get(label("t", i)));
+    Client connection = test_bed.client();
+    connection.send(get_request(numbered("t", i)));
     if (status(connection) == 200) {
       ++served;
     } else {
@@ -171,18 +174,20 @@
 }
 
 TEST_F(AdminServerTest, CountsAnAbandonedRequestAsConcurrentThenAsAnError) {
-  std::shared_ptr<Peer> held;
-  server_one.on_request = [&](Peer& peer, const Request_&) { held = peer.shared_from_this(); };
-  rig.know(member("s1", server_one));
-  rig.start();
+  std::shared_ptr<PeerConnection> held;
+  server_one.on_request = [&](PeerConnection& peer, const HttpRequest&) {
+    held = peer.shared_from_this();
+  };
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.start();
   {
-    Client connection = rig.client();
-    connection.send(get("t"));
-    ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
+    Client connection = test_bed.client();
+    connection.send(get_request("t"));
+    ASSERT_TRUE(test_bed.run_until([&] { return held != nullptr; }));
     EXPECT_EQ(stat("concurrent"), 1);
     EXPECT_EQ(stat("dispatches"), 1);
   }
-  ASSERT_TRUE(rig.until([&] { return held->over; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return held->closed; }));
   EXPECT_EQ(stat("concurrent"), 0);
   EXPECT_EQ(stat("replies.profile-read.error"), 1);
   EXPECT_EQ(stat("replies.profile-read.success"), 0);
@@ -190,13 +195,15 @@
 }
 
 TEST_F(AdminServerTest, CountsAnEjectedServerAsDisabledAndItsRequestsAsErrors) {
-  server_one.on_request = [](Peer& peer, const Request_&) { peer.write(reply("500 Oops")); };
-  rig.config.settings.classes[0].idempotency = Idempotency::kNonIdempotent;
-  rig.know(member("s1", server_one));
-  rig.start();
+  server_one.on_request = [](PeerConnection& peer, const HttpRequest&) {
+    peer.write(http_response("500 Oops"));
+  };
+  test_bed.config.settings.classes[0].idempotency = Idempotency::kNonIdempotent;
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.start();
   for (int i = 0; i < 3; ++i) {
-    Client connection = rig.client();
-    std::string text = post(label("t", i));
+    Client connection = test_bed.client();
+    std::string text = post_request(numbered("t", i));
     text.replace(text.find("intro-request"), 13, "profile-read");
     connection.send(text);
     EXPECT_EQ(status(connection), 502);
@@ -208,27 +215,31 @@
 }
 
 TEST_F(AdminServerTest, RejectsADroppedClassAndStillCountsItsOpenRequests) {
-  std::shared_ptr<Peer> held;
-  server_one.on_request = [&](Peer& peer, const Request_&) { held = peer.shared_from_this(); };
-  rig.know(member("s1", server_one));
-  rig.start();
-  Client open = rig.client();
-  open.send(get("t"));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
-  GatewayConfig renamed = rig.config;
+  std::shared_ptr<PeerConnection> held;
+  server_one.on_request = [&](PeerConnection& peer, const HttpRequest&) {
+    held = peer.shared_from_this();
+  };
+  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.start();
+  Client open = test_bed.client();
+  open.send(get_request("t"));
+  ASSERT_TRUE(test_bed.run_until([&] { return held != nullptr; }));
+  GatewayConfig renamed = test_bed.config;
   renamed.settings.classes[0].name = "profile-next";
-  rig.driver->reload(renamed);
+  test_bed.server->reload(renamed);
   EXPECT_EQ(stat("replies.profile-next.success"), 0);
-  Client late = rig.client();
-  late.send(get("u"));
+  Client late = test_bed.client();
+  late.send(get_request("u"));
   EXPECT_EQ(status(late), 400);
-  held->write(reply("200 OK"));
+  held->write(http_response("200 OK"));
   EXPECT_EQ(status(open), 200);
   EXPECT_EQ(stat("replies.profile-read.success"), 1);
   EXPECT_EQ(stat("replies.profile-read.error"), 0);
-  server_one.on_request = [](Peer& peer, const Request_&) { peer.write(reply("200 OK")); };
-  Client next = rig.client();
-  std::string text = get("v");
+  server_one.on_request = [](PeerConnection& peer, const HttpRequest&) {
+    peer.write(http_response("200 OK"));
+  };
+  Client next = test_bed.client();
+  std::string text = get_request("v");
   text.replace(text.find("profile-read"), 12, "profile-next");
   next.send(text);
   EXPECT_EQ(status(next), 200);
@@ -236,10 +247,10 @@
 }
 
 TEST_F(AdminServerTest, CountsAcceptedAndRejectedReloads) {
-  rig.start();
-  rig.driver->reload(rig.config);
-  rig.driver->on_reload_rejected();
-  rig.driver->on_reload_rejected();
+  test_bed.start();
+  test_bed.server->reload(test_bed.config);
+  test_bed.server->on_reload_rejected();
+  test_bed.server->on_reload_rejected();
   EXPECT_EQ(stat("reload_success"), 1);
   EXPECT_EQ(stat("reload_failure"), 2);
 }
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -5,7 +5,8 @@
 #include <sstream>
 
 #include "net/config/config_key_check.hpp"
-#include "support/process.hpp"
+#include "support/gateway_process.hpp"
+#include "support/gateway_test_bed.hpp"
 #include "support/process_figures.hpp"
 
 namespace quota_gateway::net::testing {
@@ -91,12 +92,12 @@
   FakeServer server(io);
   FakeDiscovery discovery(io);
   const auto port = free_port(io);
-  const std::string text = config(port, server, discovery, "", fleet(170'000));
+  const std::string text = config_json(port, server, discovery, "", fleet(170'000));
   Process process(text);
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   const std::size_t after_parsing = memory_of(process.id(), "VmHWM");
   EXPECT_LT(after_parsing, kMemoryFactor * 80 << 20);
-  ASSERT_TRUE(until(io, [&] {
+  ASSERT_TRUE(run_until(io, [&] {
     Client client(io, {asio::ip::address_v4::loopback(), port});
     client.send("GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
     const auto response = client.receive();
@@ -118,7 +119,7 @@
   FakeDiscovery discovery(io);
   const auto port = free_port(io);
   const std::string members = fleet(20'000);
-  Process process(config(port, server, discovery, "", members));
+  Process process(config_json(port, server, discovery, "", members));
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = members;
@@ -127,11 +128,11 @@
   for (const std::string& broken :
        {edited(R"("cell":31,)", ""), edited(R"("size":1.0)", R"("size":"1.0")"),
         edited(R"("phase":"up")", R"("phase":"odd")"), edited(R"("id":)", R"("name":)")}) {
-    process.configure(config(port, server, discovery, "", broken));
+    process.configure(config_json(port, server, discovery, "", broken));
     process.hang_up();
     ASSERT_NE(process.log_until("configuration").find("kept"), std::string::npos);
   }
-  process.configure(config(port, server, discovery, "", members));
+  process.configure(config_json(port, server, discovery, "", members));
   process.hang_up();
   ASSERT_NE(process.log_until("configuration").find("reloaded"), std::string::npos);
 }
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "support/loopback.hpp"
+#include "support/gateway_test_bed.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -22,7 +22,7 @@
     const auto expected_replies = replies.size() + 1;
     counter->add({name, amount, 4'000'000});
     EXPECT_EQ(replies.size(), expected_replies - 1);  // never from within the call
-    EXPECT_TRUE(until(io, [&] { return replies.size() == expected_replies; }));
+    EXPECT_TRUE(run_until(io, [&] { return replies.size() == expected_replies; }));
     return replies.empty() ? CounterReply{} : replies.back();
   }
   // Calls until one succeeds: the client reconnects after a backoff of its own.
@@ -80,9 +80,9 @@
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->silent = true;
   counter->add({1, 1, 4'000'000});
-  ASSERT_TRUE(until(io, [&] { return fake->calls.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake->calls.size() == 2; }));
   fake->last->reset();
-  ASSERT_TRUE(until(io, [&] { return replies.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return replies.size() == 2; }));
   EXPECT_EQ(replies[1].outcome, CounterOutcome::kUnknown);
 }
 
@@ -94,7 +94,7 @@
   fake->silent = false;
   counter->add({3, 5, 4'000'000});
   fake->last->write("$3\r\n222\r\n");  // the reply to call 2, after its time-out
-  ASSERT_TRUE(until(io, [&] { return replies.size() == 3; }));
+  ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].name, 3);
   // A machine that pauses the test for longer than a call's time-out has the call time out instead.
   if (replies[2].outcome == CounterOutcome::kOk) {
@@ -109,7 +109,7 @@
   fake->silent = true;
   const auto connections_before = fake->peers.size();
   EXPECT_EQ(add(1).outcome, CounterOutcome::kUnknown);
-  ASSERT_TRUE(until(io, [&] { return fake->peers.size() > connections_before; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake->peers.size() > connections_before; }));
   EXPECT_LE(fake->peers.size(), connections_before + 2);  // reconnects with a backoff
   fake->silent = false;
   EXPECT_TRUE(next_call_succeeds_eventually());
@@ -119,7 +119,7 @@
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->stop();
-  ASSERT_TRUE(until(io, [&] { return add(1).outcome == CounterOutcome::kNotAdded; }));
+  ASSERT_TRUE(run_until(io, [&] { return add(1).outcome == CounterOutcome::kNotAdded; }));
   fake.reset();
   fake.emplace(io, address);
   EXPECT_TRUE(next_call_succeeds_eventually());
@@ -147,14 +147,14 @@
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->silent = true;
   counter->add({1, 4, 4'000'000});
-  ASSERT_TRUE(until(io, [&] { return fake->calls.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake->calls.size() == 2; }));
   counter->close_when_idle();
   EXPECT_EQ(add(2).outcome, CounterOutcome::kNotAdded);  // accepts no further calls
   fake->last->write("$1\r\n5\r\n");
-  ASSERT_TRUE(until(io, [&] { return replies.size() == 3; }));
+  ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].outcome, CounterOutcome::kOk);
   EXPECT_DOUBLE_EQ(replies[2].total, 5);
-  EXPECT_TRUE(until(io, [&] { return fake->peers[0]->over; }));
+  EXPECT_TRUE(run_until(io, [&] { return fake->peers[0]->closed; }));
   EXPECT_EQ(fake->peers.size(), 1U);
 }
 
@@ -164,7 +164,7 @@
   fake->silent = true;
   counter->add({1, 4, 4'000'000});
   counter->close_when_idle();
-  EXPECT_TRUE(until(io, [&] { return fake->last->over; }));
+  EXPECT_TRUE(run_until(io, [&] { return fake->last->closed; }));
 }
 
 TEST_F(CounterClientTest, AnInvalidReplyLeavesItsCallUnknownAndTheNextConnectionWorks) {
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -3,7 +3,7 @@
 
 #include <gtest/gtest.h>
 
-#include "support/loopback.hpp"
+#include "support/gateway_test_bed.hpp"
 #include "support/process_figures.hpp"
 
 namespace quota_gateway::net::testing {
@@ -181,7 +181,7 @@
   // Prints the time and the memory that it takes.
   constexpr std::size_t kChunkSize = 16384;
   const auto cost = [](int members) {
-    std::string text = list(1, true, fleet(members));
+    std::string text = list_json(1, true, fleet(members));
     text.pop_back();
     const std::size_t bytes = text.size();
     const std::size_t before = resident();
--- a/tests/net/discovery/list_intake_test.cpp
+++ b/tests/net/discovery/list_intake_test.cpp
@@ -3,7 +3,7 @@
 
 #include "net/discovery/discovery_client.hpp"
 #include "support/bytes_sent.hpp"
-#include "support/loopback.hpp"
+#include "support/gateway_test_bed.hpp"
 #include "support/process_figures.hpp"
 
 namespace quota_gateway::net::testing {
@@ -43,7 +43,7 @@
   std::vector<Micros> requested_at;
 
  protected:
-  void took(Peer& peer, std::string& pending) override {
+  void on_input(PeerConnection& peer, std::string& pending) override {
     if (pending.find("\r\n\r\n") == std::string::npos) {
       return;
     }
@@ -55,7 +55,7 @@
   }
 
  private:
-  void write(const std::shared_ptr<Peer>& peer, std::string bytes, Pieces next) {
+  void write(const std::shared_ptr<PeerConnection>& peer, std::string bytes, Pieces next) {
     auto owned_bytes = std::make_unique<std::string>(std::move(bytes));
     const auto buffer = asio::buffer(*owned_bytes);
     asio::async_write(peer->socket, buffer,
@@ -69,7 +69,7 @@
                       });
   }
 
-  void write_next(const std::shared_ptr<Peer>& peer, Pieces next) {
+  void write_next(const std::shared_ptr<PeerConnection>& peer, Pieces next) {
     const std::string piece = next();
     if (piece.empty()) {
       return;
@@ -82,7 +82,7 @@
     });
   }
 
-  void on_write_failed(Peer& peer) {
+  void on_write_failed(PeerConnection& peer) {
     if (peer.socket.is_open()) {
       bytes_on_closed_connections_ += bytes_sent(peer.socket.native_handle());
       peer.close();
@@ -101,7 +101,8 @@
 
 // A list whose entries have no end.
 ListAgent::Pieces endless(std::int64_t revision, bool complete = true) {
-  return [beginning = list(revision, complete, ""), entries = fleet(100), first = true]() mutable {
+  return [beginning = list_json(revision, complete, ""), entries = fleet(100),
+          first = true]() mutable {
     if (!std::exchange(first, false)) {
       return ',' + entries;
     }
@@ -146,7 +147,7 @@
   void run(Micros duration) {
     bool over = false;
     timers.after(duration, [&] { over = true; });
-    ASSERT_TRUE(until(io, [&] { return over; }));
+    ASSERT_TRUE(run_until(io, [&] { return over; }));
   }
 
   asio::io_context io;
@@ -159,14 +160,14 @@
 
 TEST_F(ListIntakeTest, AcceptsAListOf170000AtTheFirstRequest) {
   // A list that is rejected for its size or its duration would be sent again, 20 times a second.
-  const std::string text = list(50, true, fleet(170'000));
+  const std::string text = list_json(50, true, fleet(170'000));
   agent.respond = [all = in_pieces(text, 16384)](const std::string&) { return all; };
   const std::size_t before = resident();
   const auto processor_time_before = processor_time();
   Micros turn_began_at = clock.now();
   Micros longest_turn = 0;
   start();
-  ASSERT_TRUE(until(io, [&] {
+  ASSERT_TRUE(run_until(io, [&] {
     const Micros now = clock.now();
     longest_turn = std::max(longest_turn, now - turn_began_at);
     turn_began_at = now;
@@ -185,7 +186,7 @@
 }
 
 TEST_F(ListIntakeTest, ALargeListThatBreaksOffHasNoEffectAndIsRequestedAtOnce) {
-  const std::string text = list(50, true, fleet(60'000));
+  const std::string text = list_json(50, true, fleet(60'000));
   agent.respond = [&](const std::string&) -> ListAgent::Pieces {
     if (agent.requests.size() > 1) {
       return in_pieces(text, 16384);
@@ -193,9 +194,9 @@
     return in_pieces(text.substr(0, text.size() / 2) + "\n", 16384);
   };
   start();
-  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() == 2; }));
   EXPECT_TRUE(updates.empty());
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 60'000U);
   EXPECT_EQ(agent.requests.size(), 2U);
   EXPECT_EQ(agent.requests.back(), "/catalog/members?watch=1");
@@ -230,23 +231,25 @@
   agent.respond = [](const std::string&) { return endless(50); };
   start(accelerated_limits());
   run(500'000);
-  agent.respond = [](const std::string&) { return once(list(51, true, fleet(200))); };
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.respond = [](const std::string&) { return once(list_json(51, true, fleet(200))); };
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 200U);
   // And one of any size: of the same revision too, since a list that broke once may be correct now.
   updates.clear();
   agent.respond = [](const std::string&) { return endless(52); };
   agent.hang_up();
   run(500'000);
-  agent.respond = [](const std::string&) { return in_pieces(list(52, true, fleet(1'500)), 16384); };
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  agent.respond = [](const std::string&) {
+    return in_pieces(list_json(52, true, fleet(1'500)), 16384);
+  };
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 1'500U);
   // All failures are forgotten: a list that breaks now is requested at once.
   agent.respond = [](const std::string&) { return once("\n"); };
   const auto requests_before = agent.requests.size();
   agent.hang_up();
   const Micros broke_off_at = clock.now();
-  ASSERT_TRUE(until(io, [&] { return agent.requests.size() > requests_before; }));
+  ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() > requests_before; }));
   EXPECT_LT(clock.now() - broke_off_at, 250'000);
 }
 
@@ -264,10 +267,10 @@
     if (target.find("after=") == std::string::npos) {
       return endless(50);
     }
-    return in_pieces(list(51, false, fleet(24'000)), 16384);
+    return in_pieces(list_json(51, false, fleet(24'000)), 16384);
   };
   const Micros available_at = clock.now();
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   std::cout << "24000 changes accepted after " << clock.now() - available_at << " us and "
             << agent.requests.size() - requests_before << " requests\n";
   EXPECT_EQ(updates[0].endpoints.size(), 24'000U);
@@ -281,11 +284,11 @@
       if (target.find("after=") == std::string::npos) {
         return endless(52);
       }
-      return once(list(revision, false, entry("s1", "127.0.0.1:9", "draining")));
+      return once(list_json(revision, false, entry_json("s1", "127.0.0.1:9", "draining")));
     };
     updates.clear();
     agent.hang_up();
-    ASSERT_TRUE(until(io, [&] { return !updates.empty(); }));
+    ASSERT_TRUE(run_until(io, [&] { return !updates.empty(); }));
     EXPECT_EQ(updates[0].revision, revision);
   }
 }
@@ -305,18 +308,18 @@
   // The limit depends on the gateway's memory: 1 MB is too little for 2,000 endpoints, 32 MB are
   // not.
   for (const std::size_t memory_mb : {1, 32}) {
-    Rig rig;
-    FakeServer server(rig.io);
-    rig.know(member("s1", server));
-    rig.config.memory_limit_mb = memory_mb;
-    rig.discovery.first = list(42, true, fleet(2'000));
+    GatewayTestBed test_bed;
+    FakeServer server(test_bed.io);
+    test_bed.add_persisted(listed_endpoint("s1", server));
+    test_bed.config.memory_limit_mb = memory_mb;
+    test_bed.discovery.first = list_json(42, true, fleet(2'000));
     ::testing::internal::CaptureStderr();
-    GatewayServer& gateway = rig.start();
+    GatewayServer& gateway = test_bed.start();
     const auto accepted = [&] {
       return gateway.render_stats().find("app.targets=2000\n") != std::string::npos;
     };
-    const auto rejected = [&] { return rig.discovery.asked.size() > 3; };
-    ASSERT_TRUE(rig.until([&] { return accepted() || rejected(); }));
+    const auto rejected = [&] { return test_bed.discovery.requests.size() > 3; };
+    ASSERT_TRUE(test_bed.run_until([&] { return accepted() || rejected(); }));
     const std::string log = ::testing::internal::GetCapturedStderr();
     EXPECT_EQ(accepted(), memory_mb == 32) << log;
     EXPECT_EQ(rejected(), memory_mb == 1) << log;
@@ -328,14 +331,14 @@
 
 TEST_F(ListIntakeTest, RejectsAListThatTricklesAndRequestsItLessAndLessOften) {
   // It always has another byte, and would otherwise be requested 20 times a second.
-  agent.respond = [](const std::string&) { return in_pieces(list(50, true, fleet(100)), 1); };
+  agent.respond = [](const std::string&) { return in_pieces(list_json(50, true, fleet(100)), 1); };
   agent.pause = 5'000;
   ListLimits limits;
   limits.max_unfinished_lists = 3;
   start(limits);
-  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() == 2; }));
   EXPECT_LT(agent.requested_at[1] - agent.requested_at[0], 2'000'000);
-  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 12; }));
+  ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() == 12; }));
   // 0.8 s with waits that don't grow.
   EXPECT_GT(agent.requested_at[11] - agent.requested_at[7], 2'000'000);
   EXPECT_TRUE(updates.empty());
@@ -354,19 +357,19 @@
     };
   };
   start();
-  ASSERT_TRUE(until(io, [&] { return agent.pause > 0; }));
+  ASSERT_TRUE(run_until(io, [&] { return agent.pause > 0; }));
   const Micros trickles_since = clock.now();
-  ASSERT_TRUE(until(io, [&] { return agent.requests.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() == 2; }));
   EXPECT_LT(clock.now() - trickles_since, 4'000'000);
   EXPECT_TRUE(updates.empty());
 }
 
 TEST_F(ListIntakeTest, ALargeListMayTakeLongerThanASmallOne) {
-  const std::string text = list(50, true, fleet(10'000));
+  const std::string text = list_json(50, true, fleet(10'000));
   agent.respond = [&](const std::string&) { return in_pieces(text, 32768); };
   agent.pause = 8'000;  // 43 times: past 150 ms and well over half a MB a second
   start();
-  ASSERT_TRUE(until(io, [&] { return updates.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(agent.requests.size(), 1U);
 }
 
--- a/tests/net/hot_restart/hot_restart_test.cpp
+++ b/tests/net/hot_restart/hot_restart_test.cpp
@@ -12,7 +12,8 @@
 #include <string_view>
 
 #include "net/hot_restart/packet_socket.hpp"
-#include "support/process.hpp"
+#include "support/gateway_process.hpp"
+#include "support/gateway_test_bed.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -22,13 +23,13 @@
   HotRestartTest() {
     directory = "/tmp/quota-gateway-folder-XXXXXX";
     EXPECT_NE(::mkdtemp(directory.data()), nullptr);
-    discovery.first = list(42, true, entry("s1", server.text()));
+    discovery.first = list_json(42, true, entry_json("s1", server.host_port()));
   }
   ~HotRestartTest() override { std::filesystem::remove_all(directory); }
   std::string socket_file() const { return directory + "/cottonroad.sock"; }
   std::string config_with_admin_port(std::uint16_t admin_port) {
-    return config(port, server, discovery,
-                  R"("mgmt":"127.0.0.1:)" + std::to_string(admin_port) + R"(",)");
+    return config_json(port, server, discovery,
+                       R"("mgmt":"127.0.0.1:)" + std::to_string(admin_port) + R"(",)");
   }
   // Whether the process with that admin port reports that it serves clients.
   bool ready(std::uint16_t admin_port) {
@@ -41,7 +42,7 @@
   // came in time.
   OwnedDescriptor accept_child(const OwnedDescriptor& listening_socket) {
     OwnedDescriptor link;
-    EXPECT_TRUE(until(io, [&] {
+    EXPECT_TRUE(run_until(io, [&] {
       link = accept_packet_socket(listening_socket.get());
       return link.is_open();
     }));
@@ -55,7 +56,7 @@
   };
   // None: the connection ended without a response.
   std::optional<RequestResult> send_request(Client& connection) {
-    connection.send(get(label("t", ++last_request)));
+    connection.send(get_request(numbered("t", ++last_request)));
     const auto response = connection.receive();
     if (!response) {
       return std::nullopt;
@@ -71,7 +72,7 @@
       if (result && result->status == 200) {
         ++served;
       } else {
-        ADD_FAILURE() << (result ? label("status ", result->status) : "no response");
+        ADD_FAILURE() << (result ? numbered("status ", result->status) : "no response");
       }
     }
     return served;
@@ -90,24 +91,24 @@
 TEST_F(HotRestartTest, NoConnectionIsLostBetweenParentAndChild) {
   Process parent(config_with_admin_port(parent_admin_port), directory);
   parent.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   Client used_connection = client();
   Client idle_connection = client();
   EXPECT_EQ(send_request(used_connection), (RequestResult{200, true}));
   EXPECT_EQ(send_request(idle_connection), (RequestResult{200, true}));
   Process child(config_with_admin_port(child_admin_port), directory);
   child.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(child_admin_port); }));
+  ASSERT_TRUE(run_until(io, [&] { return ready(child_admin_port); }));
   EXPECT_EQ(count_served(2), 2);
   // The parent's connections are answered and closed there, so that clients reconnect to the child.
-  ASSERT_TRUE(until(io, [&] { return !ready(parent_admin_port); }));
+  ASSERT_TRUE(run_until(io, [&] { return !ready(parent_admin_port); }));
   EXPECT_EQ(send_request(used_connection), (RequestResult{200, false}));
   EXPECT_TRUE(used_connection.ended());
   // A client that connects while the parent ends and the child is stopped waits in the queue of the
   // listening socket, which both share.
   child.kill(SIGSTOP);
   Client waiting_client = client();
-  waiting_client.send(get("waiting"));
+  waiting_client.send(get_request("waiting"));
   parent.terminate();
   EXPECT_EQ(parent.exit_code(), 0);
   EXPECT_TRUE(idle_connection.ended());
@@ -124,13 +125,13 @@
 TEST_F(HotRestartTest, TheParentServesUntilTheChildIsReady) {
   Process parent(config_with_admin_port(parent_admin_port), directory);
   parent.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
-  FakeDiscovery mute_discovery(io);
-  mute_discovery.mute = true;
+  ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
+  FakeDiscovery unresponsive_discovery(io);
+  unresponsive_discovery.unresponsive = true;
   FakeServer unused_server(io);
   std::string config_without_endpoints =
-      config(port, unused_server, mute_discovery,
-             R"("mgmt":"127.0.0.1:)" + std::to_string(child_admin_port) + R"(",)");
+      config_json(port, unused_server, unresponsive_discovery,
+                  R"("mgmt":"127.0.0.1:)" + std::to_string(child_admin_port) + R"(",)");
   const std::string phase = R"("phase":"up")";
   config_without_endpoints.replace(config_without_endpoints.find(phase), phase.size(),
                                    R"("phase":"draining")");
@@ -150,10 +151,10 @@
 TEST_F(HotRestartTest, AChildServesOnWhenItsParentDies) {
   Process parent(config_with_admin_port(parent_admin_port), directory);
   parent.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   Process child(config_with_admin_port(child_admin_port), directory);
   child.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(child_admin_port); }));
+  ASSERT_TRUE(run_until(io, [&] { return ready(child_admin_port); }));
   parent.kill(SIGKILL);
   EXPECT_EQ(count_served(3), 3);
   // Their socket file is still there. A process that starts after both have ended listens on its
@@ -163,7 +164,7 @@
   ASSERT_TRUE(std::filesystem::exists(socket_file()));
   Process grandchild(config_with_admin_port(parent_admin_port), directory);
   grandchild.log_until("ready");
-  ASSERT_TRUE(until(io, [&] { return ready(parent_admin_port); }));
+  ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   EXPECT_EQ(count_served(1), 1);
 }
 
@@ -171,7 +172,7 @@
   const auto starts = [&] {
     Process process(config_with_admin_port(parent_admin_port), directory);
     process.log_until("ready");
-    return until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1;
+    return run_until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1;
   };
   std::ofstream(socket_file()) << "text";
   EXPECT_TRUE(starts()) << "a file";
@@ -193,7 +194,7 @@
       send_packet(link.get(), foreign_packet);
     }
     process.log_until("ready");
-    EXPECT_TRUE(until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1)
+    EXPECT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1)
         << "a foreign process that sends: " << foreign_packet;
   }
 }
@@ -211,7 +212,7 @@
   ASSERT_TRUE(send_packet(link.get(), "cottonroad/1 welcome", listener.native_handle()));
   ASSERT_NE(child.log_until("1 other processes").find("1 other"), std::string::npos);
   std::string ready_packet;
-  ASSERT_TRUE(until(io, [&] {
+  ASSERT_TRUE(run_until(io, [&] {
     ready_packet = receive_packet(link.get()).text;
     return !ready_packet.empty();
   }));
--- a/tests/net/server/client_connections_test.cpp
+++ b/tests/net/server/client_connections_test.cpp
@@ -16,42 +16,42 @@
 using ClientDisconnectCost = LongLatencyObjectiveTest;
 
 TEST_F(ServerClientConnections, ClosesSilentClientsAndAnswersSlowOnesWithTimeout) {
-  rig.start();
-  Client silent = rig.client();
-  Client half = rig.client();
-  half.send(get("a").substr(0, 60));
+  test_bed.start();
+  Client silent = test_bed.client();
+  Client half = test_bed.client();
+  half.send(get_request("a").substr(0, 60));
   EXPECT_EQ(status(half), 408);
   EXPECT_TRUE(silent.ended());
 }
 
 TEST_F(ServerClientConnections, SilentConnectionsDoNotBlockNewClients) {
-  rig.config.max_sockets = 64;  // 32 clients
-  rig.know(member("s1", server1));
-  rig.start();
-  Client served = rig.client();
-  served.send(get("a"));
+  test_bed.config.max_sockets = 64;  // 32 clients
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client served = test_bed.client();
+  served.send(get_request("a"));
   ASSERT_EQ(status(served), 200);
   std::deque<Client> silent_clients;
   for (int i = 0; i < 100; ++i) {
-    silent_clients.emplace_back(rig.io, rig.driver->address());
+    silent_clients.emplace_back(test_bed.io, test_bed.server->address());
     if (i % 2 == 0) {
       silent_clients.back().send("GET /prof");
     }
   }
-  Client late = rig.client();
-  late.send(get("b"));
+  Client late = test_bed.client();
+  late.send(get_request("b"));
   EXPECT_EQ(status(late), 200);
 }
 
 TEST_F(ServerClientConnections, AcceptsFragmentedAndPipelinedRequests) {
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
-  for (const char byte : post("a")) {
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
+  for (const char byte : post_request("a")) {
     client.send(std::string(1, byte));
   }
   EXPECT_EQ(status(client), 200);
-  client.send(get("b") + get("c"));
+  client.send(get_request("b") + get_request("c"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(status(client), 200);
 }
@@ -59,31 +59,31 @@
 // Without this, a load balancer whose connections to this gateway are all idle would find none for
 // its next requests.
 TEST_F(ServerClientConnections, ClientsThatIdleAfterOneRequestDoNotHoldAllConnections) {
-  rig.config.max_sockets = 64;
-  rig.know(member("s1", server1));
-  rig.start();
+  test_bed.config.max_sockets = 64;
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
   std::deque<Client> idle_clients;
   for (int i = 0; i < 12; ++i) {
-    idle_clients.push_back(rig.client());
-    idle_clients.back().send(get(label("t", i)));
+    idle_clients.push_back(test_bed.client());
+    idle_clients.back().send(get_request(numbered("t", i)));
     EXPECT_EQ(status(idle_clients.back()), 200);
   }
   // Long before its idle limit of 4 s; the connections that were used last are kept.
   EXPECT_TRUE(idle_clients.front().ended());
   for (int i = 8; i < 12; ++i) {
-    idle_clients[std::size_t(i)].send(get(label("u", i)));
+    idle_clients[std::size_t(i)].send(get_request(numbered("u", i)));
     EXPECT_EQ(status(idle_clients[std::size_t(i)]), 200);
   }
 }
 
 TEST_F(ServerClientConnections, EvictsIdleClientsForNewOnes) {
-  rig.config.max_sockets = 64;  // 32 clients
-  rig.know(member("s1", server1));
-  rig.start();
+  test_bed.config.max_sockets = 64;  // 32 clients
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
   std::deque<Client> clients;
   for (int i = 0; i < 40; ++i) {
-    clients.emplace_back(rig.io, rig.driver->address());
-    clients.back().send(get(label("t", i)));
+    clients.emplace_back(test_bed.io, test_bed.server->address());
+    clients.back().send(get_request(numbered("t", i)));
     EXPECT_EQ(status(clients.back()), 200) << i;
   }
   EXPECT_TRUE(clients.front().ended());
@@ -93,27 +93,27 @@
 TEST_F(PatientServerClientConnections, DoesNotEvictAClientWhoseRequestIsComplete) {
   std::list<FakeServer> servers;
   for (int i = 0; i < 60; ++i) {
-    rig.know(member(label("s", i), servers.emplace_back(rig.io)));
+    test_bed.add_persisted(listed_endpoint(numbered("s", i), servers.emplace_back(test_bed.io)));
   }
-  rig.config.max_sockets = 64;  // 24 clients
-  rig.start();
+  test_bed.config.max_sockets = 64;  // 24 clients
+  test_bed.start();
   std::vector<Client> early_clients;
   for (int i = 0; i < 24; ++i) {
-    early_clients.push_back(rig.client());
-    early_clients.back().send(get(label("c", i)).substr(0, 60));
+    early_clients.push_back(test_bed.client());
+    early_clients.back().send(get_request(numbered("c", i)).substr(0, 60));
   }
   // By then all of them are accepted, and the beginnings of their requests are read.
   for (int turn = 0; turn < 5; ++turn) {
-    rig.io.restart();
-    rig.io.poll();
+    test_bed.io.restart();
+    test_bed.io.poll();
   }
   std::vector<Client> new_clients;
   for (int i = 0; i < 3; ++i) {
-    new_clients.push_back(rig.client());
-    new_clients.back().send(get(label("m", i)));
+    new_clients.push_back(test_bed.client());
+    new_clients.back().send(get_request(numbered("m", i)));
   }
   for (std::size_t i = 0; i < early_clients.size(); ++i) {
-    early_clients[i].send(get(label("c", int(i))).substr(60));
+    early_clients[i].send(get_request(numbered("c", int(i))).substr(60));
   }
   for (Client& client : early_clients) {
     EXPECT_GE(status(client), 200);
@@ -131,15 +131,15 @@
 
 // Whether `server` has so many requests in progress.
 bool has_open_requests(const GatewayServer& server, int count) {
-  const std::string line = label("app.concurrent=", count) + "\n";
+  const std::string line = numbered("app.concurrent=", count) + "\n";
   return server.render_stats().find(line) != std::string::npos;
 }
 
 std::string request_for(const UnreadInput& input) {
   if (!input.uploads) {
-    return get("g");
+    return get_request("g");
   }
-  std::string text = post("u");
+  std::string text = post_request("u");
   const std::string length = "Length: 5";
   text.replace(text.find(length), length.size(), "Length: 900000");
   return text;
@@ -150,22 +150,23 @@
   const std::string ahead(200'000, 'x');
   for (const UnreadInput& input : {UnreadInput{true, true}, UnreadInput{true, false},
                                    UnreadInput{false, true}, UnreadInput{false, false}}) {
-    Rig held;  // forwards no request, since its discovery does not answer
+    GatewayTestBed held;  // forwards no request, since its discovery does not answer
     FakeServer server(held.io);
-    held.know(member("s1", server));
+    held.add_persisted(listed_endpoint("s1", server));
     for (ClassSettings& class_settings : held.config.settings.classes) {
       class_settings.latency_objective = 3'000'000;
     }
-    held.discovery.mute = true;
+    held.discovery.unresponsive = true;
     held.start();
     Client client = held.client();
     client.send(request_for(input));
-    ASSERT_TRUE(held.until([&] { return input.uploads || has_open_requests(*held.driver, 1); }));
+    ASSERT_TRUE(
+        held.run_until([&] { return input.uploads || has_open_requests(*held.server, 1); }));
     bool sent = false;
     asio::async_write(client.socket, asio::buffer(ahead),
                       [&](error_code, std::size_t) { sent = true; });
-    ASSERT_TRUE(
-        held.until([&] { return has_open_requests(*held.driver, 1) && (sent || input.uploads); }));
+    ASSERT_TRUE(held.run_until(
+        [&] { return has_open_requests(*held.server, 1) && (sent || input.uploads); }));
     if (input.resets) {
       client.socket.set_option(asio::socket_base::linger(true, 0));
     }
@@ -176,7 +177,7 @@
     if (input.uploads && !input.resets) {
       continue;
     }
-    ASSERT_TRUE(held.until([&] { return has_open_requests(*held.driver, 0); }));
+    ASSERT_TRUE(held.run_until([&] { return has_open_requests(*held.server, 0); }));
     EXPECT_LT(Clock().now() - disconnected_at, 300'000) << input.resets << input.uploads;
     EXPECT_TRUE(server.requests.empty()) << input.resets << input.uploads;
   }
--- a/tests/net/server/endpoint_lists_test.cpp
+++ b/tests/net/server/endpoint_lists_test.cpp
@@ -14,20 +14,21 @@
 using ServerEndpointLists = ManyEndpointsTest;
 
 TEST_F(ServerEndpointLists, AppliesChangesFromDiscovery) {
-  rig.know(member("s1", server1));
-  rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
-  rig.discovery.tell(
-      list(42, false, entry("s1", server1.text(), "draining") + "," + entry("s2", server2.text())));
-  Client client = rig.client();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
+  test_bed.discovery.send_chunk(list_json(42, false,
+                                          entry_json("s1", server1.host_port(), "draining") + "," +
+                                              entry_json("s2", server2.host_port())));
+  Client client = test_bed.client();
   // Until the change is in force. From then on the draining server gets nothing.
   for (int i = 0; server2.requests.empty() && i < 1000; ++i) {
-    client.send(get(label("t", i)));
+    client.send(get_request(numbered("t", i)));
     EXPECT_EQ(status(client), 200);
   }
   const auto before = server1.requests.size();
   for (int i = 0; i < 10; ++i) {
-    client.send(get(label("u", i)));
+    client.send(get_request(numbered("u", i)));
     EXPECT_EQ(status(client), 200);
   }
   EXPECT_EQ(server1.requests.size(), before);
@@ -38,22 +39,22 @@
 TEST_F(ServerEndpointLists, AppliesALargePersistedListCompletelyBeforeForwarding) {
   const int count = 5'000;
   for (int i = 0; i < count; ++i) {
-    rig.know(servers.member(label("n", i), i));
+    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
   }
-  rig.discovery.mute = true;
-  rig.start();
-  Client client = rig.client();
-  Client disconnected = rig.client();
-  client.send(get("a"));
-  disconnected.send(get("b"));
+  test_bed.discovery.unresponsive = true;
+  test_bed.start();
+  Client client = test_bed.client();
+  Client disconnected = test_bed.client();
+  client.send(get_request("a"));
+  disconnected.send(get_request("b"));
   disconnected.socket.close();
   std::size_t turns_between_slices = 0;
-  ASSERT_TRUE(rig.until([&] {
+  ASSERT_TRUE(test_bed.run_until([&] {
     const auto listed = figure("targets");
     if (listed > 0 && listed < std::uint64_t(count)) {
       ++turns_between_slices;
     }
-    const bool ready = rig.driver->is_ready();
+    const bool ready = test_bed.server->is_ready();
     if (listed < std::uint64_t(count)) {
       EXPECT_FALSE(ready);
       EXPECT_TRUE(servers.requests.empty());
@@ -69,22 +70,22 @@
   const int count = 3'000;
   std::string entries;
   for (int i = 0; i < count; ++i) {
-    entries += (i > 0 ? "," : "") + servers.entry(label("n", i), i);
+    entries += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i);
   }
-  rig.discovery.first = list(43, true, entries);
-  rig.start();
+  test_bed.discovery.first = list_json(43, true, entries);
+  test_bed.start();
   std::size_t turns_between_slices = 0;
   std::optional<Client> client;
-  ASSERT_TRUE(rig.until([&] {
+  ASSERT_TRUE(test_bed.run_until([&] {
     const auto listed = figure("targets");
     if (listed == 0 || listed == std::uint64_t(count)) {
-      return rig.driver->is_ready();
+      return test_bed.server->is_ready();
     }
     ++turns_between_slices;
     if (!client) {
-      client.emplace(rig.client()).send(get("a"));
+      client.emplace(test_bed.client()).send(get_request("a"));
     }
-    EXPECT_FALSE(rig.driver->is_ready());
+    EXPECT_FALSE(test_bed.server->is_ready());
     EXPECT_TRUE(servers.requests.empty());
     return false;
   }));
@@ -96,19 +97,20 @@
 TEST_F(ServerEndpointLists, AnswersRequestsWhileALargeListIsApplied) {
   const int count = 3'000;
   for (int i = 0; i < count; ++i) {
-    rig.know(servers.member(label("n", i), i));
+    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
   }
-  rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.driver->is_ready() && rig.discovery.asked.size() == 1; }));
+  test_bed.start();
+  ASSERT_TRUE(test_bed.run_until(
+      [&] { return test_bed.server->is_ready() && test_bed.discovery.requests.size() == 1; }));
   std::string entries;
   for (int i = 100; i < count; ++i) {
-    entries += (i > 100 ? "," : "") + servers.entry(label("n", i), i, "draining");
+    entries += (i > 100 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
   }
-  Client client = rig.client();
-  rig.discovery.tell(list(42, false, entries));
+  Client client = test_bed.client();
+  test_bed.discovery.send_chunk(list_json(42, false, entries));
   int answered_meanwhile = 0;
   for (int i = 0; figure("targets_disabled") < std::uint64_t(count - 100); ++i) {
-    client.send(get(label("t", i)));
+    client.send(get_request(numbered("t", i)));
     ASSERT_EQ(status(client), 200);
     if (figure("targets_disabled") > 0) {
       ++answered_meanwhile;
@@ -118,7 +120,7 @@
   // From here on the draining servers get nothing.
   const auto before = servers.peers.size();
   for (int i = 0; i < 50; ++i) {
-    client.send(get(label("u", i)));
+    client.send(get_request(numbered("u", i)));
     ASSERT_EQ(status(client), 200);
   }
   for (auto i = before; i < servers.peers.size(); ++i) {
@@ -129,20 +131,21 @@
 
 TEST_F(ServerEndpointLists, NewerListIsNotOverwrittenBySlicesOfAnOlderOne) {
   const int count = 2'000;
-  rig.know(member("s1", server1));
-  rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
   std::string accepting;
   std::string draining;
   for (int i = 0; i < count; ++i) {
-    accepting += (i > 0 ? "," : "") + servers.entry(label("n", i), i);
-    draining += (i > 0 ? "," : "") + servers.entry(label("n", i), i, "draining");
+    accepting += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i);
+    draining += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
   }
-  rig.discovery.tell(list(42, false, accepting) + list(43, false, draining));
-  ASSERT_TRUE(rig.until([&] { return figure("targets_disabled") == std::uint64_t(count); }));
-  Client client = rig.client();
+  test_bed.discovery.send_chunk(list_json(42, false, accepting) + list_json(43, false, draining));
+  ASSERT_TRUE(
+      test_bed.run_until([&] { return figure("targets_disabled") == std::uint64_t(count); }));
+  Client client = test_bed.client();
   for (int i = 0; i < 50; ++i) {
-    client.send(get(label("t", i)));
+    client.send(get_request(numbered("t", i)));
     ASSERT_EQ(status(client), 200);
   }
   EXPECT_EQ(server1.requests.size(), 50U);
--- a/tests/net/server/gateway_server_cost_test.cpp
+++ b/tests/net/server/gateway_server_cost_test.cpp
@@ -32,14 +32,14 @@
 // Sends one request after another on one connection, each once the one before it is answered.
 class ClosedLoopClient {
  public:
-  explicit ClosedLoopClient(Rig& rig) : client_(rig.client()) { send_next(); }
+  explicit ClosedLoopClient(GatewayTestBed& test_bed) : client_(test_bed.client()) { send_next(); }
 
   int answered() const { return answered_; }
   void close() { client_.socket.close(); }
 
  private:
   void send_next() {
-    client_.send(get(label("t", answered_)));
+    client_.send(get_request(numbered("t", answered_)));
     response_ = {};
     http::async_read(client_.socket, buffer_, response_, [this](error_code error, std::size_t) {
       EXPECT_FALSE(error);
@@ -62,22 +62,23 @@
   const int count = 60'000;
   const int zone = 24'000;
   for (int i = 0; i < count; ++i) {
-    rig.know(servers.member(label("n", i), i));
+    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
   }
-  rig.config.settings.gateway_count = 7'400;
-  rig.start();
-  ASSERT_TRUE(rig.until([&] { return rig.driver->is_ready() && rig.discovery.asked.size() == 1; }));
+  test_bed.config.settings.gateway_count = 7'400;
+  test_bed.start();
+  ASSERT_TRUE(test_bed.run_until(
+      [&] { return test_bed.server->is_ready() && test_bed.discovery.requests.size() == 1; }));
   std::string entries;
   for (int i = 0; i < zone; ++i) {
-    entries += (i > 0 ? "," : "") + servers.entry(label("n", i), i, "draining");
+    entries += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
   }
-  const std::string text = FakeDiscovery::chunk(list(42, false, entries));
-  asio::async_write(rig.discovery.peers.back()->socket, asio::buffer(text),
+  const std::string text = FakeDiscovery::chunk(list_json(42, false, entries));
+  asio::async_write(test_bed.discovery.peers.back()->socket, asio::buffer(text),
                     [](error_code, std::size_t) {});
-  ClosedLoopClient client(rig);
+  ClosedLoopClient client(test_bed);
   double longest_turn = 0;
   double total = 0;
-  ASSERT_TRUE(rig.until([&, last = cpu_us()]() mutable {
+  ASSERT_TRUE(test_bed.run_until([&, last = cpu_us()]() mutable {
     const double now = cpu_us();
     longest_turn = std::max(longest_turn, now - last);
     total += now - std::exchange(last, now);
@@ -94,28 +95,28 @@
 // Processor time from discovery's line to the decision module for one change among `count`
 // endpoints: the least of 19 means of 10 changes.
 double cost_of_one_change_us(const ManyEndpoints& servers, int count) {
-  Rig rig;
+  GatewayTestBed test_bed;
   for (int i = 0; i < count; ++i) {
-    rig.know(servers.member(label("n", i), i));
+    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
   }
-  rig.start();
-  const bool is_ready =
-      rig.until([&] { return rig.driver->is_ready() && !rig.discovery.asked.empty(); });
-  EXPECT_TRUE(is_ready) << rig.driver->is_ready() << " ready, watches "
-                        << rig.discovery.asked.size();
+  test_bed.start();
+  const bool is_ready = test_bed.run_until(
+      [&] { return test_bed.server->is_ready() && !test_bed.discovery.requests.empty(); });
+  EXPECT_TRUE(is_ready) << test_bed.server->is_ready() << " ready, watches "
+                        << test_bed.discovery.requests.size();
   double least = 1e9;
   int draining = 0;
   for (int run = 0; is_ready && run < 19; ++run) {
     const double began = cpu_us();
     for (int change = 0; change < 10; ++change) {
-      const std::string entry = servers.entry(label("n", draining), draining, "draining");
+      const std::string entry = servers.entry_json(numbered("n", draining), draining, "draining");
       ++draining;
-      rig.discovery.tell(list(42 + draining, false, entry));
-      const std::string line = label("app.targets_disabled=", draining) + "\n";
+      test_bed.discovery.send_chunk(list_json(42 + draining, false, entry));
+      const std::string line = numbered("app.targets_disabled=", draining) + "\n";
       const auto has_line = [&] {
-        return rig.driver->render_stats().find(line) != std::string::npos;
+        return test_bed.server->render_stats().find(line) != std::string::npos;
       };
-      if (!rig.until(has_line)) {
+      if (!test_bed.run_until(has_line)) {
         ADD_FAILURE() << "change " << draining << " was not applied";
         return least;
       }
--- a/tests/net/server/input_validation_test.cpp
+++ b/tests/net/server/input_validation_test.cpp
@@ -13,13 +13,13 @@
 
 // A valid request but for one replacement.
 std::string with(const std::string& original, const std::string& replacement) {
-  std::string text = get("t");
+  std::string text = get_request("t");
   text.replace(text.find(original), original.size(), replacement);
   return text;
 }
 
 TEST_F(ServerInputValidation, AnswersAndClosesOnMalformedOrOversizedInput) {
-  rig.start();
+  test_bed.start();
   const std::string head =
       "GET /profile-read/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\n";
   const std::map<std::string, int> status_by_input = {
@@ -44,7 +44,7 @@
       {head + "X: " + std::string(40'000, 'x') + "\r\n\r\n", 413},
       {"POST /intro-request/00000000b4d65521 HTTP/1.1\r\nContent-Length: 99000000\r\n\r\n", 413}};
   for (const auto& [input, expected_status] : status_by_input) {
-    Client client = rig.client();
+    Client client = test_bed.client();
     client.send(input);
     EXPECT_EQ(status(client), expected_status) << input.substr(0, 200);
     EXPECT_TRUE(client.ended()) << input.substr(0, 200);
@@ -54,8 +54,8 @@
 // Such plans, units and subsets would steer the decision module, such ids and control bytes would
 // reach a server, and a second spelling of a customer would have a quota of its own.
 TEST_F(ServerInputValidation, RejectsWhatTheSettingsDoNotAllow) {
-  rig.know(member("s1", server1));
-  rig.start();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
   const std::string quota = "units=1,spread=3,first=0";
   const std::string host = "Host: origin.svc";
   const std::string long_id(200, 'x');
@@ -99,26 +99,26 @@
         with(host, host + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 2"),
         with(host, host + "\r\nTransfer-Encoding: xchunked\r\nContent-Length: 0"),
         with("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\nhi")}) {
-    Client client = rig.client();
+    Client client = test_bed.client();
     client.send(input);
     EXPECT_EQ(status(client), 400) << input;
     EXPECT_TRUE(client.ended()) << input;
   }
   EXPECT_TRUE(server1.requests.empty());
-  Client client = rig.client();
-  client.send(get("t"));
+  Client client = test_bed.client();
+  client.send(get_request("t"));
   EXPECT_EQ(status(client), 200);
 }
 
 // The first bytes of the body arrive with the head; and a close with unread input would reset the
 // connection and lose the answer.
 TEST_F(ServerInputValidation, RejectsAnOversizedBodyWhileItIsBeingSent) {
-  rig.start();
+  test_bed.start();
   const std::string head =
       "POST /intro-request/00000000b4d65521 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: "
       "t\r\nContent-Length: "
       "60000000\r\n\r\n";
-  Client client = rig.client();
+  Client client = test_bed.client();
   std::string text = head;
   text.append(60'000'000, 'x');
   bool sent = false;
@@ -126,7 +126,7 @@
                     [&](error_code, std::size_t) { sent = true; });
   EXPECT_EQ(status(client), 413);
   EXPECT_TRUE(client.ended());
-  EXPECT_TRUE(rig.until([&] { return sent; }));
+  EXPECT_TRUE(test_bed.run_until([&] { return sent; }));
 }
 
 }  // namespace
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <utility>
 
-#include "support/loopback.hpp"
+#include "support/gateway_test_bed.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -53,7 +53,7 @@
   std::optional<error_code> done;
   http::async_read(client.socket, buffer, parser,
                    [&](error_code error, std::size_t) { done = error; });
-  if (!until(io, [&] { return done.has_value(); }) || *done) {
+  if (!run_until(io, [&] { return done.has_value(); }) || *done) {
     return std::nullopt;
   }
   return parser.release();
@@ -64,7 +64,7 @@
  public:
   explicit SteadyWriter(std::string text) : text_(std::move(text)) {}
 
-  void start(std::shared_ptr<Peer> connection) {
+  void start(std::shared_ptr<PeerConnection> connection) {
     connection_ = std::move(connection);
     write();
   }
@@ -83,65 +83,65 @@
   }
 
   const std::string text_;
-  std::shared_ptr<Peer> connection_;
+  std::shared_ptr<PeerConnection> connection_;
   std::size_t written_ = 0;
 };
 
 class LargeMessages : public ::testing::Test {
  protected:
   LargeMessages() {
-    rig.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
-    rig.know(member("s1", server1));
+    test_bed.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
+    test_bed.add_persisted(listed_endpoint("s1", server1));
   }
   // Whether /ops/stats has this line.
   bool has_stat(const std::string& line) {
-    Client client(rig.io, *rig.driver->admin_address());
+    Client client(test_bed.io, *test_bed.server->admin_address());
     client.send("GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n");
     const auto response = client.receive();
     return response && response->body().find(line + "\n") != std::string::npos;
   }
 
-  Rig rig;
-  FakeServer server1{rig.io};
-  FakeServer server2{rig.io};
+  GatewayTestBed test_bed;
+  FakeServer server1{test_bed.io};
+  FakeServer server2{test_bed.io};
 };
 
 TEST_F(LargeMessages, ResponsePassesUnchangedAtThePaceOfTheClient) {
   const std::string body = patterned_body(32 << 20);
-  SteadyWriter writer(reply("200 OK", "", body));
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  SteadyWriter writer(http_response("200 OK", "", body));
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     writer.start(connection.shared_from_this());
   };
-  rig.start();
-  Client client = rig.client();
-  client.send(get("t"));
-  ASSERT_TRUE(rig.until([&] { return writer.written() > 0; }));
+  test_bed.start();
+  Client client = test_bed.client();
+  client.send(get_request("t"));
+  ASSERT_TRUE(test_bed.run_until([&] { return writer.written() > 0; }));
   // Until nothing moves any more: what the client does not read stays at the server.
   std::size_t written_before = 0;
   while (written_before != writer.written()) {
     written_before = writer.written();
-    rig.io.restart();
-    rig.io.run_for(std::chrono::milliseconds(100));
+    test_bed.io.restart();
+    test_bed.io.run_for(std::chrono::milliseconds(100));
   }
   EXPECT_FALSE(writer.is_done());
   EXPECT_TRUE(has_stat("app.concurrent=1"));
-  const auto response = receive_long(rig.io, client);
+  const auto response = receive_long(test_bed.io, client);
   ASSERT_TRUE(response);
   EXPECT_TRUE(response->body() == body);
   EXPECT_TRUE(writer.is_done());
-  ASSERT_TRUE(rig.until([&] { return has_stat("app.replies.profile-read.success=1"); }));
+  ASSERT_TRUE(test_bed.run_until([&] { return has_stat("app.replies.profile-read.success=1"); }));
   EXPECT_TRUE(has_stat("app.concurrent=0"));
 }
 
 TEST_F(LargeMessages, ForwardsFirstBytesBeforeTheLastArrive) {
-  std::shared_ptr<Peer> held;
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  std::shared_ptr<PeerConnection> held;
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
     connection.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nfirst");
   };
-  rig.start();
-  Client client = rig.client();
-  client.send(get("t"));
+  test_bed.start();
+  Client client = test_bed.client();
+  client.send(get_request("t"));
   std::string received;
   std::array<char, 1024> buffer{};
   std::function<void()> read = [&] {
@@ -153,9 +153,11 @@
     });
   };
   read();
-  ASSERT_TRUE(rig.until([&] { return received.find("\r\n\r\nfirst") != std::string::npos; }));
+  ASSERT_TRUE(
+      test_bed.run_until([&] { return received.find("\r\n\r\nfirst") != std::string::npos; }));
   held->write(std::string(99'995, 'x'));
-  ASSERT_TRUE(rig.until([&] { return received.size() >= 100'000 && received.back() == 'x'; }));
+  ASSERT_TRUE(
+      test_bed.run_until([&] { return received.size() >= 100'000 && received.back() == 'x'; }));
 }
 
 TEST_F(LargeMessages, TruncatesTheResponseWithoutRetryWhenTheEndpointFailsMidway) {
@@ -164,21 +166,21 @@
   const std::string in_chunks =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(half);
   for (const std::string& truncated_response : {of_stated_length, in_chunks}) {
-    Rig other;
+    GatewayTestBed other;
     FakeServer first{other.io};
     FakeServer second{other.io};
     int attempts = 0;
-    first.on_request = [&](Peer& connection, const Request_&) {
+    first.on_request = [&](PeerConnection& connection, const HttpRequest&) {
       ++attempts;
       connection.write(truncated_response);
       connection.close();
     };
     second.on_request = first.on_request;
-    other.know(member("a", first));
-    other.know(member("b", second));
+    other.add_persisted(listed_endpoint("a", first));
+    other.add_persisted(listed_endpoint("b", second));
     other.start();
     Client client = other.client();
-    client.send(get("t"));
+    client.send(get_request("t"));
     EXPECT_FALSE(receive_long(other.io, client)) << truncated_response.substr(0, 60);
     EXPECT_EQ(attempts, 1);
   }
@@ -186,18 +188,18 @@
 
 TEST_F(LargeMessages, ChunkedResponseWithTrailersArrivesComplete) {
   const std::string body = patterned_body(300'000);
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n");
     for (std::size_t i = 0; i < body.size(); i += 30'000) {
       connection.write("7530;part=" + std::to_string(i) + "\r\n" + body.substr(i, 30'000) + "\r\n");
     }
     connection.write("0\r\nX-Sum: 1\r\n\r\n");
   };
-  rig.start();
-  Client client = rig.client();
+  test_bed.start();
+  Client client = test_bed.client();
   for (int request = 0; request < 2; ++request) {
-    client.send(get(label("t", request)));
-    const auto response = receive_long(rig.io, client);
+    client.send(get_request(numbered("t", request)));
+    const auto response = receive_long(test_bed.io, client);
     ASSERT_TRUE(response);
     EXPECT_TRUE(response->body() == body);
   }
@@ -213,14 +215,14 @@
   int requests_written = 0;
   for (const std::string& text : {long_post("Content-Length: 1000000") + body,
                                   long_post("Transfer-Encoding: chunked") + chunks}) {
-    Rig other;
+    GatewayTestBed other;
     FakeServer server{other.io};
     std::string received;
-    server.on_request = [&](Peer& connection, const Request_& request) {
+    server.on_request = [&](PeerConnection& connection, const HttpRequest& request) {
       received = request.body();
-      connection.write(reply("200 OK", "", "done"));
+      connection.write(http_response("200 OK", "", "done"));
     };
-    other.know(member("a", server));
+    other.add_persisted(listed_endpoint("a", server));
     other.start();
     Client client = other.client();
     asio::async_write(client.socket, asio::buffer(text),
@@ -238,16 +240,16 @@
 
 // The beginning of a body is kept until some of the rest has been forwarded.
 TEST_F(LargeMessages, BodyGoesToAnotherEndpointWhenOneIsUnreachable) {
-  server2.on_request = [](Peer& connection, const Request_& request) {
-    connection.write(reply("200 OK", "", std::to_string(request.body().size())));
+  server2.on_request = [](PeerConnection& connection, const HttpRequest& request) {
+    connection.write(http_response("200 OK", "", std::to_string(request.body().size())));
   };
-  rig.know(member("s2", server2));
+  test_bed.add_persisted(listed_endpoint("s2", server2));
   server1.stop();
-  rig.start();
+  test_bed.start();
   for (int request = 0; request < 3; ++request) {
-    Client client = rig.client();
+    Client client = test_bed.client();
     const std::string text =
-        long_post("Content-Length: 500000", label("t", request)) + std::string(500'000, 'x');
+        long_post("Content-Length: 500000", numbered("t", request)) + std::string(500'000, 'x');
     asio::async_write(client.socket, asio::buffer(text), [](error_code, std::size_t) {});
     const auto response = client.receive();
     ASSERT_TRUE(response);
@@ -257,14 +259,14 @@
 }
 
 TEST_F(LargeMessages, IncompleteBodyIsAbandonedAndNeverRuns) {
-  rig.start();
+  test_bed.start();
   {
-    Client client = rig.client();
+    Client client = test_bed.client();
     client.send(long_post("Content-Length: 500000") + std::string(200'000, 'x'));
-    ASSERT_TRUE(rig.until([&] { return server1.peers.size() == 1; }));
+    ASSERT_TRUE(test_bed.run_until([&] { return server1.peers.size() == 1; }));
     EXPECT_TRUE(has_stat("app.concurrent=1"));
   }
-  ASSERT_TRUE(rig.until([&] { return server1.peers[0]->over; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return server1.peers[0]->closed; }));
   EXPECT_TRUE(has_stat("app.concurrent=0"));
   EXPECT_TRUE(has_stat("app.replies.intro-request.error=1"));
   EXPECT_TRUE(has_stat("app.dispatches=0"));
@@ -273,15 +275,17 @@
 
 TEST_F(LargeMessages, AnswersExpectContinue) {
   constexpr std::string_view kInterimResponse = "HTTP/1.1 100 Continue\r\n\r\n";
-  server1.on_request = [](Peer& connection, const Request_&) { connection.write(reply("200 OK")); };
-  rig.start();
-  Client client = rig.client();
+  server1.on_request = [](PeerConnection& connection, const HttpRequest&) {
+    connection.write(http_response("200 OK"));
+  };
+  test_bed.start();
+  Client client = test_bed.client();
   client.send(long_post("Content-Length: 5\r\nExpect: 100-continue"));
   std::array<char, kInterimResponse.size()> received{};
   bool has_received = false;
   asio::async_read(client.socket, asio::buffer(received),
                    [&](error_code error, std::size_t) { has_received = !error; });
-  ASSERT_TRUE(rig.until([&] { return has_received; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return has_received; }));
   EXPECT_EQ(std::string_view(received.data(), received.size()), kInterimResponse);
   client.send("hello");
   const auto response = client.receive();
--- a/tests/net/server/process_test.cpp
+++ b/tests/net/server/process_test.cpp
@@ -1,12 +1,13 @@
 // The program itself: its start with a bad configuration, and SIGTERM with a request in flight.
-#include "support/process.hpp"
-
 #include <gtest/gtest.h>
 
 #include <algorithm>
 #include <memory>
 #include <string>
 
+#include "support/gateway_process.hpp"
+#include "support/gateway_test_bed.hpp"
+
 namespace quota_gateway::net::testing {
 namespace {
 
@@ -26,19 +27,19 @@
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  std::shared_ptr<Peer> held;
-  server.on_request = [&](Peer& connection, const Request_&) {
+  std::shared_ptr<PeerConnection> held;
+  server.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
   };
   const auto port = free_port(io);
-  Process process(config(port, server, discovery));
+  Process process(config_json(port, server, discovery));
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   Client client(io, {asio::ip::address_v4::loopback(), port});
-  client.send(get("a"));
-  ASSERT_TRUE(until(io, [&] { return held != nullptr; }));
+  client.send(get_request("a"));
+  ASSERT_TRUE(run_until(io, [&] { return held != nullptr; }));
   process.terminate();
   ASSERT_NE(process.log_until("draining").find("draining"), std::string::npos);
-  held->write(reply("200 OK", "", "held"));
+  held->write(http_response("200 OK", "", "held"));
   const auto answer = client.receive();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->body(), "held");
--- a/tests/net/server/quota_test.cpp
+++ b/tests/net/server/quota_test.cpp
@@ -13,16 +13,16 @@
 // A rejection says when to retry, also if the settings do not let the gateway's own clients heed
 // it.
 TEST_F(ServerQuota, RejectsBeyondTheQuotaWithRetryAfter) {
-  rig.config.settings.retry_after_allowed = false;
-  rig.config.settings.plans[0].quota_rate = 1;
-  rig.config.settings.plans[0].quota_burst = 3;
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
+  test_bed.config.settings.retry_after_allowed = false;
+  test_bed.config.settings.plans[0].quota_rate = 1;
+  test_bed.config.settings.plans[0].quota_burst = 3;
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
   int served = 0;
   bool was_rejected = false;
   while (served < 10 && !was_rejected) {
-    client.send(get(label("t", served)));
+    client.send(get_request(numbered("t", served)));
     const auto response = client.receive();
     ASSERT_TRUE(response);
     if (response->result_int() == 200) {
@@ -38,58 +38,58 @@
 }
 
 TEST_F(ServerQuota, ChargesBilledUnitsToTheQuota) {
-  rig.config.settings.units_settled_later = true;
-  rig.config.settings.max_request_units = 4;
-  rig.config.settings.plans[0].quota_rate = 0.001;
+  test_bed.config.settings.units_settled_later = true;
+  test_bed.config.settings.max_request_units = 4;
+  test_bed.config.settings.plans[0].quota_rate = 0.001;
   // While no total is known, two thirds of it may be used here.
-  rig.config.settings.plans[0].quota_burst = 6;
-  server1.on_request = [](Peer& connection, const Request_&) {
-    connection.write(reply("200 OK", "Billed-Units: 4\r\n", "ok"));
+  test_bed.config.settings.plans[0].quota_burst = 6;
+  server1.on_request = [](PeerConnection& connection, const HttpRequest&) {
+    connection.write(http_response("200 OK", "Billed-Units: 4\r\n", "ok"));
   };
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
-  client.send(get("t0"));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
+  client.send(get_request("t0"));
   EXPECT_EQ(status(client), 200);  // estimated as one unit, billed as four
-  client.send(get("t1"));
+  client.send(get_request("t1"));
   EXPECT_EQ(status(client), 429);
 }
 
 TEST_F(ServerQuota, ReadsTotalsFromTheCounterAndAdmitsWhileItIsSilent) {
-  FakeCounter counter(rig.io);
-  rig.config.settings.has_counter = true;
-  rig.config.settings.counter_timeout = 30'000;
-  rig.config.counter_address = counter.address();
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
-  client.send(get("a"));
+  FakeCounter counter(test_bed.io);
+  test_bed.config.settings.has_counter = true;
+  test_bed.config.settings.counter_timeout = 30'000;
+  test_bed.config.counter_address = counter.address();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
+  client.send(get_request("a"));
   EXPECT_EQ(status(client), 200);
-  ASSERT_TRUE(rig.until([&] { return !counter.calls.empty(); }));
+  ASSERT_TRUE(test_bed.run_until([&] { return !counter.calls.empty(); }));
   counter.silent = true;
-  client.send(get("b"));
+  client.send(get_request("b"));
   EXPECT_EQ(status(client), 200);
   counter.stop();
-  client.send(get("c"));
+  client.send(get_request("c"));
   EXPECT_EQ(status(client), 200);
 }
 
 // If resets counted as congestion of the counter, totals would be seconds old when they are used.
 TEST_F(ServerQuota, CounterConnectionResetsDoNotSlowItsCalls) {
-  FakeCounter counter(rig.io);
+  FakeCounter counter(test_bed.io);
   counter.resets_every = 3;
-  rig.config.settings.has_counter = true;
-  rig.config.settings.counter_timeout = 1'000'000;
-  rig.config.counter_address = counter.address();
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
+  test_bed.config.settings.has_counter = true;
+  test_bed.config.settings.counter_timeout = 1'000'000;
+  test_bed.config.counter_address = counter.address();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
   // Each request is a new customer's and needs a total. At one call a second, the 50 calls would
   // not be made within the 20 s after which a wait fails.
-  ASSERT_TRUE(rig.until([&, customers = 0]() mutable {
+  ASSERT_TRUE(test_bed.run_until([&, customers = 0]() mutable {
     const std::string customer = std::to_string(10'000'000 + ++customers);
-    client.send(
-        get("t" + customer).replace(std::string("GET /profile-read/00000000").size(), 8, customer));
+    client.send(get_request("t" + customer)
+                    .replace(std::string("GET /profile-read/00000000").size(), 8, customer));
     EXPECT_EQ(status(client), 200);
     return counter.calls.size() >= 50;
   }));
@@ -97,17 +97,17 @@
 
 // Without this, a burst allowance that another gateway has just used would be used here again.
 TEST_F(ServerQuota, RejectsOnceATotalReportsASpikeAtAnotherGateway) {
-  FakeCounter counter(rig.io);
-  rig.config.settings.has_counter = true;
-  rig.config.settings.plans[0].quota_rate = 1e5;
-  rig.config.settings.plans[0].quota_burst = 5e5;
-  rig.config.counter_address = counter.address();
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
+  FakeCounter counter(test_bed.io);
+  test_bed.config.settings.has_counter = true;
+  test_bed.config.settings.plans[0].quota_rate = 1e5;
+  test_bed.config.settings.plans[0].quota_burst = 5e5;
+  test_bed.config.counter_address = counter.address();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
   int sent = 0;
   const auto send_request = [&] {
-    client.send(get(label("t", ++sent)));
+    client.send(get_request(numbered("t", ++sent)));
     return status(client);
   };
   EXPECT_EQ(send_request(), 200);
@@ -115,7 +115,7 @@
   counter.totals[counter.calls[0][1]] += 9e6;
   // The counter's name for the customer changes every few seconds. If the next one has begun, the
   // spike must be in its total.
-  ASSERT_TRUE(rig.until([&] {
+  ASSERT_TRUE(test_bed.run_until([&] {
     send_request();
     if (counter.calls.back()[1] == counter.calls[0][1]) {
       return counter.calls.size() >= 2;
--- a/tests/net/server/reload_test.cpp
+++ b/tests/net/server/reload_test.cpp
@@ -5,7 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "support/process.hpp"
+#include "support/gateway_process.hpp"
+#include "support/gateway_test_bed.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -19,35 +20,38 @@
   FakeCounter next_counter(io);
   const auto port = free_port(io);
   const auto with_counter = [](const Listener& address) {
-    return R"("counter":")" + address.text() + R"(",)";
+    return R"("counter":")" + address.host_port() + R"(",)";
   };
-  Process process(config(port, server, first, with_counter(counter)));
+  Process process(config_json(port, server, first, with_counter(counter)));
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
-  ASSERT_TRUE(until(io, [&] { return first.asked.size() == 1 && counter.peers.size() == 1; }));
-  for (const std::string& bad :
-       {std::string("{\"name\":"), std::string(), config(port, server, first, "\"counter\":7,")}) {
+  ASSERT_TRUE(
+      run_until(io, [&] { return first.requests.size() == 1 && counter.peers.size() == 1; }));
+  for (const std::string& bad : {std::string("{\"name\":"), std::string(),
+                                 config_json(port, server, first, "\"counter\":7,")}) {
     process.configure(bad);
     process.hang_up();
     ASSERT_NE(process.log_until("configuration kept").find("kept"), std::string::npos);
   }
-  process.configure(config(port, server, first, with_counter(counter)));
+  process.configure(config_json(port, server, first, with_counter(counter)));
   process.hang_up();  // nothing changed
   ASSERT_NE(process.log_until("reloaded").find("reloaded"), std::string::npos);
-  std::shared_ptr<Peer> held;
-  server.on_request = [&](Peer& peer, const Request_&) { held = peer.shared_from_this(); };
+  std::shared_ptr<PeerConnection> held;
+  server.on_request = [&](PeerConnection& peer, const HttpRequest&) {
+    held = peer.shared_from_this();
+  };
   Client client(io, {asio::ip::address_v4::loopback(), port});
-  client.send(get("a"));
-  ASSERT_TRUE(until(io, [&] { return held != nullptr; }));
-  second.first = list(3, true, entry("s1", server.text()));
-  process.configure(config(port, server, second, with_counter(next_counter)));
+  client.send(get_request("a"));
+  ASSERT_TRUE(run_until(io, [&] { return held != nullptr; }));
+  second.first = list_json(3, true, entry_json("s1", server.host_port()));
+  process.configure(config_json(port, server, second, with_counter(next_counter)));
   process.hang_up();
   ASSERT_TRUE(
-      until(io, [&] { return second.asked.size() == 1 && next_counter.peers.size() == 1; }));
-  EXPECT_EQ(second.asked[0], "/catalog/members?watch=1");
-  ASSERT_TRUE(until(io, [&] { return first.peers[0]->over && counter.peers[0]->over; }));
-  EXPECT_EQ(first.asked.size(), 1U);
+      run_until(io, [&] { return second.requests.size() == 1 && next_counter.peers.size() == 1; }));
+  EXPECT_EQ(second.requests[0], "/catalog/members?watch=1");
+  ASSERT_TRUE(run_until(io, [&] { return first.peers[0]->closed && counter.peers[0]->closed; }));
+  EXPECT_EQ(first.requests.size(), 1U);
   EXPECT_EQ(counter.peers.size(), 1U);
-  held->write(reply("200 OK", "", "held"));
+  held->write(http_response("200 OK", "", "held"));
   const auto answer = client.receive();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->body(), "held");
@@ -57,9 +61,9 @@
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  discovery.first = list(42, true, entry("s1", server.text()));
+  discovery.first = list_json(42, true, entry_json("s1", server.host_port()));
   const auto port = free_port(io);
-  const std::string first = config(port, server, discovery);
+  const std::string first = config_json(port, server, discovery);
   Process process(first);
   ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
   const auto edited = [&](const std::string& original, const std::string& replacement) {
@@ -69,7 +73,7 @@
   };
   const auto status = [&](const std::string& request_class, const std::string& id) {
     Client client(io, {asio::ip::address_v4::loopback(), port});
-    std::string text = get(id);
+    std::string text = get_request(id);
     const std::string default_class = "profile-read";
     text.replace(text.find(default_class), default_class.size(), request_class);
     client.send(text);
@@ -103,8 +107,8 @@
     process.configure(text);
     process.hang_up();
     ASSERT_NE(process.log_until("configuration").find("kept"), std::string::npos) << text;
-    EXPECT_EQ(status("profile-read", label("a", ++count)), 200) << text;
-    EXPECT_EQ(status("profile-next", label("b", count)), 400) << text;
+    EXPECT_EQ(status("profile-read", numbered("a", ++count)), 200) << text;
+    EXPECT_EQ(status("profile-next", numbered("b", count)), 400) << text;
   }
   process.configure(edited(name, other));
   process.hang_up();
--- a/tests/net/server/request_dispatch_test.cpp
+++ b/tests/net/server/request_dispatch_test.cpp
@@ -13,11 +13,11 @@
 using RequestDispatch = GatewayServerTest;
 
 TEST_F(RequestDispatch, ForwardsRequestsUnchangedOverOneClientConnection) {
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
   for (int i = 0; i < 3; ++i) {
-    client.send(post(label("t", i)));
+    client.send(post_request(numbered("t", i)));
     const auto answer = client.receive();
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->result_int(), 200U);
@@ -29,20 +29,20 @@
 
 // Else a server could have two requests of one trace id in flight.
 TEST_F(RequestDispatch, RejectsATraceIdThatIsInFlight) {
-  std::shared_ptr<Peer> held;
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  std::shared_ptr<PeerConnection> held;
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
   };
-  rig.know(member("s1", server1));
-  rig.start();
-  Client client = rig.client();
-  Client duplicate = rig.client();
-  client.send(get("a"));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
-  duplicate.send(get("a"));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
+  Client client = test_bed.client();
+  Client duplicate = test_bed.client();
+  client.send(get_request("a"));
+  ASSERT_TRUE(test_bed.run_until([&] { return held != nullptr; }));
+  duplicate.send(get_request("a"));
   EXPECT_EQ(status(duplicate), 409);
   EXPECT_TRUE(duplicate.ended());
-  held->write(reply("200 OK", "", "x"));
+  held->write(http_response("200 OK", "", "x"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(server1.requests.size(), 1U);
 }
@@ -51,26 +51,26 @@
 TEST_F(RequestDispatch, RetriesAnIdempotencyKeyWithinItsCell) {
   std::vector<std::string> cells;
   const auto serve = [&cells](const std::string& cell) {
-    return [&cells, cell](Peer& connection, const Request_&) {
+    return [&cells, cell](PeerConnection& connection, const HttpRequest&) {
       cells.push_back(cell);
       if (cells.size() % 2 == 1) {
         return connection.reset();
       }
-      connection.write(reply("200 OK", "", "x"));
+      connection.write(http_response("200 OK", "", "x"));
     };
   };
   server1.on_request = serve("one");
   server2.on_request = serve("one");
   server3.on_request = serve("two");
   server4.on_request = serve("two");
-  rig.know(member("s1", server1, 1));
-  rig.know(member("s2", server2, 1));
-  rig.know(member("s3", server3, 2));
-  rig.know(member("s4", server4, 2));
-  rig.start();
-  Client client = rig.client();
+  test_bed.add_persisted(listed_endpoint("s1", server1, 1));
+  test_bed.add_persisted(listed_endpoint("s2", server2, 1));
+  test_bed.add_persisted(listed_endpoint("s3", server3, 2));
+  test_bed.add_persisted(listed_endpoint("s4", server4, 2));
+  test_bed.start();
+  Client client = test_bed.client();
   for (int i = 0; i < 4; ++i) {
-    client.send(post(label("t", i)));
+    client.send(post_request(numbered("t", i)));
     EXPECT_EQ(status(client), 200);
     ASSERT_EQ(cells.size(), std::size_t(2 * i + 2));
     EXPECT_EQ(cells[cells.size() - 1], cells[cells.size() - 2]);
@@ -79,52 +79,52 @@
 
 TEST_F(RequestDispatch, FailsAResetRequestWhoseCellHasNoOtherEndpoint) {
   int attempts = 0;
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     ++attempts;
     connection.reset();
   };
   server2.on_request = server1.on_request;
-  rig.know(member("s1", server1, 1));
-  rig.know(member("s2", server2, 2));
-  rig.start();
-  Client client = rig.client();
-  client.send(post("a"));
+  test_bed.add_persisted(listed_endpoint("s1", server1, 1));
+  test_bed.add_persisted(listed_endpoint("s2", server2, 2));
+  test_bed.start();
+  Client client = test_bed.client();
+  client.send(post_request("a"));
   EXPECT_EQ(status(client), 502);
   EXPECT_EQ(attempts, 1);
 }
 
 // Without this, a request whose few servers are all busy would fail with most of its time left.
 TEST_F(RequestDispatch, ResetRequestWaitsForTheBusyEndpointOfItsCell) {
-  std::shared_ptr<Peer> first;
-  std::shared_ptr<Peer> second;
+  std::shared_ptr<PeerConnection> first;
+  std::shared_ptr<PeerConnection> second;
   int attempts = 0;
-  const auto hold_two = [&](Peer& connection, const Request_& request) {
+  const auto hold_two = [&](PeerConnection& connection, const HttpRequest& request) {
     ++attempts;
     if (attempts == 1) {
       first = connection.shared_from_this();
     } else if (attempts == 2) {
       second = connection.shared_from_this();
     } else {
-      connection.write(reply("200 OK", "", std::string(request.target())));
+      connection.write(http_response("200 OK", "", std::string(request.target())));
     }
   };
   server1.on_request = hold_two;
   server2.on_request = hold_two;
-  rig.know(member("s1", server1));
-  rig.know(member("s2", server2));
-  rig.start();
-  Client first_client = rig.client();
-  Client second_client = rig.client();
-  first_client.send(post("a"));
-  ASSERT_TRUE(rig.until([&] { return first != nullptr; }));
-  second_client.send(post("b"));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted(listed_endpoint("s2", server2));
+  test_bed.start();
+  Client first_client = test_bed.client();
+  Client second_client = test_bed.client();
+  first_client.send(post_request("a"));
+  ASSERT_TRUE(test_bed.run_until([&] { return first != nullptr; }));
+  second_client.send(post_request("b"));
   // Each server has one request in flight now, as many as its concurrency limit allows.
-  ASSERT_TRUE(rig.until([&] { return second != nullptr; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return second != nullptr; }));
   first->reset();
-  Client health = rig.client();
+  Client health = test_bed.client();
   health.send("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n");
   EXPECT_EQ(status(health), 200);  // by now the gateway has noticed the reset
-  second->write(reply("200 OK", "", "b"));
+  second->write(http_response("200 OK", "", "b"));
   EXPECT_EQ(status(second_client), 200);
   EXPECT_EQ(status(first_client), 200);
   EXPECT_EQ(attempts, 3);
@@ -132,38 +132,38 @@
 
 TEST_F(RequestDispatch, RetriesOnAnotherEndpointWhatNeverRan) {
   int attempts = 0;
-  const auto busy = [&](Peer& connection, const Request_&) {
+  const auto busy = [&](PeerConnection& connection, const HttpRequest&) {
     if (++attempts == 1) {
-      return connection.write(reply("503 Full", "X-Never-Ran: 1\r\n"));
+      return connection.write(http_response("503 Full", "X-Never-Ran: 1\r\n"));
     }
-    connection.write(reply("200 OK", "", "x"));
+    connection.write(http_response("200 OK", "", "x"));
   };
   server1.on_request = busy;
   server2.on_request = busy;
-  rig.know(member("s1", server1, 1));
-  rig.know(member("s2", server2, 2));
-  rig.start();
-  Client client = rig.client();
-  client.send(post("a"));
+  test_bed.add_persisted(listed_endpoint("s1", server1, 1));
+  test_bed.add_persisted(listed_endpoint("s2", server2, 2));
+  test_bed.start();
+  Client client = test_bed.client();
+  client.send(post_request("a"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(attempts, 2);
 }
 
 TEST_F(RequestDispatch, CancelsTheAttemptOfADisconnectedClient) {
-  server1.on_request = [](Peer&, const Request_&) {};
-  rig.know(member("s1", server1));
-  rig.start();
+  server1.on_request = [](PeerConnection&, const HttpRequest&) {};
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.start();
   {
-    Client client = rig.client();
-    client.send(get("a"));
-    ASSERT_TRUE(rig.until([&] { return server1.requests.size() == 1; }));
+    Client client = test_bed.client();
+    client.send(get_request("a"));
+    ASSERT_TRUE(test_bed.run_until([&] { return server1.requests.size() == 1; }));
   }
-  EXPECT_TRUE(rig.until([&] { return server1.peers.at(0)->over; }));
-  server1.on_request = [](Peer& connection, const Request_&) {
-    connection.write(reply("200 OK", "", "x"));
+  EXPECT_TRUE(test_bed.run_until([&] { return server1.peers.at(0)->closed; }));
+  server1.on_request = [](PeerConnection& connection, const HttpRequest&) {
+    connection.write(http_response("200 OK", "", "x"));
   };
-  Client other = rig.client();
-  other.send(get("b"));
+  Client other = test_bed.client();
+  other.send(get_request("b"));
   EXPECT_EQ(status(other), 200);
 }
 
--- a/tests/net/server/shutdown_test.cpp
+++ b/tests/net/server/shutdown_test.cpp
@@ -22,44 +22,44 @@
 }
 
 TEST_F(ServerShutdown, FinishesRequestsInFlightAndAcceptsLateOnes) {
-  std::shared_ptr<Peer> held;
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  std::shared_ptr<PeerConnection> held;
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     if (!held) {
       held = connection.shared_from_this();
     } else {
-      connection.write(reply("200 OK", "", "x"));
+      connection.write(http_response("200 OK", "", "x"));
     }
   };
   server2.on_request = server1.on_request;
-  rig.know(member("s1", server1));
-  rig.know(member("s2", server2));
-  GatewayServer& server = rig.start();
-  Client idle = rig.client();
-  Client busy = rig.client();
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted(listed_endpoint("s2", server2));
+  GatewayServer& server = test_bed.start();
+  Client idle = test_bed.client();
+  Client busy = test_bed.client();
   idle.send("GET /profile-read/nobody HTTP/1.1\r\n\r\n");
   EXPECT_EQ(status(idle), 400);
-  busy.send(get("a"));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
+  busy.send(get_request("a"));
+  ASSERT_TRUE(test_bed.run_until([&] { return held != nullptr; }));
   bool done = false;
   server.drain([&] { done = true; });
-  Client late = rig.client();
-  late.send(get("b"));
+  Client late = test_bed.client();
+  late.send(get_request("b"));
   const auto answer = late.receive();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->result_int(), 200U);
   EXPECT_FALSE(answer->keep_alive());
   EXPECT_FALSE(done);
-  held->write(reply("200 OK", "", "held"));
+  held->write(http_response("200 OK", "", "held"));
   EXPECT_EQ(status(busy), 200);
   EXPECT_TRUE(busy.ended());
-  EXPECT_TRUE(rig.until([&] { return done; }));
+  EXPECT_TRUE(test_bed.run_until([&] { return done; }));
 }
 
 TEST_F(ServerShutdown, ClosesConnectionsBetweenRequests) {
-  rig.know(member("s1", server1));
-  GatewayServer& server = rig.start();
-  Client client = rig.client();
-  client.send(get("a"));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  GatewayServer& server = test_bed.start();
+  Client client = test_bed.client();
+  client.send(get_request("a"));
   ASSERT_EQ(status(client), 200);
   server.drain([] {});
   EXPECT_TRUE(client.ended());
@@ -69,75 +69,75 @@
 TEST_F(PatientServerShutdown, AnswersUnreadAndUnacceptedRequestsBeforeTheEnd) {
   std::list<FakeServer> servers;
   for (int i = 0; i < 6; ++i) {
-    rig.know(member(label("s", i), servers.emplace_back(rig.io)));
+    test_bed.add_persisted(listed_endpoint(numbered("s", i), servers.emplace_back(test_bed.io)));
   }
-  GatewayServer& server = rig.start();
+  GatewayServer& server = test_bed.start();
   bool done = false;
-  Client early = rig.client();  // connected before the shutdown, and silent so far
+  Client early = test_bed.client();  // connected before the shutdown, and silent so far
   const Micros drain_started_at = Clock().now();
   server.drain([&] { done = true; });
-  ASSERT_TRUE(rig.until([&] { return Clock().now() - drain_started_at > 900'000; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return Clock().now() - drain_started_at > 900'000; }));
   ASSERT_FALSE(done);
   std::vector<Client> late_clients;
   late_clients.reserve(3);
   for (int i = 0; i < 3; ++i) {
-    late_clients.push_back(rig.client());
+    late_clients.push_back(test_bed.client());
   }
   for (int i = 0; i < 3; ++i) {
-    late_clients[std::size_t(i)].send(get(label("q", i)));
+    late_clients[std::size_t(i)].send(get_request(numbered("q", i)));
   }
-  early.send(get("e"));
+  early.send(get_request("e"));
   block_loop(std::chrono::milliseconds(300));
   for (Client& client : late_clients) {
     EXPECT_EQ(status(client), 200);
   }
   EXPECT_EQ(status(early), 200);
-  ASSERT_TRUE(rig.until([&] { return done; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return done; }));
 }
 
 // An exit resets a connection on which more has arrived, and its response is lost if it is unread.
 TEST_F(PatientServerShutdown, WaitsUntilClientsHaveReadTheirResponses) {
-  std::shared_ptr<Peer> held;
-  server1.on_request = [&](Peer& connection, const Request_&) {
+  std::shared_ptr<PeerConnection> held;
+  server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
   };
-  rig.know(member("s1", server1));
-  GatewayServer& server = rig.start();
-  Client client = rig.client();
-  client.send(get("a"));
-  ASSERT_TRUE(rig.until([&] { return held != nullptr; }));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  GatewayServer& server = test_bed.start();
+  Client client = test_bed.client();
+  client.send(get_request("a"));
+  ASSERT_TRUE(test_bed.run_until([&] { return held != nullptr; }));
   bool done = false;
   const Micros drain_started_at = Clock().now();
   server.drain([&] { done = true; });
-  ASSERT_TRUE(rig.until([&] { return Clock().now() - drain_started_at > 1'100'000; }));
-  held->write(reply("200 OK", "", "held"));
-  ASSERT_TRUE(rig.until([&] { return client.socket.available() > 0; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return Clock().now() - drain_started_at > 1'100'000; }));
+  held->write(http_response("200 OK", "", "held"));
+  ASSERT_TRUE(test_bed.run_until([&] { return client.socket.available() > 0; }));
   const Micros answered_at = Clock().now();
-  ASSERT_TRUE(rig.until([&] { return done || Clock().now() - answered_at > 200'000; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return done || Clock().now() - answered_at > 200'000; }));
   EXPECT_FALSE(done);
   EXPECT_EQ(status(client), 200);
   client.socket.close();
-  ASSERT_TRUE(rig.until([&] { return done; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return done; }));
 }
 
 // SIGKILL follows 3.7 s after SIGTERM where deadlines are longer than 3 s; these are 4 s, and one
 // request arrived before SIGTERM.
 TEST_F(ServerShutdownCost, AnswersEveryRequestBeforeTheKillSignal) {
-  server1.on_request = [](Peer&, const Request_&) {};
-  rig.know(member("s1", server1));
-  GatewayServer& server = rig.start();
-  Client before = rig.client();
-  Client open = rig.client();
-  before.send(post("a"));
-  ASSERT_TRUE(rig.until([&] { return server1.requests.size() == 1; }));
+  server1.on_request = [](PeerConnection&, const HttpRequest&) {};
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  GatewayServer& server = test_bed.start();
+  Client before = test_bed.client();
+  Client open = test_bed.client();
+  before.send(post_request("a"));
+  ASSERT_TRUE(test_bed.run_until([&] { return server1.requests.size() == 1; }));
   bool done = false;
   const Micros drain_started_at = Clock().now();
   server.drain([&] { done = true; });
-  open.send(get("b"));
+  open.send(get_request("b"));
   const int failed = status(before);
   EXPECT_TRUE(failed == 502 || failed == 504) << failed;  // not 503, since it may have run
   EXPECT_GE(status(open), 429);
-  ASSERT_TRUE(rig.until([&] { return done; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return done; }));
   EXPECT_LT(Clock().now() - drain_started_at, 3'700'000);
 }
 
--- a/tests/net/server/startup_test.cpp
+++ b/tests/net/server/startup_test.cpp
@@ -14,8 +14,8 @@
 constexpr const char* kHealthRequest = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
 
 TEST_F(ServerStartup, IsHealthyOnceDiscoveryHasAnswered) {
-  rig.start();
-  Client client = rig.client();
+  test_bed.start();
+  Client client = test_bed.client();
   int health_status = 503;  // until discovery has answered
   for (int request = 0; request < 1000 && health_status == 503; ++request) {
     client.send(kHealthRequest);
@@ -27,20 +27,21 @@
 // The persisted list may name a server that has long been draining; and load balancers must not
 // send clients here before the list is current.
 TEST_F(PatientServerStartup, ForwardsNothingByThePersistedListBeforeDiscoveryResponds) {
-  rig.know(member("s1", server1));
-  rig.discovery.mute = true;
-  rig.start();
-  Client client = rig.client();
-  Client load_balancer = rig.client();
-  client.send(get("a"));
+  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.discovery.unresponsive = true;
+  test_bed.start();
+  Client client = test_bed.client();
+  Client load_balancer = test_bed.client();
+  client.send(get_request("a"));
   load_balancer.send(kHealthRequest);
   EXPECT_EQ(status(load_balancer), 503);
-  EXPECT_FALSE(rig.driver->is_ready());
-  ASSERT_TRUE(rig.until([&] { return rig.discovery.asked.size() == 1; }));
+  EXPECT_FALSE(test_bed.server->is_ready());
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
   EXPECT_TRUE(server1.requests.empty());
-  rig.discovery.mute = false;
-  rig.discovery.first =
-      list(42, false, entry("s1", server1.text(), "draining") + "," + entry("s2", server2.text()));
+  test_bed.discovery.unresponsive = false;
+  test_bed.discovery.first = list_json(42, false,
+                                       entry_json("s1", server1.host_port(), "draining") + "," +
+                                           entry_json("s2", server2.host_port()));
   EXPECT_EQ(status(client), 200);
   EXPECT_TRUE(server1.requests.empty());
   EXPECT_EQ(server2.requests.size(), 1U);
@@ -50,20 +51,20 @@
 
 TEST_F(PatientServerStartup, ServesByThePersistedListWithoutDiscovery) {
   for (const bool silent : {true, false}) {
-    Rig alone;
+    GatewayTestBed alone;
     FakeServer server(alone.io);
-    alone.know(member("s1", server));
+    alone.add_persisted(listed_endpoint("s1", server));
     if (silent) {
-      alone.discovery.mute = true;
+      alone.discovery.unresponsive = true;
     } else {
       alone.discovery.stop();
     }
     alone.start();
-    ASSERT_TRUE(alone.until([&] { return alone.driver->is_ready(); }));
+    ASSERT_TRUE(alone.run_until([&] { return alone.server->is_ready(); }));
     Client client = alone.client();
     client.send(kHealthRequest);
     EXPECT_EQ(status(client), 200);
-    client.send(get("a"));
+    client.send(get_request("a"));
     EXPECT_EQ(status(client), 200);
     EXPECT_EQ(server.requests.size(), 1U);
   }
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -17,7 +17,7 @@
 TEST_F(AttemptRunnerTest, SendsTheRequestWithItsTraceIdKeyAndTimeLeft) {
   make_pool();
   EXPECT_EQ(run_attempt(1).outcome, Outcome::kOk);
-  const Request_& received = server.requests.at(0);
+  const HttpRequest& received = server.requests.at(0);
   EXPECT_EQ(received.target(), "/intro-request/1?q");
   EXPECT_EQ(received["X-Trace-Id"], "t1");
   EXPECT_EQ(received["Idempotency-Key"], "k1");
@@ -91,14 +91,14 @@
 }
 
 TEST_F(AttemptRunnerTest, AbandonClosesTheConnectionAndReturnsWhetherTheRequestMayHaveRun) {
-  server.on_request = [](Peer&, const Request_&) {};
+  server.on_request = [](PeerConnection&, const HttpRequest&) {};
   make_pool();
   send(1);
   EXPECT_FALSE(pool().abandon({1, 0}));  // still connecting
   send(2);
-  ASSERT_TRUE(until(io, [&] { return !server.requests.empty(); }));
+  ASSERT_TRUE(run_until(io, [&] { return !server.requests.empty(); }));
   EXPECT_TRUE(pool().abandon({2, 0}));
-  ASSERT_TRUE(until(io, [&] { return server.peers.back()->over; }));
+  ASSERT_TRUE(run_until(io, [&] { return server.peers.back()->closed; }));
   EXPECT_TRUE(results.empty());  // no event follows an abandoned attempt
 }
 
--- a/tests/net/upstream/connection_pool_fixture.cpp
+++ b/tests/net/upstream/connection_pool_fixture.cpp
@@ -24,7 +24,7 @@
   };
   pools.emplace_back(io, timers, clock, limits, std::move(events));
   endpoint_list.complete = true;
-  endpoint_list.endpoints = {member("s", server)};
+  endpoint_list.endpoints = {listed_endpoint("s", server)};
   pool().update(endpoint_list);
 }
 
@@ -36,7 +36,7 @@
                                                  const std::string& server_name) {
   const std::size_t expected = results.size() + 1;
   send(number, server_name);
-  EXPECT_TRUE(until(io, [&] { return results.size() == expected; }));
+  EXPECT_TRUE(run_until(io, [&] { return results.size() == expected; }));
   return results.empty() ? AttemptResult{} : results.back().second;
 }
 
@@ -47,7 +47,7 @@
 }
 
 Outcome ConnectionPoolFixture::outcome_of_response_and_close(const std::string& bytes) {
-  server.on_request = [bytes](Peer& peer, const Request_&) {
+  server.on_request = [bytes](PeerConnection& peer, const HttpRequest&) {
     peer.write(bytes);
     peer.close();
   };
@@ -56,11 +56,11 @@
 }
 
 void ConnectionPoolFixture::respond_with(const std::string& bytes) {
-  server.on_request = [bytes](Peer& peer, const Request_&) { peer.write(bytes); };
+  server.on_request = [bytes](PeerConnection& peer, const HttpRequest&) { peer.write(bytes); };
 }
 
 bool ConnectionPoolFixture::is_closed(std::size_t connection) {
-  return until(io, [&] { return server.peers.at(connection)->over; });
+  return run_until(io, [&] { return server.peers.at(connection)->closed; });
 }
 
 }  // namespace quota_gateway::net::testing
--- a/tests/net/upstream/connection_pool_fixture.hpp
+++ b/tests/net/upstream/connection_pool_fixture.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "net/upstream/connection_pool.hpp"
-#include "support/loopback.hpp"
+#include "support/gateway_test_bed.hpp"
 
 namespace quota_gateway::net::testing {
 
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -39,7 +39,7 @@
   make_pool();
   for (int i = 1; i < server_count; ++i) {
     ListedEndpoint endpoint = endpoint_list.endpoints[0];
-    endpoint.entry.server = label("other", i);
+    endpoint.entry.server = numbered("other", i);
     endpoint.address.address(numbered_address(i));
     endpoint_list.endpoints.push_back(endpoint);
   }
@@ -62,7 +62,7 @@
   // First another server takes the address over; then a complete list leaves that one out.
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
-  endpoint_list.endpoints[0] = member("new", server);
+  endpoint_list.endpoints[0] = listed_endpoint("new", server);
   endpoint_list.complete = false;
   endpoint_list.endpoints[0].entry.started_at = 5;
   EXPECT_EQ(pool().update(endpoint_list), std::vector<std::string>{"s"});
@@ -82,9 +82,9 @@
   endpoint_list.complete = false;
   endpoint_list.endpoints[0].entry.state = EndpointState::kDraining;
   pool().update(endpoint_list);
-  ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+  ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
   EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent);
-  ASSERT_TRUE(until(io, [&] { return server.peers.empty() || server.peers[0]->over; }));
+  ASSERT_TRUE(run_until(io, [&] { return server.peers.empty() || server.peers[0]->closed; }));
   EXPECT_TRUE(server.requests.empty());
 }
 
@@ -102,9 +102,9 @@
       endpoint_list.endpoints[0].entry.started_at = clock.now();
     }
     pool().update(endpoint_list);
-    ASSERT_TRUE(until(io, [&] { return !results.empty(); }));
+    ASSERT_TRUE(run_until(io, [&] { return !results.empty(); }));
     EXPECT_EQ(results[0].second.outcome, Outcome::kNotSent) << moves;
-    ASSERT_TRUE(until(io, [&] { return server.peers.empty() || server.peers.back()->over; }));
+    ASSERT_TRUE(run_until(io, [&] { return server.peers.empty() || server.peers.back()->closed; }));
     EXPECT_TRUE(server.requests.empty()) << moves;
   }
 }
@@ -144,10 +144,10 @@
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
   FakeServer other(io);
-  endpoint_list.endpoints.push_back(member("other", other));
+  endpoint_list.endpoints.push_back(listed_endpoint("other", other));
   pool().update(endpoint_list);
   endpoint_list.complete = false;
-  endpoint_list.endpoints = {member("third", other)};
+  endpoint_list.endpoints = {listed_endpoint("third", other)};
   endpoint_list.endpoints[0].entry.started_at = 5;
   EXPECT_EQ(pool().update(endpoint_list), std::vector<std::string>{"other"});
   ASSERT_EQ(run_attempt(2).outcome, Outcome::kOk);
@@ -159,7 +159,7 @@
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
   EndpointList many;
   for (int i = 0; i < 3'000; ++i) {
-    many.endpoints.push_back(member(label("n", i), server));
+    many.endpoints.push_back(listed_endpoint(numbered("n", i), server));
     many.endpoints.back().address.address(numbered_address(i));
   }
   many.endpoints.push_back(endpoint_list.endpoints[0]);
--- a/tests/net/upstream/connection_reuse_test.cpp
+++ b/tests/net/upstream/connection_reuse_test.cpp
@@ -54,16 +54,16 @@
   // for longer is closed unused.
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
-  server.on_request = [](Peer& peer, const Request_&) { peer.reset(); };
+  server.on_request = [](PeerConnection& peer, const HttpRequest&) { peer.reset(); };
   ASSERT_EQ(run_attempt(2).outcome, Outcome::kReset);
-  respond_with(reply("200 OK", "", "x"));
+  respond_with(http_response("200 OK", "", "x"));
   ASSERT_EQ(run_attempt(3).outcome, Outcome::kOk);
   EXPECT_TRUE(is_closed(server.peers.size() - 1));
   EXPECT_EQ(run_attempt(4).outcome, Outcome::kOk);
 }
 
 TEST_F(ConnectionReuseTest, HonorsConnectionClose) {
-  respond_with(reply("200 OK", "Connection: close\r\n", "x"));
+  respond_with(http_response("200 OK", "Connection: close\r\n", "x"));
   make_pool();
   EXPECT_EQ(run_attempt(1).outcome, Outcome::kOk);
   EXPECT_EQ(run_attempt(2).outcome, Outcome::kOk);
@@ -71,7 +71,7 @@
 }
 
 TEST_F(ConnectionReuseTest, LimitsTheNumberOfConnections) {
-  server.on_request = [](Peer&, const Request_&) {};
+  server.on_request = [](PeerConnection&, const HttpRequest&) {};
   ConnectionPoolLimits limits = immediate_reuse();
   limits.max_connections = 2;
   make_pool(limits);
--- a/tests/net/upstream/response_reader_test.cpp
+++ b/tests/net/upstream/response_reader_test.cpp
@@ -14,7 +14,7 @@
 using ResponseReaderTest = ConnectionPoolFixture;
 
 TEST_F(ResponseReaderTest, DeliversTheBodyAndTheLoadReport) {
-  respond_with(reply(
+  respond_with(http_response(
       "200 OK", "Endpoint-Load-Metrics: TEXT inflight=7, queue=2, util=0.61, odd=x\r\n", "body"));
   make_pool();
   const AttemptResult response = run_attempt(1);
@@ -28,34 +28,36 @@
 
 TEST_F(ResponseReaderTest, ReportsBilledUnitsAndQuotaUsage) {
   make_pool();
-  respond_with(reply("200 OK", "Billed-Units: 3\r\nUsage-Percent: 86\r\n", "body"));
+  respond_with(http_response("200 OK", "Billed-Units: 3\r\nUsage-Percent: 86\r\n", "body"));
   AttemptResult response = run_attempt(1);
   EXPECT_DOUBLE_EQ(response.billed_units.value(), 3);
   EXPECT_EQ(response.quota_usage_percent, 86);
   // Implausible values.
-  respond_with(reply("200 OK", "Billed-Units: -3\r\nUsage-Percent: 1e99\r\n", "body"));
+  respond_with(http_response("200 OK", "Billed-Units: -3\r\nUsage-Percent: 1e99\r\n", "body"));
   response = run_attempt(2);
   EXPECT_EQ(response.outcome, Outcome::kOk);
   EXPECT_EQ(response.billed_units, std::nullopt);
   EXPECT_EQ(response.quota_usage_percent, std::nullopt);
-  respond_with(reply("200 OK", "", "body"));
+  respond_with(http_response("200 OK", "", "body"));
   response = run_attempt(3);
   EXPECT_EQ(response.billed_units, std::nullopt);
   EXPECT_EQ(response.quota_usage_percent, std::nullopt);
 }
 
 TEST_F(ResponseReaderTest, MapsAServerErrorToAnOutcomeThatMayHaveRun) {
-  EXPECT_EQ(outcome_of_response(reply("500 Oops")), Outcome::kError);
+  EXPECT_EQ(outcome_of_response(http_response("500 Oops")), Outcome::kError);
 }
 
 TEST_F(ResponseReaderTest, ReportsOverloadOnlyWithProofThatNothingRan) {
   // A plain 503 may come from a proxy, or from a busy server that has done the work.
-  EXPECT_EQ(outcome_of_response(reply("503 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
-  EXPECT_EQ(outcome_of_response(reply("504 No", "X-Never-Ran: 1\r\n")), Outcome::kOverloaded);
-  EXPECT_EQ(outcome_of_response(reply("503 No")), Outcome::kError);
-  EXPECT_EQ(outcome_of_response(reply("504 No")), Outcome::kError);
-  EXPECT_EQ(outcome_of_response(reply("503 No", "X-Never-Ran: 0\r\n")), Outcome::kError);
-  EXPECT_EQ(outcome_of_response(reply("500 No", "X-Never-Ran: 1\r\n")), Outcome::kError);
+  EXPECT_EQ(outcome_of_response(http_response("503 No", "X-Never-Ran: 1\r\n")),
+            Outcome::kOverloaded);
+  EXPECT_EQ(outcome_of_response(http_response("504 No", "X-Never-Ran: 1\r\n")),
+            Outcome::kOverloaded);
+  EXPECT_EQ(outcome_of_response(http_response("503 No")), Outcome::kError);
+  EXPECT_EQ(outcome_of_response(http_response("504 No")), Outcome::kError);
+  EXPECT_EQ(outcome_of_response(http_response("503 No", "X-Never-Ran: 0\r\n")), Outcome::kError);
+  EXPECT_EQ(outcome_of_response(http_response("500 No", "X-Never-Ran: 1\r\n")), Outcome::kError);
 }
 
 TEST_F(ResponseReaderTest, FailsTheAttemptOnAMalformedResponse) {
@@ -72,7 +74,7 @@
   // The HTTP library has no name for some of these, such as 103.
   for (const char* status : {"100 Continue", "102 Processing", "103 Early Hints", "199 Odd"}) {
     EXPECT_EQ(outcome_of_response(std::string("HTTP/1.1 ") + status + "\r\n\r\n" +
-                                  reply("200 OK", "", "x")),
+                                  http_response("200 OK", "", "x")),
               Outcome::kOk);
   }
 }
@@ -81,7 +83,7 @@
   // Some of the body arrives with the head. Without the check, reading would go on for 3 GB.
   EXPECT_EQ(outcome_of_response("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"),
             Outcome::kReset);
-  EXPECT_TRUE(until(io, [&] { return server.peers.back()->over; }));
+  EXPECT_TRUE(run_until(io, [&] { return server.peers.back()->closed; }));
 }
 
 TEST_F(ResponseReaderTest, RejectsAResponseThatMayBeTruncated) {
@@ -107,7 +109,7 @@
 TEST_F(ResponseReaderTest, DeliversOneResponseAndClosesWhenMoreBytesFollow) {
   // On a reused connection, the bytes that follow would be read as the response to the next
   // request.
-  const std::string good = reply("200 OK", "", "good");
+  const std::string good = http_response("200 OK", "", "good");
   const std::string chunked =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ngood\r\n0\r\n\r\n";
   for (const std::string& bytes : {good + good, chunked + chunked, chunked + "noise"}) {
@@ -116,7 +118,7 @@
     const AttemptResult response = run_attempt(1);
     EXPECT_EQ(response.outcome, Outcome::kOk);
     EXPECT_EQ(response.body, "good");
-    EXPECT_TRUE(until(io, [&] { return server.peers.back()->over; }));
+    EXPECT_TRUE(run_until(io, [&] { return server.peers.back()->closed; }));
   }
 }
 
@@ -132,7 +134,8 @@
   for (const char* report :
        {"TEXT queue=2, util=oops", "TEXT queue=-1", "TEXT queue=nan", "TEXT queue=1e99",
         "TEXT queue=2x", "TEXT queue", "TEXT ?", "%%%", ""}) {
-    respond_with(reply("200 OK", std::string("Endpoint-Load-Metrics: ") + report + "\r\n", "body"));
+    respond_with(
+        http_response("200 OK", std::string("Endpoint-Load-Metrics: ") + report + "\r\n", "body"));
     make_pool();
     const AttemptResult response = run_attempt(1);
     EXPECT_EQ(response.outcome, Outcome::kOk) << report;
--- /dev/null
+++ b/tests/support/gateway_process.cpp
@@ -0,0 +1,117 @@
+#include "support/gateway_process.hpp"
+
+#include <gtest/gtest.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <array>
+#include <cstdlib>
+#include <fstream>
+
+#include "support/listed_endpoints.hpp"
+
+namespace quota_gateway::net::testing {
+namespace {
+
+constexpr std::uint16_t kFirstPort = 12'000;
+constexpr int kPortRanges = 1'000;
+constexpr int kPortsPerRange = 16;
+constexpr int kExecFailed = 127;  // as a shell says it
+
+std::string create_temporary_file() {
+  std::string name = "/tmp/quota-gateway-test-XXXXXX";
+  const int fd = ::mkstemp(name.data());
+  EXPECT_GE(fd, 0);
+  ::close(fd);
+  return name;
+}
+
+}  // namespace
+
+Process::Process(const std::string& config, const std::string& folder)
+    : config_path_(create_temporary_file()) {
+  configure(config);
+  std::array<int, 2> pipe_ends{};
+  EXPECT_EQ(::pipe(pipe_ends.data()), 0);
+  pid_ = ::fork();
+  if (pid_ == 0) {
+    ::dup2(pipe_ends[1], STDERR_FILENO);
+    ::close(pipe_ends[0]);
+    ::close(pipe_ends[1]);
+    ::setenv("RELAY_CONFIG", config_path_.c_str(), 1);
+    ::setenv("TMPDIR", folder.c_str(), 1);
+    ::execl(QUOTA_GATEWAY_PROGRAM, QUOTA_GATEWAY_PROGRAM, nullptr);
+    ::_exit(kExecFailed);
+  }
+  ::close(pipe_ends[1]);
+  log_ = pipe_ends[0];
+}
+
+Process::~Process() {
+  if (pid_ > 0) {
+    ::kill(pid_, SIGKILL);
+    ::waitpid(pid_, nullptr, 0);
+  }
+  ::close(log_);
+  ::unlink(config_path_.c_str());
+}
+
+std::string Process::log_until(const std::string& text) const {
+  std::string log;
+  char byte = 0;
+  while (::read(log_, &byte, 1) == 1) {
+    log += byte;
+    if (byte == '\n' && log.find(text) != std::string::npos) {
+      break;
+    }
+  }
+  return log;
+}
+
+void Process::configure(const std::string& config) {
+  std::ofstream(config_path_, std::ios::trunc) << config;
+}
+
+void Process::kill(int signal) const {
+  ::kill(pid_, signal);
+}
+
+std::optional<int> Process::exit_code() {
+  int status = 0;
+  ::waitpid(pid_, &status, 0);
+  pid_ = 0;
+  if (!WIFEXITED(status)) {
+    return std::nullopt;
+  }
+  return WEXITSTATUS(status);
+}
+
+std::uint16_t free_port(asio::io_context& io) {
+  // Another range for each test process that may run beside this one.
+  static auto next = std::uint16_t(kFirstPort + ::getpid() % kPortRanges * kPortsPerRange);
+  while (true) {
+    tcp::acceptor acceptor(io, tcp::v4());
+    acceptor.set_option(tcp::acceptor::reuse_address(true));
+    error_code in_use;
+    acceptor.bind({asio::ip::address_v4::loopback(), ++next}, in_use);
+    if (!in_use) {
+      return next;
+    }
+  }
+}
+
+std::string config_json(std::uint16_t port, const Listener& server, const Listener& discovery,
+                        const std::string& more, const std::string& members) {
+  const std::string entries = members.empty() ? entry_json("s1", server.host_port()) : members;
+  return R"({"name":"n0","listen":"127.0.0.1:)" + std::to_string(port) + R"(","discovery":")" +
+         discovery.host_port() +
+         R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
+    )" + more +
+         R"("known":)" + list_json(41, true, entries) +
+         R"(,
+    "settings":{"Az":"a","ReplicasOfMe":3,"Position":0,"Classes":[{"Name":"profile-read","Repeat":"safe",
+      "ObjectiveUs":3000000,"GiveUpUs":4000000,"Importance":1.0}],
+      "TiersOfService":[{"Name":"plan-group","QuotaRate":900,"Depth":900}],"Limits":{"MaxAttempts":4}}})";
+}
+
+}  // namespace quota_gateway::net::testing
