--- a/scale/fleet_scenario.cpp
+++ b/scale/fleet_scenario.cpp
@@ -5,7 +5,6 @@
 #include <stdexcept>
 #include <thread>
 
-#include "clocks.hpp"
 #include "process_resources.hpp"
 
 namespace quota_gateway::scale {
@@ -39,12 +38,11 @@
 }
 
 ScenarioDeadline::ScenarioDeadline(const Options& options, double default_s)
-    : at_(steady_now() +
-          Micros(kMicrosPerSecond * (options.seconds > 0 ? options.seconds : default_s))) {}
+    : budget_(options, default_s) {}
 
 bool ScenarioDeadline::expired(Report& report, const std::string& scenario,
                                const std::string& left_out) const {
-  if (steady_now() < at_) {
+  if (!budget_.is_exhausted()) {
     return false;
   }
   report.note(scenario, "out of time: not run at " + left_out);
@@ -52,7 +50,7 @@
 }
 
 Micros ScenarioDeadline::remaining() const {
-  return std::max<Micros>(0, at_ - steady_now());
+  return std::max<Micros>(0, Micros(budget_.seconds_left() * kMicrosPerSecond));
 }
 
 void sleep_for(Micros time) {
--- a/scale/fleet_scenario.hpp
+++ b/scale/fleet_scenario.hpp
@@ -11,6 +11,7 @@
 #include "report.hpp"
 #include "scenario.hpp"
 #include "test_fleet.hpp"
+#include "time_budget.hpp"
 
 namespace quota_gateway::scale {
 
@@ -44,7 +45,7 @@
   Micros remaining() const;
 
  private:
-  const Micros at_;
+  const TimeBudget budget_;
 };
 
 void sleep_for(Micros time);
--- a/scale/measure.cpp
+++ b/scale/measure.cpp
@@ -1,13 +1,13 @@
 #include "measure.hpp"
 
-#include <malloc.h>
-
 #include <algorithm>
 #include <cmath>
 #include <cstddef>
 #include <ctime>
 #include <utility>
 
+#include "process_resources.hpp"
+
 namespace quota_gateway::scale {
 
 double thread_cpu_us() {
@@ -17,8 +17,7 @@
 }
 
 double heap_in_use_mb() {
-  const struct mallinfo2 usage = ::mallinfo2();
-  return double(usage.uordblks + usage.hblkhd) / 1e6;
+  return double(allocated_bytes()) / 1e6;
 }
 
 double percentile(std::vector<double> samples, double fraction) {
--- a/scale/measure.hpp
+++ b/scale/measure.hpp
@@ -1,6 +1,5 @@
-// What slopes are measured with: this thread's processor time, the heap, and
-// statistics of samples. Called by
-// the slopes of every part; keeps no state.
+// What slopes are measured with: this thread's processor time, the heap, and statistics of samples.
+// Called by the slopes of every part; keeps no state.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +8,8 @@
 namespace quota_gateway::scale {
 
 // Processor time that the calling thread has spent, in us with fractions. Figures of the decision
-// module use it because the wall clock would count what else the machine does.
+// module use it because the wall clock would count what else the machine does, and because the
+// whole microseconds of thread_cpu_time() would be as long as a request in the module takes.
 double thread_cpu_us();
 
 // Processor time in us that the calling thread spends in `work`.
