--- a/src/net/counter/counter_outage_log.cpp
+++ b/src/net/counter/counter_outage_log.cpp
@@ -5,7 +5,6 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Micros kMinLogInterval = 10'000'000;  // us
 constexpr Micros kMicrosPerMillisecond = 1000;
 
 }  // namespace
@@ -38,9 +37,7 @@
   if (!disconnected_since_) {
     disconnected_since_ = now;
   }
-  const bool logged_lately = last_logged_at_ && now - *last_logged_at_ <= kMinLogInterval;
-  if (!logged_lately) {
-    last_logged_at_ = now;
+  if (log_limit_.try_log(now)) {
     std::cerr << "counter: " << describe(cause) << '\n';
   }
 }
--- a/src/net/counter/counter_outage_log.hpp
+++ b/src/net/counter/counter_outage_log.hpp
@@ -5,6 +5,7 @@
 #include <optional>
 #include <string>
 
+#include "net/event_loop/log_rate_limit.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
@@ -40,7 +41,7 @@
   void on_connected(Micros now);
 
  private:
-  std::optional<Micros> last_logged_at_;
+  LogRateLimit log_limit_;
   // None: it is connected, or has not failed to yet.
   std::optional<Micros> disconnected_since_;
 };
--- a/src/net/discovery/discovery_outage_log.cpp
+++ b/src/net/discovery/discovery_outage_log.cpp
@@ -5,15 +5,13 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Micros kMinLogInterval = 10'000'000;  // us
 constexpr Micros kMicrosPerMillisecond = 1000;
 
 }  // namespace
 
 void DiscoveryOutageLog::on_disconnected(const WatchDisconnect& cause, std::int64_t revision,
                                          Micros now) {
-  if (!last_logged_at_ || now - *last_logged_at_ > kMinLogInterval) {
-    last_logged_at_ = now;
+  if (log_limit_.try_log(now)) {
     std::cerr << "discovery: " << cause.detail << "; watching again from revision " << revision
               << '\n';
   }
@@ -25,7 +23,7 @@
 void DiscoveryOutageLog::on_list_rejected(const ListIntake::Rejection& rejection,
                                           const WatchDisconnect& cause, std::int64_t revision,
                                           Micros retry_wait, Micros now) {
-  last_logged_at_ = now;
+  log_limit_.on_logged(now);
   std::cerr << "discovery: endpoint list rejected after " << rejection.bytes << " bytes and "
             << rejection.endpoints << " endpoints: " << cause.detail << "; revision " << revision
             << " stays in force, changes are requested in " << retry_wait / kMicrosPerMillisecond
--- a/src/net/discovery/discovery_outage_log.hpp
+++ b/src/net/discovery/discovery_outage_log.hpp
@@ -7,6 +7,7 @@
 
 #include "net/discovery/list_intake.hpp"
 #include "net/discovery/watch_disconnect.hpp"
+#include "net/event_loop/log_rate_limit.hpp"
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
@@ -25,7 +26,7 @@
  private:
   // None while the watch is healthy.
   std::optional<Micros> disconnected_at_;
-  std::optional<Micros> last_logged_at_;
+  LogRateLimit log_limit_;
 };
 
 }  // namespace quota_gateway::net
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -2,6 +2,8 @@
 // with such files.
 #include "net/config/config_loader.hpp"
 
+#include <gtest/gtest.h>
+
 #include <sstream>
 
 #include "net/config/config_key_check.hpp"
