--- a/scale/event_measurement.cpp
+++ b/scale/event_measurement.cpp
@@ -91,7 +91,7 @@
   if (usage.discovery.full_lists > gateways) {
     report_.note(scenario_,
                  name +
-                     ": more whole lists than gateways: hollow gateways share a processor, and "
+                     ": more whole lists than gateways: simulated gateways share a processor, and "
                      "a list that does not come in its time is asked for again");
   }
   add_figure(name + ".differences", double(usage.discovery.partial_lists), "lists");
--- a/scale/fleet/tenant_slope.cpp
+++ b/scale/fleet/tenant_slope.cpp
@@ -91,7 +91,8 @@
 }  // namespace
 
 Scenario tenant_scenario() {
-  return {kScenario, "memory and processor time of a hollow gateway by tenants met", memory, run};
+  return {kScenario, "memory and processor time of a simulated gateway by tenants met", memory,
+          run};
 }
 
 }  // namespace quota_gateway::scale
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -1,5 +1,5 @@
 // The client of the quota counter: one connection over which calls are pipelined, each with a
-// time-out of ours. Reconnects by itself after a pause that grows with each failure.
+// time-out of ours. Reconnects by itself with a backoff that grows with each failure.
 //
 // GatewayServer owns one for as long as a counter is configured and forwards the decision module's
 // AddToCounter actions to it. All of it runs on the thread of the io_context. Pending handlers and
--- a/tests/net/client/client_session_fixture.cpp
+++ b/tests/net/client/client_session_fixture.cpp
@@ -1,14 +1,10 @@
 #include "net/client/client_session_fixture.hpp"
 
 #include <boost/asio/ip/address_v4.hpp>
-#include <chrono>
 
-namespace quota_gateway::net::testing {
-namespace {
-
-constexpr Micros kRunTimeout = 20'000'000;
+#include "support/event_loop_runner.hpp"
 
-}  // namespace
+namespace quota_gateway::net::testing {
 
 using boost::asio::ip::tcp;
 
@@ -20,15 +16,7 @@
 }
 
 bool ClientSessionTest::run_until(const std::function<bool()>& done) {
-  const Micros end = clock.now() + kRunTimeout;
-  while (!done()) {
-    if (clock.now() > end) {
-      return false;
-    }
-    io.restart();
-    io.run_one_for(std::chrono::milliseconds(50));
-  }
-  return true;
+  return testing::run_until(io, done);
 }
 
 }  // namespace quota_gateway::net::testing
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -164,7 +164,7 @@
   }
 }
 
-// Guards against attempts that refer to an endpoint whose state is gone: it left the list minutes
+// The attempt would otherwise refer to an endpoint whose state is gone: it left the list minutes
 // before the end.
 TEST(LoadBalancer, AStreamedAnswerMayOutliveItsEndpointInTheList) {
   Gateway gateway(fleet_settings(1), 1);
--- a/tests/policy/endpoints/outlier_detector_test.cpp
+++ b/tests/policy/endpoints/outlier_detector_test.cpp
@@ -144,8 +144,8 @@
   EXPECT_FALSE(detector.end_expired_ejections(4 * kSecond));
 }
 
-// Guards against an ejection that ends when the state of its endpoint is gone, which the sanitized
-// build would see: the endpoint was last used a minute before.
+// The ejection would otherwise end on an endpoint whose state is gone, which the sanitized build
+// would see: the endpoint was last used a minute before.
 TEST(OutlierDetector, AnEndpointThatIsEjectedLateIsKeptUntilTheEjectionEnds) {
   Gateway gateway(fleet_settings(1), 1);
   std::vector<Action> actions;
--- a/tests/policy/endpoints/subset_placement_test.cpp
+++ b/tests/policy/endpoints/subset_placement_test.cpp
@@ -213,7 +213,7 @@
   return positions;
 }
 
-// Guards against a subset that is kept although the list has changed under it.
+// The subset must not stay as it was when the list changes under it.
 TEST(SubsetPlacement, ALoadBalancerUsesItsStretchOfTheRingAfterEachChange) {
   for (const auto& [gateway_count, endpoint_count] :
        {std::pair{300, 200}, std::pair{60, 2'000}, std::pair{5, 40}}) {
--- a/tests/util/order_statistic_ring_test.cpp
+++ b/tests/util/order_statistic_ring_test.cpp
@@ -61,7 +61,7 @@
   }
 }
 
-// Guards against items lost where blocks split and merge, and where several names share a position.
+// Items could be lost where blocks split and merge, and where several names share a position.
 TEST(OrderStatisticRing, MatchesASortedMapThroughAnyChanges) {
   std::uint64_t random = 5;
   Ring ring;
