--- a/src/policy/endpoints/load_balancer.cpp
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -6,7 +6,7 @@
 #include "policy/time_units.hpp"
 #include "util/decaying_mean.hpp"
 #include "util/random.hpp"
-#include "util/string_join.hpp"
+#include "util/string_concat.hpp"
 
 namespace quota_gateway::policy {
 namespace {
@@ -192,11 +192,11 @@
 std::string LoadBalancer::describe_state(Micros now) {
   subset(now);  // ends ejections that are over
   const OutcomeCounts counts = std::exchange(outcome_counts_, {});
-  return join("in flight ", concurrency_limit_.in_flight(), " of ", concurrency_limit_.limit(),
-              ", response time ", concurrency_limit_.response_time(), " idle ",
-              concurrency_limit_.idle_response_time(), " of the objective, ejected ",
-              outlier_detector_.ejected_count(), " of ", registry_.size(), " endpoints, ",
-              counts.text());
+  return concat("in flight ", concurrency_limit_.in_flight(), " of ", concurrency_limit_.limit(),
+                ", response time ", concurrency_limit_.response_time(), " idle ",
+                concurrency_limit_.idle_response_time(), " of the objective, ejected ",
+                outlier_detector_.ejected_count(), " of ", registry_.size(), " endpoints, ",
+                counts.text());
 }
 
 int LoadBalancer::healthy_endpoints() const {
--- a/src/policy/endpoints/outcome_counts.cpp
+++ b/src/policy/endpoints/outcome_counts.cpp
@@ -1,6 +1,6 @@
 #include "policy/endpoints/outcome_counts.hpp"
 
-#include "util/string_join.hpp"
+#include "util/string_concat.hpp"
 
 namespace quota_gateway::policy {
 
@@ -21,10 +21,10 @@
   static constexpr std::array<const char*, kStalled + 1> kNames = {
       "ok",    "error",     "overloaded", "timed out", "connect failed",
       "reset", "cancelled", "not sent",   "stalled"};
-  std::string text = join("ejections ", ejections_, ", attempts:");
+  std::string text = concat("ejections ", ejections_, ", attempts:");
   for (std::size_t i = 0; i < counts_.size(); ++i) {
     if (counts_[i] > 0) {
-      text += join(" ", kNames[i], " ", counts_[i]);
+      text += concat(" ", kNames[i], " ", counts_[i]);
     }
   }
   return text;
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -26,7 +26,7 @@
 #include "policy/time_units.hpp"
 #include "policy/timer_table.hpp"
 #include "util/hash.hpp"
-#include "util/string_join.hpp"
+#include "util/string_concat.hpp"
 
 namespace quota_gateway {
 
@@ -247,8 +247,8 @@
   const auto counts = rejection_stats_.take_if_due(context.now);
   if (counts && counts->any()) {
     log_.log(context, LogKind::kRejections,
-             join(counts->text(), "; ", format_quota_stats(quota_.take_stats(context.now)), "; ",
-                  load_balancer_.describe_state(context.now)));
+             concat(counts->text(), "; ", format_quota_stats(quota_.take_stats(context.now)), "; ",
+                    load_balancer_.describe_state(context.now)));
   }
 }
 
--- a/src/policy/rejection_stats.cpp
+++ b/src/policy/rejection_stats.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "policy/log_limiter.hpp"
-#include "util/string_join.hpp"
+#include "util/string_concat.hpp"
 
 namespace quota_gateway::policy {
 
@@ -12,12 +12,12 @@
 }
 
 std::string RejectionCounts::text() const {
-  return join("over slice ", over_quota(), " (total unknown ",
-              count(RejectionReason::kOverQuotaTotalUnknown), ", demand within quota ",
-              count(RejectionReason::kOverQuotaDemandWithinQuota), "), over ceiling ",
-              over_ceiling(), " (within quota ", count(RejectionReason::kOverCeilingWithinQuota),
-              "), no capacity ", count(RejectionReason::kNoEndpointCapacity), " of ", requests_,
-              " requests");
+  return concat("over slice ", over_quota(), " (total unknown ",
+                count(RejectionReason::kOverQuotaTotalUnknown), ", demand within quota ",
+                count(RejectionReason::kOverQuotaDemandWithinQuota), "), over ceiling ",
+                over_ceiling(), " (within quota ", count(RejectionReason::kOverCeilingWithinQuota),
+                "), no capacity ", count(RejectionReason::kNoEndpointCapacity), " of ", requests_,
+                " requests");
 }
 
 int RejectionCounts::over_quota() const {
--- a/src/util/string_join.hpp
+++ b/src/util/string_concat.hpp
@@ -8,7 +8,7 @@
 
 // Each part as operator<< writes it, with nothing between.
 template <typename... Parts>
-std::string join(const Parts&... parts) {
+std::string concat(const Parts&... parts) {
   std::ostringstream text;
   (text << ... << parts);
   return text.str();
