--- a/src/policy/attempt_sender.cpp
+++ b/src/policy/attempt_sender.cpp
@@ -34,7 +34,7 @@
     return false;
   }
   const AttemptEstimate estimate{
-      .work = request.expected_response_time / kSecond,
+      .work = request.expected_response_time / kMicrosPerSecond,
       .mean_response_time = request.request_class->latency.mean(),
   };
   Endpoint* const endpoint = load_balancer_.pick(now, estimate, [&](const Endpoint& candidate) {
--- a/src/policy/endpoints/concurrency_limit.cpp
+++ b/src/policy/endpoints/concurrency_limit.cpp
@@ -82,7 +82,7 @@
 
 void ConcurrencyLimit::update_unused_capacity(Micros now) {
   const double gained =
-      (limit() - in_flight_) * static_cast<double>(now - unused_capacity_at_) / kSecond;
+      (limit() - in_flight_) * static_cast<double>(now - unused_capacity_at_) / kMicrosPerSecond;
   unused_capacity_ = std::clamp(unused_capacity_ + gained, -limit(), limit());
   unused_capacity_at_ = now;
 }
--- a/src/policy/endpoints/load_balancer.cpp
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -30,7 +30,7 @@
 // answers errors at once does not look fast.
 constexpr double kFailedRelativeDuration = 10;
 
-constexpr Micros kLeastRetention = 64 * kPeriod;
+constexpr Micros kLeastRetention = 64 * kUpdatePeriod;
 
 bool is_failure(const AttemptResult& result) {
   switch (result.outcome) {
--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -51,8 +51,8 @@
   // So many processes of this gateway run side by side.
   void set_process_count(int processes) { slow_start_.set_process_count(processes); }
 
-  // Must be called once every kPeriod: updates estimates and forgets endpoints that were not used
-  // for long.
+  // Must be called once every kUpdatePeriod: updates estimates and forgets endpoints that were not
+  // used for long.
   void on_period(Micros now);
 
   // The endpoint where an attempt should end soonest, or null if none can take it now. Considers
--- a/src/policy/endpoints/slow_start.cpp
+++ b/src/policy/endpoints/slow_start.cpp
@@ -39,7 +39,7 @@
                                   static_cast<double>(share.subset_size) /
                                   static_cast<double>(std::max<std::size_t>(1, share.endpoints_up));
   const double budget = kBudgetSafety * settings_.slow_start_overload_factor * warmup * peer_rate_ *
-                        effective_weight(endpoint) * window / kSecond / process_count_;
+                        effective_weight(endpoint) * window / kMicrosPerSecond / process_count_;
   // Where the budget of a window is less than one attempt, attempts are so much further apart.
   const double span = window * std::clamp(work / std::max(budget, 1e-9), 1.0, sharing_gateways);
   SlidingWindowSum& recent_work = endpoint.slow_start.work_while_warming;
@@ -58,7 +58,8 @@
   if (total_weight <= 0) {
     return;
   }
-  peer_rate_ += kPeerRateGain * (work / total_weight / (kPeriod / kSecond) - peer_rate_);
+  peer_rate_ +=
+      kPeerRateGain * (work / total_weight / (kUpdatePeriod / kMicrosPerSecond) - peer_rate_);
 }
 
 bool SlowStart::has_relevant_state(Micros now, const Endpoint& endpoint) const {
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -109,7 +109,7 @@
                            std::vector<Action>& actions) {
   EventContext context{now, actions};
   if (!next_period_at_) {  // each gateway's period starts at a time of its own
-    next_period_at_ = now + 1 + Micros(mix(seed_) % std::uint64_t(kPeriod));
+    next_period_at_ = now + 1 + Micros(mix(seed_) % std::uint64_t(kUpdatePeriod));
     context.emit(SetTimer{*next_period_at_, TimerTable::kPeriodicToken});
   }
   for (const Event& event : events) {
@@ -226,7 +226,7 @@
   quota_.on_period(context.now, context.actions);
   log_rejections(context);
   // After a late batch, the periods that were missed are skipped.
-  next_period_at_ = std::max(*next_period_at_ + kPeriod, context.now);
+  next_period_at_ = std::max(*next_period_at_ + kUpdatePeriod, context.now);
   context.emit(SetTimer{*next_period_at_, TimerTable::kPeriodicToken});
 }
 
--- a/src/policy/quota/counter_rate_limiter.cpp
+++ b/src/policy/quota/counter_rate_limiter.cpp
@@ -23,7 +23,7 @@
 constexpr double kCongestionGain = 0.1;
 // The congestion also fades with time, in us. Without this, the few calls after an overload would
 // keep it alive.
-constexpr Micros kCongestionMemory = kPeriod;
+constexpr Micros kCongestionMemory = kUpdatePeriod;
 // A call without an answer counts as so many refused ones: all calls meet that queue.
 constexpr double kUnansweredWeight = 5;
 
@@ -59,7 +59,7 @@
 }
 
 void CounterRateLimiter::refill(Micros now) {
-  const double earned = calls_per_second_ * double(now - refilled_at_) / kSecond;
+  const double earned = calls_per_second_ * double(now - refilled_at_) / kMicrosPerSecond;
   available_calls_ = std::min(capacity(), available_calls_ + earned);
   refilled_at_ = now;
 }
--- a/src/policy/quota/counter_sync.cpp
+++ b/src/policy/quota/counter_sync.cpp
@@ -8,13 +8,13 @@
 namespace {
 
 // A customer's name at the counter serves so long, in us; with the next one a lost count is over.
-constexpr Micros kEpochLength = 16 * kPeriod;
+constexpr Micros kEpochLength = 16 * kUpdatePeriod;
 // The counter forgets a name that was not used for so long, in us.
 constexpr Micros kNameLifetime = 2 * kEpochLength;
 
 // The least time between two calls for a customer that spends fast, in us. In a period, all
 // gateways may each spend the store that they see.
-constexpr Micros kUrgentPeriod = kPeriod / 8;
+constexpr Micros kUrgentPeriod = kUpdatePeriod / 8;
 // Unreported units, as a fraction of the burst, that count as spending fast.
 constexpr double kUrgentBurstFraction = 0.1;
 
@@ -64,7 +64,7 @@
 
   const bool spends_fast = unreported.units >= kUrgentBurstFraction * quota_burst(customer);
   const bool is_urgent = spends_fast && 2 * available > capacity;
-  const Micros period = is_urgent ? kUrgentPeriod : kPeriod;
+  const Micros period = is_urgent ? kUrgentPeriod : kUpdatePeriod;
   if (total.calls_in_flight > 0 || (is_known && now - total.last_call_at < period)) {
     return false;
   }
--- a/src/policy/quota/counter_total_estimator.cpp
+++ b/src/policy/quota/counter_total_estimator.cpp
@@ -47,7 +47,7 @@
 // are small, no total is taken as older than this gateway.
 double CounterTotalEstimator::observed_seconds(Micros now, Micros gateway_started_at,
                                                const CustomerState& customer, double increase) {
-  const double seconds = double(now - customer.total.read_at) / kSecond;
+  const double seconds = double(now - customer.total.read_at) / kMicrosPerSecond;
   if (customer.total.value > 0) {
     return seconds;
   }
@@ -55,7 +55,7 @@
       kNewCounterEvidenceKept * quotas_since_last_read_ + customer.quota_rate * seconds;
   first_totals_ = kNewCounterEvidenceKept * first_totals_ + increase;
   if (first_totals_ < kNewCounterFraction * quotas_since_last_read_) {
-    return std::min(seconds, double(now - gateway_started_at) / kSecond);
+    return std::min(seconds, double(now - gateway_started_at) / kMicrosPerSecond);
   }
   return seconds;
 }
--- a/src/policy/quota/demand_estimator.cpp
+++ b/src/policy/quota/demand_estimator.cpp
@@ -47,7 +47,7 @@
 }  // namespace
 
 void advance_estimates(Micros now, CustomerState& customer) {
-  const double elapsed = double(now - customer.estimated_at) / kSecond;
+  const double elapsed = double(now - customer.estimated_at) / kMicrosPerSecond;
   if (elapsed <= 0) {
     return;
   }
--- a/src/policy/quota/quota_allocator.cpp
+++ b/src/policy/quota/quota_allocator.cpp
@@ -17,10 +17,10 @@
 
 // A customer without requests for longer is forgotten, in us. It is four times as long as the
 // counter uses one name for a customer (see counter_sync.cpp).
-constexpr Micros kForgetIdleAfter = 64 * kPeriod;
+constexpr Micros kForgetIdleAfter = 64 * kUpdatePeriod;
 
 // A total is recent for so long, in us.
-constexpr Micros kRecentTotal = 2 * kPeriod;
+constexpr Micros kRecentTotal = 2 * kUpdatePeriod;
 
 bool can_forget(Micros now, const CustomerState& customer) {
   return now - customer.last_request_at > kForgetIdleAfter && customer.attempts_in_progress == 0 &&
@@ -99,7 +99,7 @@
 
 Micros QuotaAllocator::retry_after(const CustomerState& customer, double units,
                                    Micros latency_objective, Micros least) const {
-  const double until_covered = seconds_until_covered(customer, units) * kSecond;
+  const double until_covered = seconds_until_covered(customer, units) * kMicrosPerSecond;
   const double most =
       std::min(double(settings_.max_retry_after), kRetryAfterFraction * double(latency_objective));
   const double advice = std::min(most, std::max(until_covered, double(least)));
--- a/src/policy/quota/quota_capacity.cpp
+++ b/src/policy/quota/quota_capacity.cpp
@@ -44,7 +44,7 @@
 
 bool is_sparse(const Settings& settings, const CustomerState& customer) {
   return settings.has_counter && customer.plan->quota_rate > 0 &&
-         customer.plan->quota_rate * double(kPeriod) / kSecond <
+         customer.plan->quota_rate * double(kUpdatePeriod) / kMicrosPerSecond <
              kSparseRequestFraction * settings.max_request_units * customer.gateway_subset_size;
 }
 
--- a/src/policy/quota/rate_ceiling.cpp
+++ b/src/policy/quota/rate_ceiling.cpp
@@ -18,7 +18,7 @@
   }
   CeilingShare& ceiling = customer.ceiling;
   const double filled =
-      share(customer) * plan.ceiling_rate * double(now - ceiling.filled_at) / kSecond;
+      share(customer) * plan.ceiling_rate * double(now - ceiling.filled_at) / kMicrosPerSecond;
   ceiling.units = std::min(share(customer) * plan.ceiling_burst, ceiling.units + filled);
   ceiling.filled_at = now;
 }
@@ -50,7 +50,7 @@
   const PlanSettings& plan = *customer.plan;
   const double fill_rate = share(customer) * plan.ceiling_rate;
   const double missing = std::max(0.0, units - customer.ceiling.units);
-  const auto until_filled = Micros(missing / fill_rate * kSecond);
+  const auto until_filled = Micros(missing / fill_rate * kMicrosPerSecond);
   if (!settings_.has_counter || !customer.ceiling_reservation.exhausted) {
     return until_filled;
   }
--- a/src/policy/quota/shared_pool.cpp
+++ b/src/policy/quota/shared_pool.cpp
@@ -21,7 +21,7 @@
 
 // Us in which `rate` brings `units`, at least 1.
 Micros time_to_fill(double units, double rate) {
-  return std::max<Micros>(1, Micros(units / rate * kSecond));
+  return std::max<Micros>(1, Micros(units / rate * kMicrosPerSecond));
 }
 
 }  // namespace
--- a/src/policy/request_intake.cpp
+++ b/src/policy/request_intake.cpp
@@ -31,7 +31,7 @@
   CustomerState& customer = quota_.customer(now, event, plan);
   request_class->latency.on_request(event.units);
   const double expected = request_class->latency.expected(event.units);
-  const double quota_units = plan.quota_rate > 0 ? event.units : expected / kSecond;
+  const double quota_units = plan.quota_rate > 0 ? event.units : expected / kMicrosPerSecond;
   record_demand(now, customer, quota_units);
 
   Request& request = requests_.find_or_create(event.id);
--- a/src/policy/time_units.hpp
+++ b/src/policy/time_units.hpp
@@ -1,11 +1,13 @@
-// Units of time that the modules of the policy share.
+// Time constants shared by the policy modules.
 #pragma once
 
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::policy {
 
-constexpr double kSecond = 1e6;        // microseconds, for conversions in floating point
-constexpr Micros kPeriod = 1'000'000;  // us between two periodic updates of a gateway's estimates
+constexpr double kMicrosPerSecond = 1e6;  // a double, for conversions in floating point
+
+// Interval at which a gateway runs its periodic updates, in microseconds.
+constexpr Micros kUpdatePeriod = 1'000'000;
 
 }  // namespace quota_gateway::policy
