--- a/scale/process/gateway_process.cpp
+++ b/scale/process/gateway_process.cpp
@@ -40,7 +40,7 @@
 constexpr std::size_t kLogExcerpt = 400;  // bytes
 // What the gateway logs of a reload: either of two lines that begin so; this one if it failed.
 constexpr const char* kReloadLine = "configuration ";
-constexpr const char* kReloadRejectedLine = "configuration kept";
+constexpr const char* kReloadRejectedLine = "configuration reload failed";
 
 std::string make_folder() {
   const auto name = std::filesystem::temp_directory_path() / "quota_gateway-scale-XXXXXX";
--- a/src/net/hot_restart/hot_restart.cpp
+++ b/src/net/hot_restart/hot_restart.cpp
@@ -62,7 +62,8 @@
   Packet answer = receive_packet_within(link.get(), kParentAnswerTimeout);
   if (answer.text != kWelcomePacket || !answer.descriptor.is_open() ||
       !is_listening_at(answer.descriptor.get(), client_address_)) {
-    std::cerr << "hot restart: what is at " << socket_path_ << " hands over nothing\n";
+    std::cerr << "hot restart: the process at " << socket_path_
+              << " passed no usable listening socket; opening a new one\n";
     return;
   }
   inherited_listener_ = std::move(answer.descriptor);
--- a/src/net/server/config_reloader.cpp
+++ b/src/net/server/config_reloader.cpp
@@ -65,7 +65,9 @@
   } catch (const std::exception& e) {
     loader_.reset();
     server_.on_reload_rejected();
-    std::cerr << gateway_name_ << ": configuration kept: " << e.what() << '\n';
+    std::cerr << gateway_name_
+              << ": configuration reload failed, the previous one stays in force: " << e.what()
+              << '\n';
   }
 }
 
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -132,7 +132,7 @@
         edited(R"("phase":"up")", R"("phase":"odd")"), edited(R"("id":)", R"("name":)")}) {
     process.configure(config_json(port, server, discovery, "", broken));
     process.hang_up();
-    ASSERT_NE(process.log_until("configuration").find("kept"), std::string::npos);
+    ASSERT_NE(process.log_until("configuration").find("reload failed"), std::string::npos);
   }
   process.configure(config_json(port, server, discovery, "", members));
   process.hang_up();
--- a/tests/net/hot_restart/hot_restart_test.cpp
+++ b/tests/net/hot_restart/hot_restart_test.cpp
@@ -139,7 +139,7 @@
   const std::string child_log = child.log_until("ready");
   // The child waits 0.5 s for its parent, then listens beside it; on a loaded machine that ends
   // this test, and this line says why.
-  ASSERT_EQ(child_log.find("hands over nothing"), std::string::npos) << child_log;
+  ASSERT_EQ(child_log.find("passed no usable listening socket"), std::string::npos) << child_log;
   EXPECT_FALSE(ready(child_admin_port));
   EXPECT_EQ(count_served(3), 3);
   child.kill(SIGKILL);  // before it is ready
--- a/tests/net/server/reload_test.cpp
+++ b/tests/net/server/reload_test.cpp
@@ -30,7 +30,8 @@
                                  config_json(port, server, first, "\"counter\":7,")}) {
     process.configure(bad);
     process.hang_up();
-    ASSERT_NE(process.log_until("configuration kept").find("kept"), std::string::npos);
+    ASSERT_NE(process.log_until("configuration reload failed").find("previous one stays in force"),
+              std::string::npos);
   }
   process.configure(config_json(port, server, first, with_counter(counter)));
   process.hang_up();  // nothing changed
@@ -106,7 +107,7 @@
     }
     process.configure(text);
     process.hang_up();
-    ASSERT_NE(process.log_until("configuration").find("kept"), std::string::npos) << text;
+    ASSERT_NE(process.log_until("configuration").find("reload failed"), std::string::npos) << text;
     EXPECT_EQ(status("profile-read", numbered("a", ++count)), 200) << text;
     EXPECT_EQ(status("profile-next", numbered("b", count)), 400) << text;
   }
