--- a/src/net/admin/admin_connection.cpp
+++ b/src/net/admin/admin_connection.cpp
@@ -16,18 +16,18 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::uint32_t kMaxHeaderSize = 4 << 10;
-constexpr std::uint64_t kMaxBodySize = 4 << 10;
-// From the connection to the end of the request.
+constexpr std::uint32_t kMaxHeaderSize = 4 << 10;  // bytes
+constexpr std::uint64_t kMaxBodySize = 4 << 10;    // bytes
+// From accepting the connection to the end of the request.
 constexpr Micros kRequestTimeout = 2'500'000;
-// For the operator's tool to read the response before the connection closes.
+// From the response to closing the connection, for the operator's tool to read the response.
 constexpr Micros kLingerTime = 500'000;
 
 std::string_view path_of(std::string_view target) {
   return target.substr(0, target.find('?'));
 }
 
-// `extra_header`: empty, or begins with a line break.
+// `extra_header` is empty or begins with a line break.
 std::string render_response(int status, const std::string& extra_header, const std::string& body) {
   const auto reason = http::obsolete_reason(http::status(status));
   std::string text = "HTTP/1.1 " + std::to_string(status) + " ";
@@ -55,7 +55,7 @@
 void AdminConnection::start() {
   timers_.after(kRequestTimeout, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->respond(408, "no whole call in time\n");
+      self->respond(408, "the request was not received completely in time\n");
     }
   });
   read();
@@ -76,8 +76,9 @@
                             if (ec) {
                               return close();
                             }
-                            // What follows the request is read and dropped. Without this, closing
-                            // would reset the connection and lose the response.
+                            // Input after the request is read and discarded: closing a socket with
+                            // unread input resets the connection, and the client would lose the
+                            // response.
                             if (!responded_) {
                               parse(size);
                             }
@@ -113,8 +114,8 @@
   }
 }
 
-// The parser stops after the header first, so that a body over the limit is rejected before it has
-// arrived.
+// The parser first stops after the header, so that a request with too large a body is rejected
+// before the body arrives.
 bool AdminConnection::accept_header() {
   parser_.eager(true);
   try {
@@ -132,10 +133,10 @@
   const bool is_readiness_request = path == "/ops/readiness";
   const bool is_stats_request = path == "/ops/stats";
   if (!is_readiness_request && !is_stats_request) {
-    return respond(404, "no such call\n");
+    return respond(404, "no resource has this path\n");
   }
   if (request.method() != http::verb::get) {
-    return respond(405, "only GET\n", "\r\nAllow: GET");
+    return respond(405, "only the method GET is allowed\n", "\r\nAllow: GET");
   }
   if (is_stats_request) {
     return respond(200, handlers_.render_stats());
@@ -147,7 +148,7 @@
 }
 
 void AdminConnection::respond_too_large() {
-  respond(413, "the call is too large\n");
+  respond(413, "the header or body of the request exceeds its size limit\n");
 }
 
 void AdminConnection::respond(int status, const std::string& body,
--- a/src/net/admin/admin_connection.hpp
+++ b/src/net/admin/admin_connection.hpp
@@ -1,5 +1,5 @@
-// One connection of an operator's tool to the admin server: reads one HTTP request, responds at
-// once and closes.
+// One operator connection to the admin server: reads one HTTP request, responds immediately and
+// closes.
 #pragma once
 
 #include <array>
@@ -16,34 +16,37 @@
 
 namespace quota_gateway::net {
 
-// Where the admin server's responses come from. Called from the event loop, once a request.
+// Provides the content of the admin server's responses. Called from the event loop, once per
+// request.
 struct AdminHandlers {
-  // Whether the gateway is fit to serve clients.
+  // Whether the gateway is ready to serve clients.
   std::function<bool()> is_ready;
-  // The body of /ops/stats, a line for each figure.
+  // Returns the body of /ops/stats, one line per metric.
   std::function<std::string()> render_stats;
 };
 
-// Its pending operations share its ownership with the server that accepted it.
+// Owned jointly by the server that accepted it and by its pending asynchronous operations.
 class AdminConnection : public std::enable_shared_from_this<AdminConnection> {
  public:
   // `timers` and `handlers` must outlive the connection. `on_close` is called from within close(),
-  // also when the connection closes by itself.
+  // also when the connection closes itself.
   AdminConnection(boost::asio::ip::tcp::socket socket, Timers& timers,
                   const AdminHandlers& handlers, std::function<void(AdminConnection&)> on_close);
 
-  // Reads the request. Call it once, on an object that a shared_ptr owns.
+  // Starts to read the request. Must be called once, on an object owned by a shared_ptr.
   void start();
   void close();
 
  private:
   void read();
   void parse(std::size_t received);
-  // False: the request has been responded to with an error.
+  // Checks the header of the request and lets the parser continue with the body. Returns false if
+  // the request was rejected with an error response.
   bool accept_header();
   void respond_to_request();
   void respond_too_large();
-  // Only the first response counts. `extra_header` begins with a line break.
+  // Sends the response; calls after the first have no effect. `extra_header` is empty or begins
+  // with a line break.
   void respond(int status, const std::string& body, const std::string& extra_header = "");
   void on_response_written(boost::system::error_code ec);
 
--- a/src/net/admin/admin_server.cpp
+++ b/src/net/admin/admin_server.cpp
@@ -38,8 +38,8 @@
   listen();
 }
 
-// An address that another process still holds must not keep the gateway from serving; a later
-// attempt may succeed.
+// A failure does not keep the gateway from serving clients. The address may still be held by
+// another process, so a later attempt may succeed.
 void AdminServer::listen() {
   const error_code ec = listen_at(acceptor_, configured_address_);
   if (!ec) {
@@ -66,7 +66,7 @@
 
 void AdminServer::add_connection(tcp::socket socket) {
   if (connections_.size() >= kMaxAdminConnections) {
-    // A copy, since close() removes it from the list.
+    // A copy of the pointer, since close() removes the connection from the list.
     const std::shared_ptr<AdminConnection> oldest = connections_.front();
     oldest->close();
   }
--- a/src/net/admin/admin_server.hpp
+++ b/src/net/admin/admin_server.hpp
@@ -1,5 +1,6 @@
-// The HTTP server for operators, on an address of its own beside the clients': readiness at
-// /ops/readiness, figures at /ops/stats. GatewayServer owns it and provides both.
+// The HTTP server for operators, on an address separate from the one for clients: readiness at
+// /ops/readiness, metrics at /ops/stats. Owned by GatewayServer, which provides the content of
+// both.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -13,18 +14,21 @@
 
 namespace quota_gateway::net {
 
-// At a time. Their file descriptors are reserved, so that clients can't use them up. A
-// connection past that many closes the oldest one, so that slow tools can't use them up either.
+// Maximum number of simultaneous admin connections. GatewayServer reserves file descriptors for
+// them, so that clients cannot exhaust them. A connection beyond the limit closes the oldest one,
+// so that slow tools cannot block others.
 constexpr std::size_t kMaxAdminConnections = 8;
 
 class AdminServer {
  public:
-  // Listens at `address`; port 0: at any free port. If it can't, it logs that and retries every
-  // 0.5 s. `timers` must outlive the server, and the event loop must not run after it is gone.
+  // Listens at `address`; port 0 selects any free port. If listening fails, logs the error and
+  // retries every 0.5 s. `timers` must outlive the server, and the event loop must not run after
+  // the server was destroyed.
   AdminServer(boost::asio::io_context& io, Timers& timers, boost::asio::ip::tcp::endpoint address,
               AdminHandlers handlers);
 
-  // Where it listens. Throws boost::system::system_error if it doesn't yet.
+  // The address that the server listens at. Throws boost::system::system_error if it does not
+  // listen yet.
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
  private:
@@ -37,7 +41,7 @@
   const boost::asio::ip::tcp::endpoint configured_address_;
   const AdminHandlers handlers_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::list<std::shared_ptr<AdminConnection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<AdminConnection>> connections_;  // oldest first
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/hot_restart/hot_restart.cpp
+++ b/src/net/hot_restart/hot_restart.cpp
@@ -11,19 +11,19 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// An old version of the program hands over to a new one through this socket. So its name in the
-// shared directory and its packets keep the product's former name: with others, a new version would
-// not find the old one, and connections would be lost. A later version that needs other packets
-// uses another number.
+// During an upgrade, an old version of the program passes its listening socket to a new one through
+// this Unix socket. The name of the Unix socket and its packets therefore keep the former name of
+// the product: with other names a new version would not find an old one, and connections would be
+// lost. A version that needs different packets must use another number than 1 after the name.
 constexpr std::string_view kSocketName = "/cottonroad.sock";
 constexpr std::string_view kIdentityPrefix = "cottonroad/1 ";
 constexpr std::string_view kWelcomePacket = "cottonroad/1 welcome";
 constexpr std::string_view kReadyPacket = "cottonroad/1 ready";
 
-// Within this time of the start the parent answers; else the process opens a listening socket of
-// its own.
+// If the parent does not answer within this time, the process opens its own listening socket.
 constexpr auto kParentAnswerTimeout = std::chrono::milliseconds(500);
-// Within this time a process that connects has sent its identity.
+// A process that connects must send its identity within this time; otherwise its connection is
+// closed.
 constexpr Micros kChildIdentityTimeout = 500'000;
 
 std::string socket_path(const std::string& directory) {
@@ -51,8 +51,9 @@
 
 // ---- The parent
 
-// Without a listener to inherit, this process starts on its own: if the path is an abandoned socket
-// or a file, if a foreign process listens there, or if the parent ends meanwhile.
+// Connects to the parent and receives its listening socket. No parent is found if the path is an
+// abandoned socket or a file, if an unrelated process listens there, or if the parent ends before
+// it has answered; the process then opens its own listening socket.
 void HotRestart::find_parent() {
   OwnedDescriptor link = connect_packet_socket(socket_path_);
   if (!link.is_open() || !is_peer_same_user(link.get()) ||
@@ -71,13 +72,13 @@
   watch_parent();
 }
 
-// The parent sends nothing more; this waits for its end.
+// Waits for the end of the parent, which sends no further packets.
 void HotRestart::watch_parent() {
   parent_->async_wait(Descriptor::wait_read, [this](error_code ec) {
     if (ec || !parent_) {
       return;
     }
-    if (!receive_packet(parent_->native_handle()).is_end) {
+    if (!receive_packet(parent_->native_handle()).is_end_of_stream) {
       return watch_parent();
     }
     parent_.reset();
@@ -107,8 +108,8 @@
   }
   OwnedDescriptor acceptor = listen_packet_socket(socket_path_);
   if (!acceptor.is_open()) {
-    std::cerr << "hot restart: no socket at " << socket_path_
-              << "; a new process will have to listen beside this one\n";
+    std::cerr << "hot restart: cannot listen at " << socket_path_
+              << "; a new process of this gateway will open its own listening socket\n";
     return;
   }
   child_acceptor_ = std::make_unique<Descriptor>(io_, acceptor.release());
@@ -122,13 +123,13 @@
     }
     OwnedDescriptor candidate = accept_packet_socket(child_acceptor_->native_handle());
     if (candidate.is_open() && is_peer_same_user(candidate.get())) {
-      greet_child(std::make_shared<Descriptor>(io_, candidate.release()));
+      await_child_identity(std::make_shared<Descriptor>(io_, candidate.release()));
     }
     accept_child();
   });
 }
 
-void HotRestart::greet_child(const std::shared_ptr<Descriptor>& candidate) {
+void HotRestart::await_child_identity(const std::shared_ptr<Descriptor>& candidate) {
   candidate->async_wait(Descriptor::wait_read, [this, candidate](error_code ec) {
     if (!ec) {
       on_child_identity(*candidate);
@@ -136,21 +137,22 @@
   });
   timers_.after(kChildIdentityTimeout, [weak = std::weak_ptr<Descriptor>(candidate)] {
     error_code ignored;
-    if (const auto silent = weak.lock(); silent && silent->is_open()) {
-      silent->cancel(ignored);
+    if (const auto unidentified = weak.lock(); unidentified && unidentified->is_open()) {
+      unidentified->cancel(ignored);
     }
   });
 }
 
 void HotRestart::on_child_identity(Descriptor& candidate) {
   const Packet packet = receive_packet(candidate.native_handle());
-  // There is one child at a time. A second one, or a process of another gateway, gets no answer.
+  // Only one child is accepted at a time. A second one, or a process of another gateway, gets no
+  // answer.
   if (packet.text != identity_packet_ || child_) {
     return;
   }
   child_ = std::make_unique<Descriptor>(io_, candidate.release());
-  // Before the welcome, after which the child may serve: by then this process must share its limits
-  // with it.
+  // Called before the welcome packet is sent: after receiving it the child may serve, and by then
+  // this process must have reduced its limits to its share.
   on_change_();
   if (child_) {
     send_packet(child_->native_handle(), kWelcomePacket, listening_socket_);
@@ -174,11 +176,11 @@
   if (is_ready) {
     child_accepting_ = true;
   }
-  if (packet.is_end) {
+  if (packet.is_end_of_stream) {
     child_.reset();
     child_accepting_ = false;
   }
-  if (packet.is_end || is_ready) {
+  if (packet.is_end_of_stream || is_ready) {
     on_change_();
   }
   if (child_) {
--- a/src/net/hot_restart/packet_socket.cpp
+++ b/src/net/hot_restart/packet_socket.cpp
@@ -16,10 +16,10 @@
 
 using boost::asio::ip::tcp;
 
-constexpr std::size_t kMaxPacketSize = 512;
+constexpr std::size_t kMaxPacketSize = 512;  // bytes
 constexpr int kListenBacklog = 4;
 
-// Space for the one descriptor that a packet may carry.
+// Control message buffer for the one descriptor that a packet may carry.
 struct ControlBuffer {
   alignas(cmsghdr) std::array<char, CMSG_SPACE(sizeof(int))> bytes{};
 };
@@ -34,7 +34,7 @@
   return address;
 }
 
-const sockaddr* generic(const sockaddr_un& address) {
+const sockaddr* generic_address(const sockaddr_un& address) {
   return reinterpret_cast<const sockaddr*>(&address);
 }
 
@@ -54,9 +54,9 @@
   return extracted;
 }
 
-Packet end_packet() {
+Packet end_of_stream_packet() {
   Packet packet;
-  packet.is_end = true;
+  packet.is_end_of_stream = true;
   return packet;
 }
 
@@ -83,14 +83,15 @@
     return {};
   }
   OwnedDescriptor connected = open_packet_socket();
-  if (!connected.is_open() || ::connect(connected.get(), generic(*address), sizeof *address) != 0) {
+  if (!connected.is_open() ||
+      ::connect(connected.get(), generic_address(*address), sizeof *address) != 0) {
     return {};
   }
   return connected;
 }
 
-// Binds under a temporary name, then renames that over whatever is at `path`: between a removal and
-// a bind at `path` itself, a new process would find no parent.
+// Binds to a temporary path and renames it to `path`, which replaces an existing file atomically.
+// If `path` were removed and then bound, a process that starts in between would find no parent.
 OwnedDescriptor listen_packet_socket(const std::string& path) {
   const std::string temporary_path = path + "." + std::to_string(::getpid());
   OwnedDescriptor listening = open_packet_socket();
@@ -99,7 +100,8 @@
     return {};
   }
   ::unlink(temporary_path.c_str());
-  if (listening.is_open() && ::bind(listening.get(), generic(*address), sizeof *address) == 0 &&
+  if (listening.is_open() &&
+      ::bind(listening.get(), generic_address(*address), sizeof *address) == 0 &&
       ::listen(listening.get(), kListenBacklog) == 0 &&
       std::rename(temporary_path.c_str(), path.c_str()) == 0) {
     return listening;
@@ -163,7 +165,7 @@
   message.msg_controllen = control.bytes.size();
   const auto size = ::recvmsg(packet_socket, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
   Packet packet;
-  packet.is_end = size == 0 || (size < 0 && errno != EAGAIN && errno != EINTR);
+  packet.is_end_of_stream = size == 0 || (size < 0 && errno != EAGAIN && errno != EINTR);
   if (size > 0) {
     packet.text.assign(bytes.data(), std::size_t(size));
     packet.descriptor = extract_descriptor(message);
@@ -177,14 +179,14 @@
     const auto remaining = std::chrono::duration_cast<std::chrono::milliseconds>(
         deadline - std::chrono::steady_clock::now());
     if (remaining.count() <= 0) {
-      return end_packet();
+      return end_of_stream_packet();
     }
     pollfd readable{packet_socket, POLLIN, 0};
     if (::poll(&readable, 1, int(remaining.count()) + 1) < 0 && errno != EINTR) {
-      return end_packet();
+      return end_of_stream_packet();
     }
     Packet packet = receive_packet(packet_socket);
-    if (packet.is_end || !packet.text.empty()) {
+    if (packet.is_end_of_stream || !packet.text.empty()) {
       return packet;
     }
   }
--- a/src/net/hot_restart/packet_socket.hpp
+++ b/src/net/hot_restart/packet_socket.hpp
@@ -1,5 +1,5 @@
-// Packets between two processes of one user over a Unix socket, each with or without a file
-// descriptor. Only the system calls; HotRestart, which owns the sockets, decides what is sent.
+// Packets between two processes of the same user over a Unix socket, each with an optional file
+// descriptor. Contains only the system calls; HotRestart owns the sockets and decides what is sent.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -10,7 +10,7 @@
 
 namespace quota_gateway::net {
 
-// Closes the descriptor that it owns, if any.
+// Owns a file descriptor, or none, and closes it on destruction.
 class OwnedDescriptor {
  public:
   OwnedDescriptor() = default;
@@ -22,9 +22,9 @@
   ~OwnedDescriptor();
 
   bool is_open() const { return fd_ >= 0; }
-  // -1 if there is none, as for the system calls.
+  // -1 if there is none, as in system calls.
   int get() const { return fd_; }
-  // The caller closes it.
+  // Gives up ownership: the caller must close the descriptor.
   int release();
 
  private:
@@ -32,37 +32,41 @@
 };
 
 struct Packet {
-  // The other side has closed its end, or the socket failed.
-  bool is_end = false;
-  // Empty: none has arrived yet.
+  // The other side has closed the connection, or the socket failed.
+  bool is_end_of_stream = false;
+  // Empty: no packet has arrived yet.
   std::string text;
   OwnedDescriptor descriptor;
 };
 
-// A socket connected to the one that listens at `path`. Not open: nothing listens there, or `path`
-// is empty or too long for a socket.
+// Connects to the socket that listens at `path`. The result is not open if nothing listens there,
+// or if `path` is empty or too long for a socket address.
 OwnedDescriptor connect_packet_socket(const std::string& path);
 
-// A socket that listens at `path` in place of whatever is there. Not open: that failed.
+// Creates a socket that listens at `path`, in place of an existing file. The result is not open if
+// that failed.
 OwnedDescriptor listen_packet_socket(const std::string& path);
 
-// The next connection of a listening socket. Not open: there is none.
+// Accepts the next connection. The result is not open if none is pending.
 OwnedDescriptor accept_packet_socket(int listening_socket);
 
-// Whether the process at the other end runs under our user. Without this check, whoever can write
-// to the directory could pass a socket to us, or get ours.
+// Whether the process at the other end runs under the same user. If this were not checked, any
+// process that can write to the directory could pass a socket to this process or receive its
+// listening socket.
 bool is_peer_same_user(int packet_socket);
 
 // Whether `fd` is a socket that listens at `address`.
 bool is_listening_at(int fd, const boost::asio::ip::tcp::endpoint& address);
 
-// Never waits. With `descriptor`, the receiver gets a duplicate of it. False: it was not sent.
+// Sends a packet without blocking. If `descriptor` is given, the receiver gets a duplicate of it.
+// Returns false if the packet was not sent.
 bool send_packet(int packet_socket, std::string_view text,
                  std::optional<int> descriptor = std::nullopt);
 
-// Never waits.
+// Receives a packet without blocking.
 Packet receive_packet(int packet_socket);
-// Blocks until a packet or the end arrives. After `timeout` returns an end.
+// Blocks until a packet arrives or the connection ends. After `timeout`, returns a packet with
+// `is_end_of_stream`.
 Packet receive_packet_within(int packet_socket, std::chrono::milliseconds timeout);
 
 }  // namespace quota_gateway::net
--- a/src/net/server/action_executor.cpp
+++ b/src/net/server/action_executor.cpp
@@ -40,7 +40,8 @@
   loop_.timers.at(action.at, [this, token = action.token] { events_.push(TimerFired{token}); });
 }
 
-// No site of the real gateway allows health checks, so the decision module never asks for one.
+// Does nothing: no deployment of the gateway program allows health checks, so the decision module
+// never requests one.
 void ActionExecutor::perform(const SendHealthCheck& /*action*/) {}
 
 void ActionExecutor::perform(const AddToCounter& action) {
--- a/src/net/server/action_executor.hpp
+++ b/src/net/server/action_executor.hpp
@@ -1,5 +1,5 @@
-// Carries out the actions of the decision module, one at a time: those on requests through the
-// RequestDispatcher, the others itself. Owned by GatewayServer and called by EventBatcher.
+// Executes the actions of the decision module one at a time: actions on requests through
+// RequestDispatcher, all others itself. Owned by GatewayServer, called by EventBatcher.
 #pragma once
 
 #include <memory>
@@ -18,8 +18,8 @@
 
   void execute(const Action& action);
 
-  // From now on additions go to this counter; null: there is none, and each addition is reported as
-  // not made. The counter before it finishes its calls and closes.
+  // Sends all further additions to `counter`. If it is null, each addition is reported as not made.
+  // The previous counter client finishes its pending calls and closes.
   void use_counter(std::shared_ptr<CounterClient> counter);
 
  private:
--- a/src/net/server/attempt_reporter.cpp
+++ b/src/net/server/attempt_reporter.cpp
@@ -26,8 +26,9 @@
   completed.attempt = key.attempt;
   completed.server = attempt.endpoint;
   completed.outcome = result.outcome;
-  // Up to the first byte only: a response that trickles in keeps its server no longer than others.
-  // Counted as the server's work it would look like a fleet with too much in flight.
+  // The duration ends at the first byte of the response: a response that arrives slowly does not
+  // occupy its server for longer than others do. If the transfer counted as work of the server, the
+  // fleet would seem to have too many requests in flight.
   const Micros ended_at = result.first_byte_at ? *result.first_byte_at : clock_.now();
   completed.duration = ended_at - attempt.sent_at;
   completed.load = result.load;
--- a/src/net/server/attempt_reporter.hpp
+++ b/src/net/server/attempt_reporter.hpp
@@ -1,4 +1,4 @@
-// Reports to the decision module how attempts proceed and end. Owned by GatewayServer, used by
+// Reports the results of attempts to the decision module. Owned by GatewayServer, used by
 // RequestDispatcher and MessageStreamer.
 #pragma once
 
@@ -9,15 +9,15 @@
 
 namespace quota_gateway::net {
 
-// The result of an attempt that ended without a response.
+// Returns the result of an attempt that ended without a response.
 AttemptResult result_without_response(Outcome outcome);
 
 class AttemptReporter {
  public:
   AttemptReporter(const Clock& clock, RequestTable& requests, EventBatcher& events);
 
-  // The attempt, which is in flight, has ended. Removes the request, and invalidates the iterator,
-  // if it is finished and none of its attempts is in flight any more.
+  // Reports that an attempt in flight has ended. Removes the request and invalidates `entry` if the
+  // request is finished and has no other attempt in flight.
   void report_complete(RequestTable::Iterator entry, AttemptKey key, const AttemptResult& result);
 
  private:
--- a/src/net/server/config_reloader.cpp
+++ b/src/net/server/config_reloader.cpp
@@ -28,8 +28,8 @@
   });
 }
 
-// One chunk a turn of the loop: a file with 170,000 endpoints takes half a second, and requests go
-// on meanwhile.
+// Reads one chunk per turn of the event loop, so that requests are served in between: reading a
+// file with 170,000 endpoints takes half a second.
 void ConfigReloader::post_next_chunk() {
   chunk_posted_ = true;
   boost::asio::post(io_, [this] {
@@ -57,7 +57,7 @@
   std::cerr << gateway_name_ << ": configuration reloaded\n";
 }
 
-// Any error ends the reload.
+// Runs one step of the reload. An exception ends the reload and is logged.
 template <typename Step>
 void ConfigReloader::run_step(const Step& step) {
   try {
--- a/src/net/server/config_reloader.hpp
+++ b/src/net/server/config_reloader.hpp
@@ -1,6 +1,6 @@
-// Reads the configuration file again at SIGHUP. The file is read and checked completely before any
-// of it is applied; after an error the gateway goes on with what it has. Owned by the program's
-// main function.
+// Reloads the configuration file at SIGHUP. The file is read and checked completely before any of
+// it is applied; after an error the gateway continues with the previous configuration. Owned by the
+// program's main function.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,12 +16,13 @@
 
 class ConfigReloader {
  public:
-  // `applied_tree`: of the file that the gateway runs with. A new file must have all of its keys.
+  // `applied_tree` is the content of the configuration file in force. A new file must have all of
+  // its keys.
   ConfigReloader(boost::asio::io_context& io, GatewayServer& server, std::string gateway_name,
                  nlohmann::json applied_tree);
 
-  // Starts to read the file. A file that is still being read is read anew, since it may have been
-  // replaced meanwhile.
+  // Starts a reload. A reload in progress starts again from the beginning, since the file may have
+  // been replaced in the meantime.
   void start();
 
  private:
--- a/src/net/server/config_source.cpp
+++ b/src/net/server/config_source.cpp
@@ -11,7 +11,7 @@
 namespace quota_gateway::net {
 namespace {
 
-// Empty: the variable is not set.
+// Returns an empty string if the variable is not set.
 std::string environment_variable(const char* name) {
   const char* value = std::getenv(name);
   return value ? value : "";
@@ -22,11 +22,11 @@
 std::ifstream open_config_file() {
   const std::string path = environment_variable("RELAY_CONFIG");
   if (path.empty()) {
-    throw std::runtime_error("RELAY_CONFIG is not set");
+    throw std::runtime_error("the environment variable RELAY_CONFIG is not set");
   }
   std::ifstream file(path);
   if (!file) {
-    throw std::runtime_error("cannot read " + path);
+    throw std::runtime_error("cannot open the configuration file " + path);
   }
   return file;
 }
--- a/src/net/server/config_source.hpp
+++ b/src/net/server/config_source.hpp
@@ -1,5 +1,6 @@
-// Where a gateway process finds its configuration: the file that RELAY_CONFIG names, and what the
-// environment adds to it. All of this throws std::exception with a message of one line.
+// The sources of a gateway process's configuration: the file named by RELAY_CONFIG and further
+// environment variables. All functions report errors as a std::exception with a message of one
+// line.
 #pragma once
 
 #include <fstream>
@@ -10,11 +11,12 @@
 
 namespace quota_gateway::net {
 
+// Opens the file named by RELAY_CONFIG.
 std::ifstream open_config_file();
-// Reads all of the file, with its endpoint list.
+// Reads the complete file, including its endpoint list.
 ConfigFile read_config_file();
-// What the tree of the file and the environment say together; without the endpoint list. RELAY_MGMT
-// is the admin address where the file names none, TMPDIR the directory for hot restarts.
+// Combines the `tree` of the file with the environment; the result has no endpoint list. RELAY_MGMT
+// sets the admin address if the file names none, TMPDIR the directory for hot restarts.
 GatewayConfig make_config(const nlohmann::json& tree);
 
 }  // namespace quota_gateway::net
--- a/src/net/server/endpoint_list_applier.cpp
+++ b/src/net/server/endpoint_list_applier.cpp
@@ -6,8 +6,8 @@
 namespace quota_gateway::net {
 namespace {
 
-// How long discovery may take to answer before the persisted list is used without it.
-constexpr Micros kDiscoveryGrace = 500'000;
+// The persisted list is applied if discovery has not responded within this time.
+constexpr Micros kDiscoveryTimeout = 500'000;
 
 }  // namespace
 
@@ -20,17 +20,18 @@
       persisted_(std::move(persisted)) {}
 
 void EndpointListApplier::start() {
-  loop_.timers.after(kDiscoveryGrace, [this] { apply_persisted_list(); });
+  loop_.timers.after(kDiscoveryTimeout, [this] { apply_persisted_list(); });
 }
 
 void EndpointListApplier::on_discovery_list(EndpointList list) {
   enqueue(std::move(list), EndpointListUpdate::Kind::kPartial);
 }
 
-// Discovery counts its knowledge as delivered from our first call on, and the persisted list may
-// name endpoints that have long been draining. So the persisted list is applied only once discovery
-// answers, immediately before the changes, or after a grace time without an answer. Requests that
-// arrive meanwhile are held as while no endpoint has capacity.
+// From the first request of the gateway on, discovery assumes that the gateway knows the current
+// list, but the persisted list may contain endpoints that have been draining for a long time. The
+// persisted list is therefore applied when discovery responds, immediately before the changes that
+// it sends, or after kDiscoveryTimeout without a response. Requests that arrive earlier are held,
+// as they are whenever no endpoint has capacity.
 void EndpointListApplier::apply_persisted_list() {
   if (!persisted_) {
     return;
@@ -47,8 +48,9 @@
   }
 }
 
-// Applies one slice, and the next in a later turn of the loop. Without slices, a list of many
-// thousand changes would delay every request; a small list fits one slice and is in force at once.
+// Applies one slice and schedules the next one for a later turn of the event loop. A list of many
+// thousand changes that is applied in one turn would delay every request; a small list fits into
+// one slice and is in force immediately.
 void EndpointListApplier::apply_slice(EndpointListUpdate::Kind kind) {
   next_slice_posted_ = false;
   EndpointListUpdate update;
@@ -75,8 +77,9 @@
   return pool_.has_endpoint_up() && has_initial_list();
 }
 
-// Without this, all gateways of a fleet that starts at once would send their requests to the few
-// endpoints that are first in its list.
+// If requests were forwarded while only the first slices of the first list are applied, all
+// gateways of a fleet that starts at the same time would send them to the same few endpoints, the
+// first ones of the list.
 bool EndpointListApplier::requests_must_wait() const {
   const bool persisted_needs_slices =
       persisted_ && persisted_->endpoints.size() > EndpointTable::kMaxChangesPerSlice;
--- a/src/net/server/endpoint_list_applier.hpp
+++ b/src/net/server/endpoint_list_applier.hpp
@@ -1,6 +1,7 @@
-// Puts endpoint lists in force slice by slice: first the persisted list that the gateway was
-// configured with, then what discovery sends. Decides what may be done while no list is completely
-// in force. Owned by GatewayServer; the lists themselves are in the ConnectionPool's table.
+// Applies endpoint lists in slices: first the persisted list of the configuration, then the lists
+// that discovery sends. Decides whether the gateway is ready and whether requests must wait while
+// the first list is applied. Owned by GatewayServer; the endpoints themselves are in the table of
+// ConnectionPool.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +16,12 @@
 
 namespace quota_gateway::net {
 
-// Called from within a turn that applies a slice, `on_list_applied` before `on_slice_applied`.
+// Called in the turn of the event loop that applies a slice, `on_list_applied` before
+// `on_slice_applied`.
 struct EndpointListCallbacks {
-  // All lists that have arrived are completely in force.
+  // All lists received so far are completely applied.
   std::function<void()> on_list_applied;
+  // One slice is applied.
   std::function<void()> on_slice_applied;
 };
 
@@ -27,21 +30,22 @@
   EndpointListApplier(EventLoop loop, ConnectionPool& pool, EventBatcher& events,
                       EndpointList persisted, EndpointListCallbacks callbacks);
 
-  // Applies the persisted list if discovery doesn't answer in time.
+  // Applies the persisted list if discovery does not respond in time.
   void start();
-  // A list, or changes to one, from discovery. Applies the first slice at once unless an earlier
-  // list is still being applied.
+  // Handles a complete list or a list of changes from discovery. Applies its first slice
+  // immediately unless an earlier list is still being applied.
   void on_discovery_list(EndpointList list);
-  // Applies the persisted list, once. Does nothing if that is done.
+  // Applies the persisted list at the first call; later calls have no effect.
   void apply_persisted_list();
 
-  // Of the persisted list; only until it is applied.
+  // The revision of the persisted list. Must not be called once that list has been applied.
   std::int64_t persisted_revision() const { return persisted_->revision; }
-  // Discovery has answered or has had its time, and the first list is completely in force.
+  // Whether discovery has responded or the time to wait for it is over, and the first list is
+  // completely applied.
   bool has_initial_list() const;
-  // And an endpoint of it is up.
+  // Whether has_initial_list() is true and at least one endpoint is up.
   bool is_ready() const;
-  // Arriving requests must wait for on_list_applied.
+  // Whether arriving requests must be held until on_list_applied is called.
   bool requests_must_wait() const;
 
  private:
@@ -53,7 +57,7 @@
   ConnectionPool& pool_;
   EventBatcher& events_;
   EndpointListCallbacks callbacks_;
-  std::optional<EndpointList> persisted_;  // until it is applied
+  std::optional<EndpointList> persisted_;  // none once it is applied
   bool next_slice_posted_ = false;
   bool list_with_endpoints_applied_ = false;
 };
--- a/src/net/server/event_batcher.cpp
+++ b/src/net/server/event_batcher.cpp
@@ -25,8 +25,8 @@
   std::vector<Event> events;
   std::vector<Action> actions;
   events.swap(events_);
-  // An exception must not discard the other actions of the batch. Requests that are left without a
-  // decision fail when their deadline has passed.
+  // An exception must not discard the other actions of the batch. Requests that get no decision
+  // because of it fail after their deadline.
   run_and_log_exceptions("module", [&] { gateway_.handle(loop_.clock.now(), events, actions); });
   for (const Action& action : actions) {
     run_and_log_exceptions("action", [&] { executor_.execute(action); });
--- a/src/net/server/event_batcher.hpp
+++ b/src/net/server/event_batcher.hpp
@@ -1,6 +1,6 @@
-// The only caller of Gateway::handle. Collects the events of one turn of the event loop, hands them
-// to the decision module together and has the actions that it answers with carried out in order.
-// Owned by GatewayServer; every module of the server pushes events to it.
+// The only caller of Gateway::handle. Collects the events of one turn of the event loop, passes
+// them to the decision module as one batch and has the resulting actions executed in order. Owned
+// by GatewayServer; every module of the server pushes events to it.
 #pragma once
 
 #include <vector>
@@ -16,9 +16,9 @@
  public:
   EventBatcher(EventLoop loop, Gateway& gateway, ActionExecutor& executor);
 
-  // Adds an event to the batch of this turn. The decision module sees it once the handlers that are
-  // already queued in the loop have run, never from within this call. May be called while the
-  // actions of a batch are carried out; the event then belongs to the next batch.
+  // Adds an event to the current batch. The decision module gets the batch once the handlers that
+  // are already queued in the event loop have run, never from within this call. May be called while
+  // the actions of a batch are executed; the event then belongs to the next batch.
   void push(Event event);
 
  private:
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -9,7 +9,7 @@
 
 namespace asio = boost::asio;
 
-// Bytes that one client may use: three bodies, and buffers.
+// Memory that one client may use, in bytes: three bodies and buffers.
 constexpr std::size_t kMemoryPerClient = 256 << 10;
 
 std::size_t max_clients(const GatewayConfig& config) {
@@ -123,7 +123,7 @@
 EndpointListCallbacks GatewayServer::endpoint_list_callbacks() {
   EndpointListCallbacks callbacks;
   callbacks.on_list_applied = [this] { dispatcher_.release_held_requests(); };
-  callbacks.on_slice_applied = [this] { handover_.open_if_ready(); };
+  callbacks.on_slice_applied = [this] { handover_.replace_parent_if_ready(); };
   return callbacks;
 }
 
--- a/src/net/server/gateway_server.hpp
+++ b/src/net/server/gateway_server.hpp
@@ -1,6 +1,6 @@
 // One gateway: connects the decision module with clients, servers, discovery, the quota counter and
-// the operators. Only wires; each concern is a module of its own in this folder or beside it. Owned
-// by the program's main function, which runs the event loop.
+// the admin server. Contains only this wiring; each concern is a separate module in this directory
+// or beside it. Owned by the program's main function, which runs the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -34,30 +34,33 @@
 
 class GatewayServer {
  public:
-  // Serves once the loop runs. Throws std::exception if an address can't be listened on.
+  // Serves clients once the event loop runs. Throws std::exception if the address for clients
+  // cannot be listened on.
   GatewayServer(boost::asio::io_context& io, GatewayConfig config);
 
+  // The address that clients connect to.
   boost::asio::ip::tcp::endpoint address() const { return clients_.address(); }
-  // None: the configuration names no admin address.
+  // The address of the admin server. None: the configuration names none.
   std::optional<boost::asio::ip::tcp::endpoint> admin_address() const;
 
-  // Applies what may change while the gateway runs: the settings, and the addresses of discovery
-  // and of the counter. The rest is ignored until a restart.
+  // Applies the parts of the configuration that may change at run time: the settings and the
+  // addresses of discovery and the counter. Other changes are ignored until a restart.
   void reload(const GatewayConfig& config);
-  // Counts a new configuration that could not be used.
+  // Counts a reload that failed.
   void on_reload_rejected();
-  // Goes on accepting, answers every request before the process may be killed, then calls
-  // `on_drained`, once.
+  // Shuts down gracefully: continues to accept clients, answers every request before the process
+  // may be killed, then calls `on_drained` once.
   void drain(std::function<void()> on_drained);
 
-  // Endpoints are known, by discovery if it answers at all, and clients are accepted.
+  // Whether the gateway serves clients: it accepts them, is not shutting down, and its first
+  // endpoint list is completely applied and has an endpoint that is up.
   bool is_ready() const;
-  // For the operators, one line a figure: `app.NAME=VALUE`.
+  // The metrics for operators, one line each: `app.NAME=VALUE`.
   std::string render_stats() const;
 
  private:
   AttemptEvents attempt_events();
-  // Of the attempts that end by their deadline.
+  // Returns the callback for attempts that are ended at their deadline.
   std::function<void(AttemptKey, AttemptResult)> expiry_callback();
   ClientListenerCallbacks client_callbacks();
   EndpointListCallbacks endpoint_list_callbacks();
--- a/src/net/server/gateway_stats.hpp
+++ b/src/net/server/gateway_stats.hpp
@@ -1,5 +1,6 @@
-// Counts what the operators read at /ops/stats: requests by class and outcome, attempts, reloads.
-// Owned by GatewayServer; RequestDispatcher counts requests and attempts.
+// Counts the metrics that operators read at /ops/stats: requests by class and outcome, attempts,
+// reloads. Owned by GatewayServer, which counts reloads; RequestDispatcher and RequestFinisher
+// count requests and attempts.
 #pragma once
 
 #include <cstdint>
@@ -14,39 +15,39 @@
 enum class RequestOutcome {
   kSuccess,   // answered by a server
   kOverload,  // rejected
-  kError      // failed, broken off, or abandoned by its client
+  kError      // failed, aborted, or abandoned by its client
 };
 
-// Of the requests of one class that have ended. Each accepted request ends in exactly one of them.
+// Finished requests of one class by outcome. Each accepted request is counted under exactly one.
 struct ResponseCounts {
   std::uint64_t success = 0;
   std::uint64_t overload = 0;
   std::uint64_t error = 0;
 };
 
-// Of the endpoint list that is in force.
+// Endpoints of the list in force.
 struct EndpointCounts {
   std::size_t listed = 0;
-  std::size_t unavailable = 0;
+  std::size_t unavailable = 0;  // draining, or failed and without a response since
 };
 
 enum class ReloadResult { kApplied, kRejected };
 
 class GatewayStats {
  public:
-  // Has a line for each of these classes from now on. Lines of classes that the settings no longer
-  // name stay.
+  // Adds metrics for these classes. The metrics of classes that the settings no longer contain
+  // stay.
   void add_classes(const std::vector<ClassSettings>& classes);
 
-  // Returns the counts in which the request must end, see on_request_finished(). The reference
-  // stays valid as long as this object.
+  // Counts a request in progress. Returns the counts of its class for on_request_finished(); the
+  // reference is valid for the lifetime of this object.
   ResponseCounts& on_request_started(const std::string& request_class);
   void on_request_finished(ResponseCounts& counts, RequestOutcome outcome);
-  // An attempt's last byte has been written.
+  // Counts an attempt, once the last byte of its request has been written.
   void on_attempt_written();
   void on_reload(ReloadResult result);
 
-  // One line a figure, `app.NAME=VALUE`.
+  // All metrics, one line each: `app.NAME=VALUE`.
   std::string render(const EndpointCounts& endpoints) const;
 
  private:
--- a/src/net/server/handover_coordinator.cpp
+++ b/src/net/server/handover_coordinator.cpp
@@ -33,20 +33,20 @@
     std::cerr << "hot restart: " << peer_count << " other processes\n";
     events_.push(PeerProcessesChanged{peer_count});
   }
-  // The limits are those of one gateway, however many processes it has.
+  // The connection limit applies to the gateway, so its processes share it.
   pool_.set_max_connections(
       std::max<std::size_t>(1, max_connections_ / std::size_t(1 + peer_count)));
   if (hot_restart_.child_accepting()) {
     clients_.hand_over_new_clients();
   } else if (hot_restart_.has_parent()) {
-    open_if_ready();
+    replace_parent_if_ready();
   } else if (!clients_.is_accepting()) {
     clients_.start_accepting();
   }
 }
 
-// Until this process is ready, the parent goes on accepting the new clients.
-void HandoverCoordinator::open_if_ready() {
+// The parent continues to accept new clients until this process is ready.
+void HandoverCoordinator::replace_parent_if_ready() {
   if (!hot_restart_.has_parent() || clients_.is_accepting() || hot_restart_.child_accepting() ||
       !endpoint_lists_.is_ready()) {
     return;
--- a/src/net/server/handover_coordinator.hpp
+++ b/src/net/server/handover_coordinator.hpp
@@ -1,6 +1,6 @@
-// Hot restart: decides, as processes of this gateway start and end, which of them accepts new
-// clients, and splits the connection limit between them. Owned by GatewayServer; HotRestart carries
-// the messages between the processes.
+// Coordinates a hot restart: decides, as processes of this gateway start and end, which of them
+// accepts new clients, and divides the connection limit between them. Owned by GatewayServer;
+// HotRestart transports the messages between the processes.
 #pragma once
 
 #include <cstddef>
@@ -17,22 +17,24 @@
 
 class HandoverCoordinator {
  public:
-  // The modules that depend on which processes there are.
+  // The modules that are affected when processes start or end.
   struct Collaborators {
     ConnectionPool& pool;
     ClientListener& clients;
     EventBatcher& events;
     const EndpointListApplier& endpoint_lists;
   };
-  // `max_connections`: to servers, of all processes of this gateway together.
+  // `max_connections` is the limit on connections to servers for all processes of this gateway
+  // together.
   HandoverCoordinator(EventLoop loop, const GatewayConfig& config, Collaborators collaborators,
                       std::size_t max_connections);
 
-  // Listens for clients, on the parent process's socket if there is one. Throws std::exception if
-  // the address can't be used.
+  // Listens for clients, on the socket of the parent process if there is one. Throws std::exception
+  // if the address cannot be listened on.
   void start();
-  // Accepts clients in place of the parent process, once the endpoint list allows it.
-  void open_if_ready();
+  // Starts to accept clients in place of the parent process, if there is one, once the endpoint
+  // list is ready.
+  void replace_parent_if_ready();
 
  private:
   void on_processes_changed();
@@ -44,7 +46,7 @@
   const boost::asio::ip::tcp::endpoint listen_address_;
   const std::size_t max_connections_;
   HotRestart hot_restart_;
-  int peer_count_ = 0;  // as the decision module knows it
+  int peer_count_ = 0;  // as last reported to the decision module
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -1,4 +1,4 @@
-// The gateway program: reads its configuration, then serves until a signal ends it.
+// The gateway program: reads its configuration, then serves clients until SIGTERM or SIGINT.
 #include <boost/asio/io_context.hpp>
 #include <csignal>
 #include <exception>
@@ -15,14 +15,15 @@
 namespace quota_gateway::net {
 namespace {
 
-// Without this, an exception would end the process with all requests in flight.
+// Logs an exception that leaves a handler and continues: it would otherwise end the process with
+// all requests in flight.
 void run_until_stopped(boost::asio::io_context& io) {
   while (true) {
     try {
       io.run();
       return;
     } catch (const std::exception& e) {
-      std::cerr << "loop: " << e.what() << '\n';
+      std::cerr << "exception in the event loop: " << e.what() << '\n';
     }
   }
 }
@@ -33,7 +34,7 @@
   config.persisted_endpoints = std::move(file.known);
   const std::string name = config.name;
   boost::asio::io_context io(1);
-  // Before the server: until then a SIGHUP would end the process.
+  // Constructed before the server, since a SIGHUP before that would end the process.
   SignalHandler signals(io);
   GatewayServer server(io, std::move(config));
   ConfigReloader reloader(io, server, name, std::move(file.tree));
--- a/src/net/server/message_streamer.cpp
+++ b/src/net/server/message_streamer.cpp
@@ -39,8 +39,9 @@
 
 void MessageStreamer::on_request_written(AttemptKey key) {
   const auto entry = requests_.find(key.request);
-  // The time of a long body runs from here on, since a body that comes slowly keeps its server no
-  // longer than others; that of a short one has run since it was sent.
+  // The time limit of an attempt with a long body starts here, since a body that arrives slowly
+  // does not occupy its server for longer than others do. With a short body it started when the
+  // attempt was sent.
   if (entry == requests_.end() || !entry->second.body_forwarded) {
     return;
   }
@@ -51,8 +52,8 @@
   events_.push(AttemptWritten{std::to_string(key.request), key.attempt});
 }
 
-// For the decision module the attempt has ended well: its server has done the work, and nothing is
-// left to decide.
+// The attempt is reported to the decision module as successful at this point: its server has done
+// the work, and there is nothing left to decide.
 void MessageStreamer::on_response_started(AttemptKey key, const AttemptResult& result,
                                           std::optional<std::uint64_t> length) {
   const auto entry = requests_.find(key.request);
@@ -61,7 +62,7 @@
   }
   Request& request = entry->second;
   request.response_started = true;
-  // Read before the report, which removes the request if its client has left.
+  // Read before the report, which removes the request if its client has disconnected.
   const ClientId client = request.client;
   reporter_.report_complete(entry, key, result);
   clients_.begin_response(client, length, result.body);
--- a/src/net/server/message_streamer.hpp
+++ b/src/net/server/message_streamer.hpp
@@ -1,5 +1,5 @@
-// Passes long request bodies and long responses on piece by piece, each at the pace of its reader,
-// so that no message is in memory as a whole. Owned by GatewayServer, which connects it to the
+// Streams long request bodies and long responses piece by piece, each at the pace of its receiver,
+// so that no long message is buffered completely. Owned by GatewayServer, which connects it to the
 // client connections and the server connections.
 #pragma once
 
@@ -21,7 +21,7 @@
 class MessageStreamer {
  public:
   // The other modules of the server that a long message passes through. They may be constructed
-  // later, but before the first call.
+  // after this object, but before the first call.
   struct Collaborators {
     RequestTable& requests;
     ConnectionPool& pool;
@@ -34,22 +34,25 @@
   MessageStreamer(const Clock& clock, Collaborators collaborators);
 
   // ---- A long request body, from the client to the server
-  // A further piece has come; `is_last`: the body is complete.
+  // Forwards the next piece of the body. `is_last`: the body is complete.
   void on_body_piece(std::uint64_t id, const std::string& piece, bool is_last);
-  // What there was of the body has been written.
+  // All of the body that was received so far has been written. Requests the next piece from the
+  // client.
   void on_body_piece_written(AttemptKey key);
-  // The last byte of the attempt's request has been written. Does nothing if the body was short.
+  // The last byte of the attempt's request has been written. Has no effect unless the body is long.
   void on_request_written(AttemptKey key);
 
   // ---- A long response, from the server to the client
-  // It has begun, with what there is of it in `result`. `length`: of all of it, bytes, if known.
+  // The response has begun; `result` holds the part received so far. `length` is the size of the
+  // complete body in bytes, if it is known.
   void on_response_started(AttemptKey key, const AttemptResult& result,
                            std::optional<std::uint64_t> length);
+  // Passes the next piece on to the client.
   void on_response_piece(AttemptKey key, std::string piece);
-  // The piece that was passed last has left for the client.
+  // The last piece has been written to the client. Resumes reading from the server.
   void on_response_piece_sent(std::uint64_t id);
-  // It has ended: completely if the outcome is kOk, else the client's connection is reset. Removes
-  // the request.
+  // The response has ended: completely if the outcome is kOk, else the connection of the client is
+  // reset. Removes the request, unless it was finished before.
   void finish_response(Request& request, AttemptKey key, Outcome outcome);
 
  private:
--- a/src/net/server/request_deadlines.cpp
+++ b/src/net/server/request_deadlines.cpp
@@ -43,7 +43,7 @@
   if (!attempt.in_flight) {
     return;
   }
-  // The time of a long body runs once all of it has been written.
+  // The time limit of an attempt with a long body starts once the complete body has been written.
   if (!request.body_complete || loop_.clock.now() < attempt.deadline) {
     return;
   }
@@ -52,19 +52,20 @@
   on_attempt_expired_(key, result_without_response(outcome));
 }
 
-// A request must not go unanswered, whatever the decision module does.
+// Every request must be answered, even if the decision module makes no decision about it.
 void RequestDeadlines::fail_without_decision(std::uint64_t id) {
   const auto entry = requests_.find(id);
   if (entry == requests_.end() || entry->second.finished || entry->second.response_started) {
     return;
   }
-  std::cerr << "request " << id << " failed: no decision by its deadline\n";
+  std::cerr << "request " << id
+            << " failed: the decision module made no decision by its deadline\n";
   entry->second.last_attempt_timed_out = true;
   finisher_.fail(entry);
   events_.push(ClientDisconnected{std::to_string(id)});
 }
 
-void RequestDeadlines::limit_all(Micros latest) {
+void RequestDeadlines::set_latest_deadline(Micros latest) {
   latest_deadline_ = latest;
 }
 
--- a/src/net/server/request_deadlines.hpp
+++ b/src/net/server/request_deadlines.hpp
@@ -1,5 +1,6 @@
-// Ends attempts and requests at their deadlines, also if the decision module fails to. At a
-// shutdown, brings all deadlines forward and ends what is left. Owned by GatewayServer.
+// Ends attempts and requests at their deadlines, even if the decision module does not. During a
+// shutdown, moves all deadlines forward and ends the attempts and requests that remain. Owned by
+// GatewayServer.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +17,15 @@
 
 namespace quota_gateway::net {
 
-// Past a request's deadline but before its client's: by then the decision module should have ended
-// it, and it is failed without it.
+// A request fails this long after its deadline if the decision module has not ended it. Shorter
+// than the time between the request's deadline and the deadline of its client, unless that client's
+// timeout is short.
 constexpr Micros kDecisionGrace = 10'000;
 
 class RequestDeadlines {
  public:
-  // The other modules of the server that deadlines act on. They may be constructed later, but
-  // before the first call.
+  // The other modules of the server that deadlines affect. They may be constructed after this
+  // object, but before the first call.
   struct Collaborators {
     RequestTable& requests;
     ConnectionPool& pool;
@@ -31,25 +33,27 @@
     EventBatcher& events;
     RequestFinisher& finisher;
   };
-  // `on_attempt_expired` is called with the result of each attempt that ends by its deadline; it
-  // may remove the request.
+  // `on_attempt_expired` is called with the result of each attempt that is ended at its deadline;
+  // it may remove the request.
   RequestDeadlines(EventLoop loop, Collaborators collaborators,
                    std::function<void(AttemptKey, AttemptResult)> on_attempt_expired);
 
-  // The time at which something with this deadline ends: earlier during a shutdown.
+  // Returns `deadline`, or the latest permitted deadline during a shutdown if that is earlier.
   Micros limit(Micros deadline) const;
-  // Ends the attempt at `deadline` if it is in flight then and its own deadline has come.
+  // Schedules a check at `deadline`, which ends the attempt if it is still in flight and its own
+  // deadline has passed.
   void schedule_attempt_expiry(AttemptKey key, Micros deadline);
-  // Fails the request soon after `deadline` if the decision module has not ended it.
+  // Schedules a check kDecisionGrace after `deadline`, which fails the request if the decision
+  // module has not ended it.
   void schedule_decision_check(std::uint64_t id, Micros deadline);
 
   // ---- For the shutdown
-  // No deadline of a request or attempt that is set from now on is later than this.
-  void limit_all(Micros latest);
-  // Ends the attempts whose deadline, limited as above, has come. The decision module decides what
-  // becomes of their requests.
+  // Limits every deadline that is set from now on to `latest`.
+  void set_latest_deadline(Micros latest);
+  // Applies that limit to the requests and attempts in progress and ends the attempts that are past
+  // their deadline. The decision module decides how their requests continue.
   void expire_attempts();
-  // Fails all requests that are unanswered, and breaks off responses that have begun.
+  // Fails all unanswered requests and aborts responses that have begun.
   void fail_unfinished_requests();
 
  private:
--- a/src/net/server/request_dispatcher.cpp
+++ b/src/net/server/request_dispatcher.cpp
@@ -11,8 +11,9 @@
 
 namespace http = boost::beast::http;
 
-// A client's time runs from its send, and the answer needs time to travel too. So our deadline is
-// earlier than the client's by this, or by this share of the client's time if that is less.
+// A client's timeout runs from the time when it sends the request, and the response takes time to
+// reach the client. The gateway's deadline is therefore earlier than the client's by this time, or
+// by this share of the client's timeout if that is less.
 constexpr Micros kNetworkAllowance = 20'000;
 constexpr double kMaxNetworkAllowanceShare = 0.1;
 
@@ -54,7 +55,7 @@
   request.deadline = deadlines_.limit(now + request.time_limit);
   request.body_complete = accepted.forwarded.body_complete;
   request.forwarded = std::move(accepted.forwarded);
-  // Our own id, since two clients may use the same.
+  // The gateway assigns an id of its own, since two clients may use the same one.
   arrived.id = std::to_string(id);
   arrived.deadline = request.deadline;
   arrived.body_pending = !request.body_complete;
@@ -152,8 +153,8 @@
   pool_.send(key, action.server, request.forwarded, deadline);
 }
 
-// The client may have left since the events were handed over, and two attempts are never in flight
-// at once.
+// The client may have disconnected since the events behind this action were reported, and a request
+// never has two attempts in flight at the same time.
 bool RequestDispatcher::may_send(const Request& request) const {
   return !request.finished && !request.body_forwarded && request.attempts_in_flight == 1 &&
          int(request.attempts.size()) <= settings_.max_attempts;
--- a/src/net/server/request_dispatcher.hpp
+++ b/src/net/server/request_dispatcher.hpp
@@ -1,8 +1,8 @@
-// Takes client requests through their attempts: reports what happens to them to the decision module
-// and carries out what it decides. Every accepted request gets exactly one answer, by its deadline
-// at the latest. Owned by GatewayServer, which connects it to the client connections, the server
-// connections and the decision module's actions. Long messages are the MessageStreamer's, deadlines
-// the RequestDeadlines'.
+// Manages client requests from their arrival to their answer: reports their events to the decision
+// module and executes its decisions about them. Every accepted request gets exactly one answer, at
+// the latest shortly after its deadline. Owned by GatewayServer, which connects it to the client
+// connections, the server connections and the decision module's actions. MessageStreamer handles
+// long messages, RequestDeadlines handles deadlines.
 #pragma once
 
 #include <cstdint>
@@ -26,8 +26,8 @@
 
 class RequestDispatcher {
  public:
-  // The other modules of the server that a request passes through. They may be constructed later
-  // than the dispatcher, but before its first call.
+  // The other modules of the server that a request passes through. They may be constructed after
+  // the dispatcher, but before its first call.
   struct Collaborators {
     const Settings& settings;
     RequestTable& requests;
@@ -43,13 +43,16 @@
   RequestDispatcher(EventLoop loop, Collaborators collaborators);
 
   // ---- From the client connections
-  // Accepts a request and returns its id. None: one with this trace id is open.
+  // Accepts a request and returns its id. None: the request is rejected because one with the same
+  // trace id is open.
   std::optional<std::uint64_t> on_client_request(ClientId client, ClientRequest accepted);
+  // The client has disconnected before its request was finished.
   void on_client_disconnect(std::uint64_t id);
 
   // ---- From the server connections and the deadlines
+  // The attempt, or its long response, has ended.
   void on_attempt_complete(AttemptKey key, AttemptResult result);
-  // The attempt's last byte has been written.
+  // The last byte of the attempt's request has been written.
   void on_attempt_written(AttemptKey key);
 
   // ---- Actions of the decision module
@@ -58,7 +61,8 @@
   void reject(const Reject& action);
   void fail(const Fail& action);
 
-  // Reports the requests that were held for the endpoint list to the decision module.
+  // Passes on to the decision module the requests that were held until the endpoint list was
+  // applied.
   void release_held_requests();
 
  private:
@@ -67,7 +71,7 @@
     RequestArrived arrived;
   };
 
-  // Whether the attempt that was just added to the request may leave.
+  // Whether the attempt that was just added to the request may be sent.
   bool may_send(const Request& request) const;
 
   EventLoop loop_;
--- a/src/net/server/request_finisher.hpp
+++ b/src/net/server/request_finisher.hpp
@@ -1,5 +1,5 @@
-// Ends requests: counts each end once and answers the client. Owned by GatewayServer, used by the
-// modules of this folder that take a request through its attempts.
+// Finishes requests: counts the outcome of each one once and answers its client. Owned by
+// GatewayServer, used by RequestDispatcher, RequestDeadlines and MessageStreamer.
 #pragma once
 
 #include "net/client/client_listener.hpp"
@@ -10,15 +10,16 @@
 
 class RequestFinisher {
  public:
-  // All of them must outlive the finisher; none is used before its first call.
+  // All arguments must outlive the finisher; none is used before the first call.
   RequestFinisher(RequestTable& requests, ClientListener& clients, GatewayStats& stats);
 
-  // Counts the request's end. False: it has been counted before, and its client gets nothing more.
+  // Marks the request as finished and counts its outcome. Returns false if it was finished before;
+  // its client must not get another answer then.
   bool try_finish(Request& request, RequestOutcome outcome);
-  // Answers the client, unless the request has ended before.
+  // Answers the client and finishes the request, unless it was finished before.
   void answer(Request& request, const ClientResponse& response);
-  // Answers that the request failed: 504 if its last attempt timed out, else 502. Removes the
-  // request, and invalidates the iterator, if none of its attempts is in flight.
+  // Answers the client with 504 if the last attempt timed out, else with 502. Removes the request
+  // and invalidates `entry` if none of its attempts is in flight.
   void fail(RequestTable::Iterator entry);
 
  private:
--- a/src/net/server/request_table.cpp
+++ b/src/net/server/request_table.cpp
@@ -6,7 +6,7 @@
 namespace quota_gateway::net {
 
 std::optional<RequestTable::Added> RequestTable::add(const std::string& trace_id) {
-  // A server would take a second request of an open trace id for a duplicate of the first.
+  // A server would treat a second request with the trace id of an open one as a duplicate of it.
   if (!open_trace_ids_.insert(trace_id).second) {
     return std::nullopt;
   }
--- a/src/net/server/request_table.hpp
+++ b/src/net/server/request_table.hpp
@@ -1,5 +1,5 @@
-// The client requests that this gateway has accepted and not finished, with their attempts. Owned
-// by GatewayServer; changed by RequestDispatcher and the modules that share its work.
+// The accepted client requests that are not finished or still have an attempt in flight. Owned by
+// GatewayServer; changed by RequestDispatcher and the modules that it shares its work with.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +16,7 @@
 
 namespace quota_gateway::net {
 
+// One attempt to have a server run the request.
 struct Attempt {
   std::string endpoint;
   Micros sent_at = 0;
@@ -26,19 +27,19 @@
 
 struct Request {
   ClientId client = 0;
-  // Of the request's class, in which its end is counted.
+  // Counts of the request's class, to which its outcome is added.
   ResponseCounts* response_counts = nullptr;
-  // Time from the last byte of the request to its answer.
+  // Time allowed from the last byte of the request to its answer.
   Micros time_limit = 0;
   Micros deadline = 0;
-  // Its end has been counted: it was answered, broken off or abandoned by its client.
+  // The outcome has been counted: the request was answered, aborted or abandoned by its client.
   bool finished = false;
   bool last_attempt_timed_out = false;
-  // All of its body has arrived.
+  // The complete body has arrived.
   bool body_complete = true;
-  // Part of its body went to a server and was not stored, so there can be no other attempt.
+  // Part of the body was sent to a server and not stored, so no other attempt is possible.
   bool body_forwarded = false;
-  // A long response has begun, and is streamed to the client piece by piece.
+  // A long response has begun and is being streamed to the client.
   bool response_started = false;
   int attempts_in_flight = 0;
   ForwardedRequest forwarded;
@@ -57,14 +58,14 @@
     std::uint64_t id;
     Request& request;
   };
-  // Adds a request under an id of our own. None: a request with this trace id is open.
+  // Adds a request under a new id. None: a request with this trace id is open.
   std::optional<Added> add(const std::string& trace_id);
 
   Iterator find(std::uint64_t id) { return requests_.find(id); }
-  // By the decimal id that the decision module knows.
+  // Finds a request by the decimal id that the decision module uses.
   Iterator find(const std::string& decimal_id);
-  // Removes the request if it is finished and none of its attempts is in flight. Invalidates the
-  // iterator then.
+  // Removes the request and invalidates the iterator if the request is finished and none of its
+  // attempts is in flight.
   void remove_if_done(Iterator request);
 
   bool contains(std::uint64_t id) const { return requests_.contains(id); }
--- a/src/net/server/shutdown_coordinator.cpp
+++ b/src/net/server/shutdown_coordinator.cpp
@@ -6,15 +6,15 @@
 namespace quota_gateway::net {
 namespace {
 
-// At a planned restart the process gets SIGKILL once the longest deadline has passed, counted as at
-// most this much, and this much later. What is unanswered then is lost.
-constexpr Micros kLongestDeadlineCounted = 3'000'000;
+// In a planned restart, SIGKILL follows SIGTERM after the longest deadline of all classes, capped
+// at kMaxCountedDeadline, plus kKillDelay. Requests that are unanswered by then are lost.
+constexpr Micros kMaxCountedDeadline = 3'000'000;
 constexpr Micros kKillDelay = 700'000;
-// The last attempts end this long before SIGKILL, so that each request has its answer in time.
+// The last attempts end this long before SIGKILL, so that every request is answered in time.
 constexpr Micros kMarginBeforeKill = 150'000;
-// The part of that margin in which answers may still leave.
-constexpr Micros kAnswerTime = 100'000;
-// Clients go on connecting for up to 0.4 s after SIGTERM.
+// The part of that margin in which the last responses may still be sent.
+constexpr Micros kFinalResponseTime = 100'000;
+// Clients continue to connect for up to 0.4 s after SIGTERM.
 constexpr Micros kMinDrainTime = 1'000'000;
 constexpr Micros kCheckInterval = 20'000;
 
@@ -23,7 +23,7 @@
   for (const ClassSettings& settings : classes) {
     longest = std::max(longest, settings.deadline);
   }
-  return std::min(longest, kLongestDeadlineCounted) + kKillDelay;
+  return std::min(longest, kMaxCountedDeadline) + kKillDelay;
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
   on_drained_ = std::move(on_drained);
   const Micros deadline = loop_.clock.now() + time_until_kill(classes) - kMarginBeforeKill;
   deadline_ = deadline;
-  deadlines_.limit_all(deadline);
+  deadlines_.set_latest_deadline(deadline);
   clients_.drain();
   loop_.timers.after(kMinDrainTime, [this, deadline] { check_drained(deadline); });
   loop_.timers.at(deadline, [this] { deadlines_.expire_attempts(); });
@@ -49,7 +49,7 @@
 
 void ShutdownCoordinator::check_drained(Micros deadline) {
   const bool drained = requests_.all_finished() && clients_.is_idle();
-  if (drained || loop_.clock.now() >= deadline + kAnswerTime) {
+  if (drained || loop_.clock.now() >= deadline + kFinalResponseTime) {
     on_drained_();
     return;
   }
--- a/src/net/server/shutdown_coordinator.hpp
+++ b/src/net/server/shutdown_coordinator.hpp
@@ -1,4 +1,4 @@
-// Graceful shutdown: the gateway goes on accepting clients, answers every request before the
+// Graceful shutdown: the gateway continues to accept clients, answers every request before the
 // process may be killed, then reports that it may exit. Owned by GatewayServer.
 #pragma once
 
@@ -19,8 +19,9 @@
   ShutdownCoordinator(EventLoop loop, const RequestTable& requests, RequestDeadlines& deadlines,
                       ClientListener& clients);
 
-  // Starts to drain and calls `on_drained` once, from a timer. `classes`: their longest deadline
-  // decides when the process may be killed. Does nothing if the shutdown has begun.
+  // Starts the shutdown and calls `on_drained` once, from a timer. The longest deadline of
+  // `classes` determines when the process may be killed. Has no effect if the shutdown has begun
+  // already.
   void start(const std::vector<ClassSettings>& classes, std::function<void()> on_drained);
   bool is_started() const { return deadline_.has_value(); }
 
@@ -32,7 +33,7 @@
   RequestDeadlines& deadlines_;
   ClientListener& clients_;
   std::function<void()> on_drained_;
-  std::optional<Micros> deadline_;  // of all attempts; none: not started
+  std::optional<Micros> deadline_;  // latest of all attempts; none: not started
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/server/signal_handler.hpp
+++ b/src/net/server/signal_handler.hpp
@@ -9,15 +9,15 @@
 
 class SignalHandler {
  public:
-  // SIGTERM, SIGINT and SIGHUP no longer end the process from now on; those that arrive before
-  // start() are reported then.
+  // From its construction on, SIGTERM, SIGINT and SIGHUP do not end the process. Signals that
+  // arrive before start() are reported after it.
   explicit SignalHandler(boost::asio::io_context& io);
 
   struct Callbacks {
-    std::function<void()> on_terminate;
-    std::function<void()> on_hang_up;
+    std::function<void()> on_terminate;  // SIGTERM or SIGINT
+    std::function<void()> on_hang_up;    // SIGHUP
   };
-  // Called from the event loop, once a signal.
+  // Starts to report signals. A callback is called from the event loop once per signal.
   void start(Callbacks callbacks);
 
  private:
--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -1,4 +1,4 @@
-// The admin server and its figures, on a complete gateway.
+// The admin server and its metrics on a complete gateway.
 #include "net/admin/admin_server.hpp"
 
 #include <gtest/gtest.h>
@@ -27,7 +27,7 @@
     connection.send("GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
     return status(connection);
   }
-  // A figure of /ops/stats; none: it has no such line.
+  // A metric of /ops/stats; none: there is no such line.
   std::optional<int> stat(const std::string& name) {
     Client connection = connect();
     connection.send("GET /ops/stats HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -43,7 +43,7 @@
     }
     return std::stoi(lines.substr(position + line_start.size()));
   }
-  // Of the next response; none: the connection ended without one.
+  // The status of the next response; none: the connection ended without one.
   static std::optional<int> status(Client& connection) {
     const auto response = connection.receive();
     if (!response) {
@@ -146,7 +146,7 @@
   EXPECT_EQ(stat("targets"), 1);
 }
 
-TEST_F(AdminServerTest, CountsEachRequestInOneFigure) {
+TEST_F(AdminServerTest, CountsEachRequestInOneMetric) {
   test_bed.config.settings.plans[0].quota_rate = 2;
   test_bed.config.settings.plans[0].quota_burst = 3;
   test_bed.config.settings.gateway_count = 3;
@@ -214,7 +214,7 @@
   EXPECT_EQ(stat("targets_disabled"), 1);
 }
 
-TEST_F(AdminServerTest, RejectsADroppedClassAndStillCountsItsOpenRequests) {
+TEST_F(AdminServerTest, RejectsARemovedClassAndStillCountsItsOpenRequests) {
   std::shared_ptr<PeerConnection> held;
   server_one.on_request = [&](PeerConnection& peer, const HttpRequest&) {
     held = peer.shared_from_this();
--- a/tests/net/hot_restart/hot_restart_test.cpp
+++ b/tests/net/hot_restart/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// Two real processes of one gateway, the child started while its parent serves.
+// Hot restart with two real processes of one gateway: the child is started while its parent serves.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -31,15 +31,15 @@
     return config_json(port, server, discovery,
                        R"("mgmt":"127.0.0.1:)" + std::to_string(admin_port) + R"(",)");
   }
-  // Whether the process with that admin port reports that it serves clients.
+  // Whether the process with that admin port reports that it is ready.
   bool ready(std::uint16_t admin_port) {
     Client operator_connection(io, {asio::ip::address_v4::loopback(), admin_port});
     operator_connection.send("GET /ops/readiness HTTP/1.1\r\nHost: x\r\n\r\n");
     const auto response = operator_connection.receive();
     return response && response->result_int() == 200;
   }
-  // The connection of a process that looks for its parent at `listening_socket`. Not open: none
-  // came in time.
+  // Accepts the connection of a process that looks for its parent at `listening_socket`. The result
+  // is not open if none arrives in time.
   OwnedDescriptor accept_child(const OwnedDescriptor& listening_socket) {
     OwnedDescriptor link;
     EXPECT_TRUE(run_until(io, [&] {
@@ -63,7 +63,7 @@
     }
     return RequestResult{int(response->result_int()), response->keep_alive()};
   }
-  // Sends so many requests, each on a connection of its own. Returns how many succeed.
+  // Sends this number of requests, each on a separate connection. Returns how many succeed.
   int count_served(int requests) {
     int served = 0;
     for (int i = 0; i < requests; ++i) {
@@ -100,12 +100,13 @@
   child.log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(child_admin_port); }));
   EXPECT_EQ(count_served(2), 2);
-  // The parent's connections are answered and closed there, so that clients reconnect to the child.
+  // The parent closes each of its connections with the next response, so that clients reconnect to
+  // the child.
   ASSERT_TRUE(run_until(io, [&] { return !ready(parent_admin_port); }));
   EXPECT_EQ(send_request(used_connection), (RequestResult{200, false}));
   EXPECT_TRUE(used_connection.ended());
-  // A client that connects while the parent ends and the child is stopped waits in the queue of the
-  // listening socket, which both share.
+  // A client that connects after the child was stopped, while the parent ends, waits in the queue
+  // of the listening socket, which both processes share.
   child.kill(SIGSTOP);
   Client waiting_client = client();
   waiting_client.send(get_request("waiting"));
@@ -117,7 +118,7 @@
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
   EXPECT_EQ(count_served(2), 2);
-  // The child has become the parent of the next process.
+  // The child is now the parent of the next process.
   Process grandchild(config_with_admin_port(parent_admin_port), directory);
   ASSERT_NE(grandchild.log_until("1 other processes").find("1 other"), std::string::npos);
 }
@@ -137,8 +138,8 @@
                                    R"("phase":"draining")");
   Process child(config_without_endpoints, directory);
   const std::string child_log = child.log_until("ready");
-  // The child waits 0.5 s for its parent, then listens beside it; on a loaded machine that ends
-  // this test, and this line says why.
+  // The child waits 0.5 s for its parent and then opens its own listening socket. On a loaded
+  // machine this fails the test, and the log line shows that reason.
   ASSERT_EQ(child_log.find("passed no usable listening socket"), std::string::npos) << child_log;
   EXPECT_FALSE(ready(child_admin_port));
   EXPECT_EQ(count_served(3), 3);
@@ -157,8 +158,8 @@
   ASSERT_TRUE(run_until(io, [&] { return ready(child_admin_port); }));
   parent.kill(SIGKILL);
   EXPECT_EQ(count_served(3), 3);
-  // Their socket file is still there. A process that starts after both have ended listens on its
-  // own.
+  // Their socket file still exists. A process that starts after both have ended opens its own
+  // listening socket.
   child.kill(SIGKILL);
   child.exit_code();
   ASSERT_TRUE(std::filesystem::exists(socket_file()));
@@ -168,21 +169,22 @@
   EXPECT_EQ(count_served(1), 1);
 }
 
-TEST_F(HotRestartTest, StartsWhateverIsAtTheSocketPath) {
+TEST_F(HotRestartTest, StartsWithAFileOrADirectoryAtTheSocketPath) {
   const auto starts = [&] {
     Process process(config_with_admin_port(parent_admin_port), directory);
     process.log_until("ready");
     return run_until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1;
   };
   std::ofstream(socket_file()) << "text";
-  EXPECT_TRUE(starts()) << "a file";
+  EXPECT_TRUE(starts()) << "with a file at the socket path";
   std::filesystem::remove_all(socket_file());
   std::filesystem::create_directory(socket_file());
-  EXPECT_TRUE(starts()) << "a folder";
+  EXPECT_TRUE(starts()) << "with a directory at the socket path";
 }
 
 TEST_F(HotRestartTest, StartsWhenAForeignProcessListensAtTheSocketPath) {
-  // It accepts the connection and sends nothing, or a packet without a listener.
+  // The foreign process accepts the connection and sends nothing, or a packet without a listening
+  // socket.
   for (const std::string_view foreign_packet : {"", "hello", "cottonroad/1 welcome"}) {
     const OwnedDescriptor foreign_socket = listen_packet_socket(socket_file());
     ASSERT_TRUE(foreign_socket.is_open());
@@ -190,7 +192,8 @@
     const OwnedDescriptor link = accept_child(foreign_socket);
     ASSERT_TRUE(link.is_open());
     if (!foreign_packet.empty()) {
-      // May fail, if the process has waited for its 0.5 s: it must start in either case.
+      // Fails if the process has stopped waiting after its 0.5 s; the process must start in either
+      // case.
       send_packet(link.get(), foreign_packet);
     }
     process.log_until("ready");
@@ -199,7 +202,8 @@
   }
 }
 
-// With other packets than those of the versions in service, an old parent would not answer.
+// An old parent answers only the packets of the versions in service, so the packets must stay the
+// same.
 TEST_F(HotRestartTest, InheritsTheListenerFromAParentOfAnOlderVersion) {
   tcp::acceptor listener(io, {asio::ip::address_v4::loopback(), port});
   const OwnedDescriptor socket = listen_packet_socket(socket_file());
--- a/tests/net/server/client_connections_test.cpp
+++ b/tests/net/server/client_connections_test.cpp
@@ -12,15 +12,15 @@
 namespace {
 
 using ServerClientConnections = GatewayServerTest;
-using PatientServerClientConnections = LongLatencyObjectiveTest;
+using ServerClientConnectionsWithLongObjective = LongLatencyObjectiveTest;
 using ClientDisconnectCost = LongLatencyObjectiveTest;
 
 TEST_F(ServerClientConnections, ClosesSilentClientsAndAnswersSlowOnesWithTimeout) {
   test_bed.start();
   Client silent = test_bed.client();
-  Client half = test_bed.client();
-  half.send(get_request("a").substr(0, 60));
-  EXPECT_EQ(status(half), 408);
+  Client partial = test_bed.client();
+  partial.send(get_request("a").substr(0, 60));
+  EXPECT_EQ(status(partial), 408);
   EXPECT_TRUE(silent.ended());
 }
 
@@ -56,8 +56,8 @@
   EXPECT_EQ(status(client), 200);
 }
 
-// Without this, a load balancer whose connections to this gateway are all idle would find none for
-// its next requests.
+// A load balancer has a limited number of connections to a gateway. If clients that idle after one
+// request held all of them, it would find none for its next requests.
 TEST_F(ServerClientConnections, ClientsThatIdleAfterOneRequestDoNotHoldAllConnections) {
   test_bed.config.max_sockets = 64;
   test_bed.add_persisted(listed_endpoint("s1", server1));
@@ -68,7 +68,8 @@
     idle_clients.back().send(get_request(numbered("t", i)));
     EXPECT_EQ(status(idle_clients.back()), 200);
   }
-  // Long before its idle limit of 4 s; the connections that were used last are kept.
+  // The oldest idle connection is closed long before its idle limit of 4 s; those used last are
+  // kept.
   EXPECT_TRUE(idle_clients.front().ended());
   for (int i = 8; i < 12; ++i) {
     idle_clients[std::size_t(i)].send(get_request(numbered("u", i)));
@@ -89,8 +90,9 @@
   EXPECT_TRUE(clients.front().ended());
 }
 
-// The new clients are accepted before the last bytes of the requests are read.
-TEST_F(PatientServerClientConnections, DoesNotEvictAClientWhoseRequestIsComplete) {
+// The gateway accepts the new clients while the last bytes of the early requests are still unread.
+// It must not evict an early client for them.
+TEST_F(ServerClientConnectionsWithLongObjective, DoesNotEvictAClientWhoseRequestIsComplete) {
   std::list<FakeServer> servers;
   for (int i = 0; i < 60; ++i) {
     test_bed.add_persisted(listed_endpoint(numbered("s", i), servers.emplace_back(test_bed.io)));
@@ -102,7 +104,8 @@
     early_clients.push_back(test_bed.client());
     early_clients.back().send(get_request(numbered("c", i)).substr(0, 60));
   }
-  // By then all of them are accepted, and the beginnings of their requests are read.
+  // After these turns all early clients are accepted, and the first parts of their requests are
+  // read.
   for (int turn = 0; turn < 5; ++turn) {
     test_bed.io.restart();
     test_bed.io.poll();
@@ -123,13 +126,13 @@
   }
 }
 
-// How a client that has sent more than the gateway reads leaves.
+// How a client disconnects after sending more than the gateway has read.
 struct UnreadInput {
-  bool resets;   // else closes in order
-  bool uploads;  // within a long body, else behind a complete request
+  bool resets;   // else closes the connection in order
+  bool uploads;  // unread input is within a long body, else behind a complete request
 };
 
-// Whether `server` has so many requests in progress.
+// Whether `server` has exactly `count` requests in progress.
 bool has_open_requests(const GatewayServer& server, int count) {
   const std::string line = numbered("app.concurrent=", count) + "\n";
   return server.render_stats().find(line) != std::string::npos;
@@ -145,39 +148,40 @@
   return text;
 }
 
-// The end of the connection lies unread behind what the client has sent ahead.
+// The gateway must notice that a client has disconnected although the end of the connection is
+// queued behind input that the gateway has not read.
 TEST_F(ClientDisconnectCost, DoesNotForwardForAClientThatDisconnectedWithUnreadInput) {
-  const std::string ahead(200'000, 'x');
+  const std::string extra_input(200'000, 'x');
   for (const UnreadInput& input : {UnreadInput{true, true}, UnreadInput{true, false},
                                    UnreadInput{false, true}, UnreadInput{false, false}}) {
-    GatewayTestBed held;  // forwards no request, since its discovery does not answer
-    FakeServer server(held.io);
-    held.add_persisted(listed_endpoint("s1", server));
-    for (ClassSettings& class_settings : held.config.settings.classes) {
+    GatewayTestBed holding_bed;  // forwards no request, since its discovery does not respond
+    FakeServer server(holding_bed.io);
+    holding_bed.add_persisted(listed_endpoint("s1", server));
+    for (ClassSettings& class_settings : holding_bed.config.settings.classes) {
       class_settings.latency_objective = 3'000'000;
     }
-    held.discovery.unresponsive = true;
-    held.start();
-    Client client = held.client();
+    holding_bed.discovery.unresponsive = true;
+    holding_bed.start();
+    Client client = holding_bed.client();
     client.send(request_for(input));
-    ASSERT_TRUE(
-        held.run_until([&] { return input.uploads || has_open_requests(*held.server, 1); }));
+    ASSERT_TRUE(holding_bed.run_until(
+        [&] { return input.uploads || has_open_requests(*holding_bed.server, 1); }));
     bool sent = false;
-    asio::async_write(client.socket, asio::buffer(ahead),
+    asio::async_write(client.socket, asio::buffer(extra_input),
                       [&](error_code, std::size_t) { sent = true; });
-    ASSERT_TRUE(held.run_until(
-        [&] { return has_open_requests(*held.server, 1) && (sent || input.uploads); }));
+    ASSERT_TRUE(holding_bed.run_until(
+        [&] { return has_open_requests(*holding_bed.server, 1) && (sent || input.uploads); }));
     if (input.resets) {
       client.socket.set_option(asio::socket_base::linger(true, 0));
     }
     const Micros disconnected_at = Clock().now();
     client.socket.close();
-    // While the body is not read, an orderly end behind it can't be seen. No server ever gets such
-    // a body complete.
+    // An orderly end behind an unread body cannot be detected. No server ever receives such a body
+    // completely.
     if (input.uploads && !input.resets) {
       continue;
     }
-    ASSERT_TRUE(held.run_until([&] { return has_open_requests(*held.server, 0); }));
+    ASSERT_TRUE(holding_bed.run_until([&] { return has_open_requests(*holding_bed.server, 0); }));
     EXPECT_LT(Clock().now() - disconnected_at, 300'000) << input.resets << input.uploads;
     EXPECT_TRUE(server.requests.empty()) << input.resets << input.uploads;
   }
--- a/tests/net/server/deadlines_test.cpp
+++ b/tests/net/server/deadlines_test.cpp
@@ -1,4 +1,4 @@
-// That clients are answered before their deadlines.
+// Clients are answered before their deadlines, also when an endpoint is silent or slow.
 #include <gtest/gtest.h>
 
 #include "support/gateway_server_fixture.hpp"
@@ -15,10 +15,10 @@
   test_bed.start();
   Client client = test_bed.client();
   client.send(post_request("a", "400m"));
-  EXPECT_EQ(status(client), 504);  // not 503, since it may have run
+  EXPECT_EQ(status(client), 504);  // not 503, since the request may have run
   ASSERT_TRUE(test_bed.run_until([&] { return server1.peers.at(0)->closed; }));
-  client.send(get_request(
-      "b", "X-Second-Try: 1\r\n"));  // idempotent, with its latency objective as its time
+  // Idempotent. A late response has no value, so the time limit is the latency objective.
+  client.send(get_request("b", "X-Second-Try: 1\r\n"));
   EXPECT_EQ(status(client), 503);
   EXPECT_EQ(server1.requests.size(), 2U);
 }
@@ -33,7 +33,8 @@
   const Micros sent_at = Clock().now();
   client.send(post_request("a", "600m"));
   Micros last_byte_at = sent_at;
-  // A byte every 10 ms, in a chunk of its own: the response never pauses and never is complete.
+  // Sends a byte every 10 ms in a separate chunk, so that the response never pauses and is never
+  // complete.
   ASSERT_TRUE(test_bed.run_until([&] {
     const bool is_due = Clock().now() - last_byte_at > 10'000;
     if (is_due && !server1.requests.empty() && !server1.peers[0]->closed) {
--- a/tests/net/server/endpoint_lists_test.cpp
+++ b/tests/net/server/endpoint_lists_test.cpp
@@ -21,7 +21,7 @@
                                           entry_json("s1", server1.host_port(), "draining") + "," +
                                               entry_json("s2", server2.host_port())));
   Client client = test_bed.client();
-  // Until the change is in force. From then on the draining server gets nothing.
+  // Sends requests until the change is in force. From then on the draining server must get none.
   for (int i = 0; server2.requests.empty() && i < 1000; ++i) {
     client.send(get_request(numbered("t", i)));
     EXPECT_EQ(status(client), 200);
@@ -34,8 +34,8 @@
   EXPECT_EQ(server1.requests.size(), before);
 }
 
-// Without this, all gateways of a fleet that starts at once would send their requests to the few
-// servers that are first in its list.
+// If requests were forwarded while only a part of the list is applied, all gateways of a fleet that
+// starts at the same time would send them to the few servers that are first in the list.
 TEST_F(ServerEndpointLists, AppliesALargePersistedListCompletelyBeforeForwarding) {
   const int count = 5'000;
   for (int i = 0; i < count; ++i) {
@@ -50,7 +50,7 @@
   disconnected.socket.close();
   std::size_t turns_between_slices = 0;
   ASSERT_TRUE(test_bed.run_until([&] {
-    const auto listed = figure("targets");
+    const auto listed = metric("targets");
     if (listed > 0 && listed < std::uint64_t(count)) {
       ++turns_between_slices;
     }
@@ -77,7 +77,7 @@
   std::size_t turns_between_slices = 0;
   std::optional<Client> client;
   ASSERT_TRUE(test_bed.run_until([&] {
-    const auto listed = figure("targets");
+    const auto listed = metric("targets");
     if (listed == 0 || listed == std::uint64_t(count)) {
       return test_bed.server->is_ready();
     }
@@ -108,16 +108,17 @@
   }
   Client client = test_bed.client();
   test_bed.discovery.send_chunk(list_json(42, false, entries));
-  int answered_meanwhile = 0;
-  for (int i = 0; figure("targets_disabled") < std::uint64_t(count - 100); ++i) {
+  int answered_during_update = 0;
+  for (int i = 0; metric("targets_disabled") < std::uint64_t(count - 100); ++i) {
     client.send(get_request(numbered("t", i)));
     ASSERT_EQ(status(client), 200);
-    if (figure("targets_disabled") > 0) {
-      ++answered_meanwhile;
+    if (metric("targets_disabled") > 0) {
+      ++answered_during_update;
     }
   }
-  EXPECT_GE(answered_meanwhile, 1);
-  // From here on the draining servers get nothing.
+  EXPECT_GE(answered_during_update, 1);
+  // From here on the draining servers must get no requests: new connections only go to the first
+  // 100 addresses.
   const auto before = servers.peers.size();
   for (int i = 0; i < 50; ++i) {
     client.send(get_request(numbered("u", i)));
@@ -142,14 +143,14 @@
   }
   test_bed.discovery.send_chunk(list_json(42, false, accepting) + list_json(43, false, draining));
   ASSERT_TRUE(
-      test_bed.run_until([&] { return figure("targets_disabled") == std::uint64_t(count); }));
+      test_bed.run_until([&] { return metric("targets_disabled") == std::uint64_t(count); }));
   Client client = test_bed.client();
   for (int i = 0; i < 50; ++i) {
     client.send(get_request(numbered("t", i)));
     ASSERT_EQ(status(client), 200);
   }
   EXPECT_EQ(server1.requests.size(), 50U);
-  EXPECT_EQ(figure("targets_disabled"), std::uint64_t(count));
+  EXPECT_EQ(metric("targets_disabled"), std::uint64_t(count));
 }
 
 }  // namespace
--- a/tests/net/server/gateway_server_cost_test.cpp
+++ b/tests/net/server/gateway_server_cost_test.cpp
@@ -16,20 +16,20 @@
 using GatewayServerCost = ManyEndpointsTest;
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr double kSlowdown = 10;  // against the program that is shipped
+constexpr double kSlowdown = 10;  // of the sanitizer build, relative to the released program
 #else
 constexpr double kSlowdown = 1;
 #endif
 
-// Processor time of this thread, which runs the gateway and all that it talks to. Not the wall
-// clock, since other programs run on the machine.
+// Processor time of this thread, which runs the gateway and all its peers. The wall clock would
+// include the time of other programs on the machine.
 double cpu_us() {
   timespec time{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return double(time.tv_sec) * 1e6 + double(time.tv_nsec) * 1e-3;
 }
 
-// Sends one request after another on one connection, each once the one before it is answered.
+// Sends requests on one connection, each one as soon as the one before it is answered.
 class ClosedLoopClient {
  public:
   explicit ClosedLoopClient(GatewayTestBed& test_bed) : client_(test_bed.client()) { send_next(); }
@@ -57,10 +57,10 @@
   int answered_ = 0;
 };
 
-// Without slices, 24,000 changes among 60,000 servers took more than 100 ms at a stretch.
+// Applied in one turn of the event loop, 24,000 changes among 60,000 servers took more than 100 ms.
 TEST_F(GatewayServerCost, AppliesTheChangesOfAZoneInShortSlices) {
   const int count = 60'000;
-  const int zone = 24'000;
+  const int zone_size = 24'000;
   for (int i = 0; i < count; ++i) {
     test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
   }
@@ -69,7 +69,7 @@
   ASSERT_TRUE(test_bed.run_until(
       [&] { return test_bed.server->is_ready() && test_bed.discovery.requests.size() == 1; }));
   std::string entries;
-  for (int i = 0; i < zone; ++i) {
+  for (int i = 0; i < zone_size; ++i) {
     entries += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
   }
   const std::string text = FakeDiscovery::chunk(list_json(42, false, entries));
@@ -82,18 +82,18 @@
     const double now = cpu_us();
     longest_turn = std::max(longest_turn, now - last);
     total += now - std::exchange(last, now);
-    return figure("targets_disabled") == std::uint64_t(zone);
+    return metric("targets_disabled") == std::uint64_t(zone_size);
   }));
   std::cerr << "applied after " << total / 1000 << " ms, longest turn " << longest_turn / 1000
-            << " ms, meanwhile " << client.answered() << " answers\n";
+            << " ms, " << client.answered() << " requests answered during that time\n";
   EXPECT_GE(client.answered(), 10);
   EXPECT_LT(longest_turn, kSlowdown * 4'000);
   EXPECT_LT(total, kSlowdown * 250'000);
   client.close();
 }
 
-// Processor time from discovery's line to the decision module for one change among `count`
-// endpoints: the least of 19 means of 10 changes.
+// Processor time for one change among `count` endpoints, from discovery's line to the decision
+// module: the minimum of 19 means of 10 changes each.
 double cost_of_one_change_us(const ManyEndpoints& servers, int count) {
   GatewayTestBed test_bed;
   for (int i = 0; i < count; ++i) {
@@ -102,12 +102,13 @@
   test_bed.start();
   const bool is_ready = test_bed.run_until(
       [&] { return test_bed.server->is_ready() && !test_bed.discovery.requests.empty(); });
-  EXPECT_TRUE(is_ready) << test_bed.server->is_ready() << " ready, watches "
+  EXPECT_TRUE(is_ready) << test_bed.server->is_ready()
+                        << " = is_ready(), number of watch requests: "
                         << test_bed.discovery.requests.size();
-  double least = 1e9;
+  double minimum = 1e9;
   int draining = 0;
   for (int run = 0; is_ready && run < 19; ++run) {
-    const double began = cpu_us();
+    const double started_at = cpu_us();
     for (int change = 0; change < 10; ++change) {
       const std::string entry = servers.entry_json(numbered("n", draining), draining, "draining");
       ++draining;
@@ -118,16 +119,16 @@
       };
       if (!test_bed.run_until(has_line)) {
         ADD_FAILURE() << "change " << draining << " was not applied";
-        return least;
+        return minimum;
       }
     }
-    least = std::min(least, (cpu_us() - began) / 10);
+    minimum = std::min(minimum, (cpu_us() - started_at) / 10);
   }
-  return least;
+  return minimum;
 }
 
-// With work for each listed server, one change took 13 ms at 20,000.
-TEST_F(GatewayServerCost, OneChangeCostsAsMuchAmongManyEndpointsAsAmongFew) {
+// When each change caused work for every listed server, one change took 13 ms at 20,000 servers.
+TEST_F(GatewayServerCost, OneChangeDoesNotCostMoreAmongManyEndpoints) {
   const double among_few = cost_of_one_change_us(servers, 200);
   const double among_many = cost_of_one_change_us(servers, 170'000);
   std::cerr << "one change: " << among_few << " us at 200, " << among_many << " us at 170,000\n";
--- a/tests/net/server/input_validation_test.cpp
+++ b/tests/net/server/input_validation_test.cpp
@@ -11,8 +11,8 @@
 
 using ServerInputValidation = GatewayServerTest;
 
-// A valid request but for one replacement.
-std::string with(const std::string& original, const std::string& replacement) {
+// A valid request in which `original` is replaced.
+std::string request_with(const std::string& original, const std::string& replacement) {
   std::string text = get_request("t");
   text.replace(text.find(original), original.size(), replacement);
   return text;
@@ -51,54 +51,55 @@
   }
 }
 
-// Such plans, units and subsets would steer the decision module, such ids and control bytes would
-// reach a server, and a second spelling of a customer would have a quota of its own.
-TEST_F(ServerInputValidation, RejectsWhatTheSettingsDoNotAllow) {
+// If they were accepted, such plans, units and subsets would influence the decision module, such
+// ids and control bytes would reach a server, and a second spelling of a customer would get a
+// separate quota.
+TEST_F(ServerInputValidation, RejectsInputThatTheSettingsDoNotAllow) {
   test_bed.add_persisted(listed_endpoint("s1", server1));
   test_bed.start();
   const std::string quota = "units=1,spread=3,first=0";
   const std::string host = "Host: origin.svc";
   const std::string long_id(200, 'x');
   for (const std::string& input :
-       {with("plan-group", "plan-none"),
-        with("Plan: plan-group\r\n", ""),
-        with("Plan: plan-group\r\n", "Plan: plan-group\r\nPlan: plan-group\r\n"),
-        with(quota, "units=0,spread=3,first=0"),
-        with(quota, "units=-1,spread=3,first=0"),
-        with(quota, "units=2,spread=3,first=0"),
-        with(quota, "units=1e400,spread=3,first=0"),
-        with(quota, "units=nan,spread=3,first=0"),
-        with(quota, "units=0x1,spread=3,first=0"),
-        with(quota, "units=,spread=3,first=0"),
-        with(quota, "units=1,spread=0,first=0"),
-        with(quota, "units=1,spread=4,first=0"),
-        with(quota, "units=1,spread=1.5,first=0"),
-        with(quota, "units=1,spread=3,first=3"),
-        with(quota, "units=1,spread=3,first=-1"),
-        with(quota, "units=1,spread=3,first=1e9"),
-        with(quota, "units=1,spread=3"),
-        with(quota, ""),
-        with(quota, "units=1,units=1,spread=3,first=0"),
-        with("4000m", "0m"),
-        with("4000m", "-0m"),
-        with("4000m", "infm"),
-        with("4000m", "1e999m"),
-        with("4000m", "4000"),
-        with("4000m", "m"),
-        with("X-Expires-In: 4000m\r\n", ""),
-        with("00000000b4d65521", "00000002b4d65521"),
-        with("00000000b4d65521", "+0000000b4d65521"),
-        with("/profile-read/", "/profile-read/\x01/"),
-        with("X-Trace-Id: t", "X-Trace-Id: t u"),
-        with("X-Trace-Id: t", "X-Trace-Id: \x7f"),
-        with("X-Trace-Id: t", "X-Trace-Id: " + long_id),
-        with("X-Trace-Id: t", "X-Trace-Id: "),
-        with("X-Trace-Id: t", "X-Trace-Id: t\r\nX-Trace-Id: u"),
-        with(host + "\r\n", ""),
-        with(host, host + "\r\nContent-Length: 2\r\nTransfer-Encoding: chunked"),
-        with(host, host + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 2"),
-        with(host, host + "\r\nTransfer-Encoding: xchunked\r\nContent-Length: 0"),
-        with("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\nhi")}) {
+       {request_with("plan-group", "plan-none"),
+        request_with("Plan: plan-group\r\n", ""),
+        request_with("Plan: plan-group\r\n", "Plan: plan-group\r\nPlan: plan-group\r\n"),
+        request_with(quota, "units=0,spread=3,first=0"),
+        request_with(quota, "units=-1,spread=3,first=0"),
+        request_with(quota, "units=2,spread=3,first=0"),
+        request_with(quota, "units=1e400,spread=3,first=0"),
+        request_with(quota, "units=nan,spread=3,first=0"),
+        request_with(quota, "units=0x1,spread=3,first=0"),
+        request_with(quota, "units=,spread=3,first=0"),
+        request_with(quota, "units=1,spread=0,first=0"),
+        request_with(quota, "units=1,spread=4,first=0"),
+        request_with(quota, "units=1,spread=1.5,first=0"),
+        request_with(quota, "units=1,spread=3,first=3"),
+        request_with(quota, "units=1,spread=3,first=-1"),
+        request_with(quota, "units=1,spread=3,first=1e9"),
+        request_with(quota, "units=1,spread=3"),
+        request_with(quota, ""),
+        request_with(quota, "units=1,units=1,spread=3,first=0"),
+        request_with("4000m", "0m"),
+        request_with("4000m", "-0m"),
+        request_with("4000m", "infm"),
+        request_with("4000m", "1e999m"),
+        request_with("4000m", "4000"),
+        request_with("4000m", "m"),
+        request_with("X-Expires-In: 4000m\r\n", ""),
+        request_with("00000000b4d65521", "00000002b4d65521"),
+        request_with("00000000b4d65521", "+0000000b4d65521"),
+        request_with("/profile-read/", "/profile-read/\x01/"),
+        request_with("X-Trace-Id: t", "X-Trace-Id: t u"),
+        request_with("X-Trace-Id: t", "X-Trace-Id: \x7f"),
+        request_with("X-Trace-Id: t", "X-Trace-Id: " + long_id),
+        request_with("X-Trace-Id: t", "X-Trace-Id: "),
+        request_with("X-Trace-Id: t", "X-Trace-Id: t\r\nX-Trace-Id: u"),
+        request_with(host + "\r\n", ""),
+        request_with(host, host + "\r\nContent-Length: 2\r\nTransfer-Encoding: chunked"),
+        request_with(host, host + "\r\nTransfer-Encoding: chunked\r\nContent-Length: 2"),
+        request_with(host, host + "\r\nTransfer-Encoding: xchunked\r\nContent-Length: 0"),
+        request_with("\r\n\r\n", "\r\nContent-Length: 2\r\n\r\nhi")}) {
     Client client = test_bed.client();
     client.send(input);
     EXPECT_EQ(status(client), 400) << input;
@@ -110,8 +111,8 @@
   EXPECT_EQ(status(client), 200);
 }
 
-// The first bytes of the body arrive with the head; and a close with unread input would reset the
-// connection and lose the answer.
+// The first bytes of the body arrive together with the head. Closing the connection with unread
+// input would reset it, and the client would lose the answer.
 TEST_F(ServerInputValidation, RejectsAnOversizedBodyWhileItIsBeingSent) {
   test_bed.start();
   const std::string head =
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -1,4 +1,4 @@
-// Long request bodies and responses, on a complete gateway: they pass piece by piece, and an
+// Long request bodies and responses on a complete gateway: they are streamed piece by piece, and an
 // incomplete one never looks complete.
 #include <gtest/gtest.h>
 
@@ -28,7 +28,7 @@
   return hexadecimal(content.size()) + "\r\n" + content + "\r\n";
 }
 
-// Bytes of which a shifted, lost or doubled part shows.
+// A body in which a shifted, lost or duplicated part can be detected.
 std::string patterned_body(std::size_t size) {
   std::string body(size, '\0');
   for (std::size_t i = 0; i < size; ++i) {
@@ -44,7 +44,7 @@
          framing + "\r\nQuota-Info: units=1,spread=3,first=0\r\n\r\n";
 }
 
-// The next response, of whatever length; none if the connection ends first.
+// The next response, of any length; none if the connection ends first.
 std::optional<http::response<http::string_body>> receive_long(asio::io_context& io,
                                                               Client& client) {
   http::response_parser<http::string_body> parser;
@@ -59,7 +59,7 @@
   return parser.release();
 }
 
-// Writes a text to a connection as fast as its reader allows.
+// Writes a text to a connection as fast as the peer reads it.
 class SteadyWriter {
  public:
   explicit SteadyWriter(std::string text) : text_(std::move(text)) {}
@@ -116,7 +116,7 @@
   Client client = test_bed.client();
   client.send(get_request("t"));
   ASSERT_TRUE(test_bed.run_until([&] { return writer.written() > 0; }));
-  // Until nothing moves any more: what the client does not read stays at the server.
+  // Runs until nothing more is written: data that the client does not read stays at the server.
   std::size_t written_before = 0;
   while (written_before != writer.written()) {
     written_before = writer.written();
@@ -162,10 +162,11 @@
 
 TEST_F(LargeMessages, TruncatesTheResponseWithoutRetryWhenTheEndpointFailsMidway) {
   const std::string half(200'000, 'x');
-  const std::string of_stated_length = "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + half;
+  const std::string with_content_length =
+      "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n" + half;
   const std::string in_chunks =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(half);
-  for (const std::string& truncated_response : {of_stated_length, in_chunks}) {
+  for (const std::string& truncated_response : {with_content_length, in_chunks}) {
     GatewayTestBed other;
     FakeServer first{other.io};
     FakeServer second{other.io};
@@ -238,7 +239,8 @@
   EXPECT_EQ(requests_written, 2);
 }
 
-// The beginning of a body is kept until some of the rest has been forwarded.
+// The beginning of a body is kept until more of the body has been forwarded; until then another
+// attempt is possible.
 TEST_F(LargeMessages, BodyGoesToAnotherEndpointWhenOneIsUnreachable) {
   server2.on_request = [](PeerConnection& connection, const HttpRequest& request) {
     connection.write(http_response("200 OK", "", std::to_string(request.body().size())));
--- a/tests/net/server/process_test.cpp
+++ b/tests/net/server/process_test.cpp
@@ -1,4 +1,5 @@
-// The program itself: its start with a bad configuration, and SIGTERM with a request in flight.
+// The gateway program as a process: its start with an invalid configuration, and SIGTERM with a
+// request in flight.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/net/server/quota_test.cpp
+++ b/tests/net/server/quota_test.cpp
@@ -10,8 +10,8 @@
 
 using ServerQuota = GatewayServerTest;
 
-// A rejection says when to retry, also if the settings do not let the gateway's own clients heed
-// it.
+// A rejection must have a Retry-After header even if the settings do not allow the clients of this
+// gateway to act on it.
 TEST_F(ServerQuota, RejectsBeyondTheQuotaWithRetryAfter) {
   test_bed.config.settings.retry_after_allowed = false;
   test_bed.config.settings.plans[0].quota_rate = 1;
@@ -41,7 +41,7 @@
   test_bed.config.settings.units_settled_later = true;
   test_bed.config.settings.max_request_units = 4;
   test_bed.config.settings.plans[0].quota_rate = 0.001;
-  // While no total is known, two thirds of it may be used here.
+  // While no total is known, this gateway may use two thirds of the burst.
   test_bed.config.settings.plans[0].quota_burst = 6;
   server1.on_request = [](PeerConnection& connection, const HttpRequest&) {
     connection.write(http_response("200 OK", "Billed-Units: 4\r\n", "ok"));
@@ -74,7 +74,8 @@
   EXPECT_EQ(status(client), 200);
 }
 
-// If resets counted as congestion of the counter, totals would be seconds old when they are used.
+// If connection resets counted as congestion of the counter, the gateway would call it less often,
+// and totals would be seconds old when they are used.
 TEST_F(ServerQuota, CounterConnectionResetsDoNotSlowItsCalls) {
   FakeCounter counter(test_bed.io);
   counter.resets_every = 3;
@@ -84,8 +85,8 @@
   test_bed.add_persisted(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
-  // Each request is a new customer's and needs a total. At one call a second, the 50 calls would
-  // not be made within the 20 s after which a wait fails.
+  // Each request comes from a new customer and needs a total. At one call per second, the 50 calls
+  // would not be made within the 20 s after which run_until() fails.
   ASSERT_TRUE(test_bed.run_until([&, customers = 0]() mutable {
     const std::string customer = std::to_string(10'000'000 + ++customers);
     client.send(get_request("t" + customer)
@@ -95,7 +96,8 @@
   }));
 }
 
-// Without this, a burst allowance that another gateway has just used would be used here again.
+// If the new total were ignored, a burst allowance that another gateway has just used could be used
+// again here.
 TEST_F(ServerQuota, RejectsOnceATotalReportsASpikeAtAnotherGateway) {
   FakeCounter counter(test_bed.io);
   test_bed.config.settings.has_counter = true;
@@ -113,8 +115,8 @@
   EXPECT_EQ(send_request(), 200);
   ASSERT_EQ(counter.calls.size(), 1U);
   counter.totals[counter.calls[0][1]] += 9e6;
-  // The counter's name for the customer changes every few seconds. If the next one has begun, the
-  // spike must be in its total.
+  // The counter key of the customer changes every few seconds. If the next key is in use already,
+  // the spike must be in its total.
   ASSERT_TRUE(test_bed.run_until([&] {
     send_request();
     if (counter.calls.back()[1] == counter.calls[0][1]) {
@@ -129,7 +131,8 @@
       ++rejected;
     }
   }
-  // Not all: this gateway's own slice remains, and a request may precede the new total.
+  // Not all 10 are rejected: this gateway still has its own slice, and a request may arrive before
+  // the new total.
   EXPECT_GE(rejected, 5);
 }
 
--- a/tests/net/server/reload_test.cpp
+++ b/tests/net/server/reload_test.cpp
@@ -1,4 +1,4 @@
-// SIGHUP: the configuration file is read again, and takes effect completely or not at all.
+// Reload at SIGHUP: the configuration file is read again and takes effect completely or not at all.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -58,7 +58,7 @@
   EXPECT_EQ(answer->body(), "held");
 }
 
-TEST(ConfigReload, BrokenFileKeepsAllSettingsAndAGoodOneAfterItApplies) {
+TEST(ConfigReload, InvalidFileChangesNothingAndTheNextValidOneApplies) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -81,7 +81,8 @@
     const auto answer = client.receive();
     return answer ? int(answer->result_int()) : 0;
   };
-  // Each renames the class too, which must not take effect when the rest is rejected.
+  // Each of these files also renames the class, which must not take effect when the rest of the
+  // file is rejected.
   const std::string other = R"("Name":"profile-next")";
   const std::string name = R"("Name":"profile-read")";
   const std::vector<std::string> broken = {
--- a/tests/net/server/request_dispatch_test.cpp
+++ b/tests/net/server/request_dispatch_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_EQ(server1.requests[2].body(), "hello");
 }
 
-// Else a server could have two requests of one trace id in flight.
+// Otherwise a server could have two requests with the same trace id in flight.
 TEST_F(RequestDispatch, RejectsATraceIdThatIsInFlight) {
   std::shared_ptr<PeerConnection> held;
   server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
@@ -47,8 +47,9 @@
   EXPECT_EQ(server1.requests.size(), 1U);
 }
 
-// What may have run is retried only at servers that share the idempotency key, those of its cell.
-TEST_F(RequestDispatch, RetriesAnIdempotencyKeyWithinItsCell) {
+// A request that may have run is retried only at servers that share its idempotency key, which are
+// those of the same cell.
+TEST_F(RequestDispatch, RetriesARequestWithAnIdempotencyKeyWithinItsCell) {
   std::vector<std::string> cells;
   const auto serve = [&cells](const std::string& cell) {
     return [&cells, cell](PeerConnection& connection, const HttpRequest&) {
@@ -93,7 +94,8 @@
   EXPECT_EQ(attempts, 1);
 }
 
-// Without this, a request whose few servers are all busy would fail with most of its time left.
+// If the retry were not held, a request that only a few servers may run would fail while these are
+// busy, with most of its time left.
 TEST_F(RequestDispatch, ResetRequestWaitsForTheBusyEndpointOfItsCell) {
   std::shared_ptr<PeerConnection> first;
   std::shared_ptr<PeerConnection> second;
@@ -118,7 +120,7 @@
   first_client.send(post_request("a"));
   ASSERT_TRUE(test_bed.run_until([&] { return first != nullptr; }));
   second_client.send(post_request("b"));
-  // Each server has one request in flight now, as many as its concurrency limit allows.
+  // Each server now has one request in flight, which is its concurrency limit.
   ASSERT_TRUE(test_bed.run_until([&] { return second != nullptr; }));
   first->reset();
   Client health = test_bed.client();
@@ -130,7 +132,7 @@
   EXPECT_EQ(attempts, 3);
 }
 
-TEST_F(RequestDispatch, RetriesOnAnotherEndpointWhatNeverRan) {
+TEST_F(RequestDispatch, RetriesARequestThatNeverRanOnAnotherEndpoint) {
   int attempts = 0;
   const auto busy = [&](PeerConnection& connection, const HttpRequest&) {
     if (++attempts == 1) {
--- a/tests/net/server/shutdown_test.cpp
+++ b/tests/net/server/shutdown_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 using ServerShutdown = GatewayServerTest;
-using PatientServerShutdown = LongLatencyObjectiveTest;
+using ServerShutdownWithLongObjective = LongLatencyObjectiveTest;
 using ServerShutdownCost = LongLatencyObjectiveTest;
 
-// Blocks the loop. What arrives meanwhile is handled in one turn of it.
+// Blocks the event loop. Input that arrives during this time is handled in one turn of the loop.
 void block_loop(std::chrono::milliseconds time) {
   std::this_thread::sleep_for(time);
 }
@@ -65,8 +65,8 @@
   EXPECT_TRUE(client.ended());
 }
 
-// The last requests arrive in the same turn of the loop in which the process would exit.
-TEST_F(PatientServerShutdown, AnswersUnreadAndUnacceptedRequestsBeforeTheEnd) {
+// The last requests arrive in the same turn of the event loop in which the process would exit.
+TEST_F(ServerShutdownWithLongObjective, AnswersUnreadAndUnacceptedRequestsBeforeTheExit) {
   std::list<FakeServer> servers;
   for (int i = 0; i < 6; ++i) {
     test_bed.add_persisted(listed_endpoint(numbered("s", i), servers.emplace_back(test_bed.io)));
@@ -95,8 +95,9 @@
   ASSERT_TRUE(test_bed.run_until([&] { return done; }));
 }
 
-// An exit resets a connection on which more has arrived, and its response is lost if it is unread.
-TEST_F(PatientServerShutdown, WaitsUntilClientsHaveReadTheirResponses) {
+// When the process exits, a connection with unread input is reset, and a response that its client
+// has not read yet is lost.
+TEST_F(ServerShutdownWithLongObjective, WaitsUntilClientsHaveReadTheirResponses) {
   std::shared_ptr<PeerConnection> held;
   server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
@@ -120,8 +121,8 @@
   ASSERT_TRUE(test_bed.run_until([&] { return done; }));
 }
 
-// SIGKILL follows 3.7 s after SIGTERM where deadlines are longer than 3 s; these are 4 s, and one
-// request arrived before SIGTERM.
+// SIGKILL follows 3.7 s after SIGTERM if deadlines are longer than 3 s. The deadlines here are 4 s,
+// and one request arrives before SIGTERM.
 TEST_F(ServerShutdownCost, AnswersEveryRequestBeforeTheKillSignal) {
   server1.on_request = [](PeerConnection&, const HttpRequest&) {};
   test_bed.add_persisted(listed_endpoint("s1", server1));
@@ -135,7 +136,7 @@
   server.drain([&] { done = true; });
   open.send(get_request("b"));
   const int failed = status(before);
-  EXPECT_TRUE(failed == 502 || failed == 504) << failed;  // not 503, since it may have run
+  EXPECT_TRUE(failed == 502 || failed == 504) << failed;  // not 503, since the request may have run
   EXPECT_GE(status(open), 429);
   ASSERT_TRUE(test_bed.run_until([&] { return done; }));
   EXPECT_LT(Clock().now() - drain_started_at, 3'700'000);
--- a/tests/net/server/startup_test.cpp
+++ b/tests/net/server/startup_test.cpp
@@ -9,14 +9,14 @@
 namespace {
 
 using ServerStartup = GatewayServerTest;
-using PatientServerStartup = LongLatencyObjectiveTest;
+using ServerStartupWithLongObjective = LongLatencyObjectiveTest;
 
 constexpr const char* kHealthRequest = "GET /_health HTTP/1.1\r\nHost: x\r\n\r\n";
 
 TEST_F(ServerStartup, IsHealthyOnceDiscoveryHasAnswered) {
   test_bed.start();
   Client client = test_bed.client();
-  int health_status = 503;  // until discovery has answered
+  int health_status = 503;  // until discovery has responded
   for (int request = 0; request < 1000 && health_status == 503; ++request) {
     client.send(kHealthRequest);
     health_status = status(client);
@@ -24,9 +24,9 @@
   EXPECT_EQ(health_status, 200);
 }
 
-// The persisted list may name a server that has long been draining; and load balancers must not
-// send clients here before the list is current.
-TEST_F(PatientServerStartup, ForwardsNothingByThePersistedListBeforeDiscoveryResponds) {
+// The persisted list may contain a server that has been draining for a long time, and load
+// balancers must not send clients to the gateway before its list is current.
+TEST_F(ServerStartupWithLongObjective, ForwardsNothingFromThePersistedListBeforeDiscoveryResponds) {
   test_bed.add_persisted(listed_endpoint("s1", server1));
   test_bed.discovery.unresponsive = true;
   test_bed.start();
@@ -49,19 +49,19 @@
   EXPECT_EQ(status(load_balancer), 200);
 }
 
-TEST_F(PatientServerStartup, ServesByThePersistedListWithoutDiscovery) {
+TEST_F(ServerStartupWithLongObjective, ServesFromThePersistedListWithoutDiscovery) {
   for (const bool silent : {true, false}) {
-    GatewayTestBed alone;
-    FakeServer server(alone.io);
-    alone.add_persisted(listed_endpoint("s1", server));
+    GatewayTestBed standalone_bed;
+    FakeServer server(standalone_bed.io);
+    standalone_bed.add_persisted(listed_endpoint("s1", server));
     if (silent) {
-      alone.discovery.unresponsive = true;
+      standalone_bed.discovery.unresponsive = true;
     } else {
-      alone.discovery.stop();
+      standalone_bed.discovery.stop();
     }
-    alone.start();
-    ASSERT_TRUE(alone.run_until([&] { return alone.server->is_ready(); }));
-    Client client = alone.client();
+    standalone_bed.start();
+    ASSERT_TRUE(standalone_bed.run_until([&] { return standalone_bed.server->is_ready(); }));
+    Client client = standalone_bed.client();
     client.send(kHealthRequest);
     EXPECT_EQ(status(client), 200);
     client.send(get_request("a"));
--- a/tests/support/gateway_server_fixture.cpp
+++ b/tests/support/gateway_server_fixture.cpp
@@ -18,25 +18,25 @@
   }
 }
 
-tcp::endpoint ManyEndpoints::at(int number) const {
+tcp::endpoint ManyEndpoints::address_of(int number) const {
   return {asio::ip::address_v4(kFirstAddress + std::uint32_t(number)), address().port()};
 }
 
 ListedEndpoint ManyEndpoints::listed_endpoint(const std::string& id, int number) const {
   ListedEndpoint endpoint = testing::listed_endpoint(id, *this);
-  endpoint.address = at(number);
+  endpoint.address = address_of(number);
   return endpoint;
 }
 
 std::string ManyEndpoints::entry_json(const std::string& id, int number,
                                       const std::string& phase) const {
-  const tcp::endpoint endpoint = at(number);
+  const tcp::endpoint endpoint = address_of(number);
   const std::string host_port =
       endpoint.address().to_string() + ":" + std::to_string(endpoint.port());
   return testing::entry_json(id, host_port, phase);
 }
 
-std::uint64_t ManyEndpointsTest::figure(const std::string& name) {
+std::uint64_t ManyEndpointsTest::metric(const std::string& name) {
   const std::string all = test_bed.server->render_stats();
   const std::string key = "app." + name + "=";
   return std::stoull(all.substr(all.find(key) + key.size()));
