--- a/include/quota_gateway/actions.hpp
+++ b/include/quota_gateway/actions.hpp
@@ -49,10 +49,10 @@
 
 // Add to the shared counter and return its total, see CounterReply.
 struct AddToCounter {
-  std::int64_t name = 0;
+  std::int64_t key = 0;
   double amount = 0;
   // The counter may drop the name this long after the last call.
-  Micros forget_after = 0;
+  Micros time_to_live = 0;
 };
 
 // A line for the log, without its end.
--- a/include/quota_gateway/events.hpp
+++ b/include/quota_gateway/events.hpp
@@ -18,7 +18,7 @@
 struct EndpointEntry {
   std::string server;
   std::string zone;
-  std::string kind;
+  std::string hardware_generation;
   // Servers of one cell share the memory of idempotency keys, see DedupScope.
   std::int64_t cell = 0;
   EndpointState state = EndpointState::kUp;
@@ -141,7 +141,7 @@
 // The counter replied to AddToCounter, or the call was given up.
 struct CounterReply {
   // As in AddToCounter.
-  std::int64_t name = 0;
+  std::int64_t key = 0;
   // Sum of all gateways' amounts under this name, for kOk.
   double total = 0;
   CounterOutcome outcome = CounterOutcome::kUnknown;
--- a/scale/fleet/counter_load.cpp
+++ b/scale/fleet/counter_load.cpp
@@ -35,9 +35,9 @@
     return;
   }
   AddToCounter call;
-  call.name = next_name_++;
+  call.key = next_name_++;
   call.amount = 1;
-  call.forget_after = kForgetAfter;
+  call.time_to_live = kForgetAfter;
   client_->add(call);
 }
 
--- a/scale/module/load_driver.cpp
+++ b/scale/module/load_driver.cpp
@@ -100,10 +100,10 @@
 }
 
 void LoadDriver::on(const AddToCounter& call) {
-  double& total = counter_totals_[call.name];
+  double& total = counter_totals_[call.key];
   total += call.amount;
   CounterReply reply;
-  reply.name = call.name;
+  reply.key = call.key;
   reply.total = total;
   reply.outcome = CounterOutcome::kOk;
   reply.duration = kCounterReplyTime;
--- a/scale/module/module_inputs.cpp
+++ b/scale/module/module_inputs.cpp
@@ -44,7 +44,7 @@
   EndpointEntry entry;
   entry.server = numbered_name("s-", kFirstServerNumber + index);
   entry.zone = zone_of(index);
-  entry.kind = numbered_name("m", index % kKinds);
+  entry.hardware_generation = numbered_name("m", index % kKinds);
   entry.cell = std::int64_t(index % kCells);
   return entry;
 }
--- a/scale/simulated_gateway.cpp
+++ b/scale/simulated_gateway.cpp
@@ -214,7 +214,7 @@
     counter_->add(action);
     return;
   }
-  push(CounterReply{action.name, 0, CounterOutcome::kNotAdded, 0});
+  push(CounterReply{action.key, 0, CounterOutcome::kNotAdded, 0});
 }
 
 }  // namespace quota_gateway::scale
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -120,7 +120,7 @@
 
 void CounterClient::add(const AddToCounter& addition) {
   CounterCall call;
-  call.counter_name = addition.name;
+  call.counter_name = addition.key;
   call.created_at = clock_.now();
   const bool accepts_calls =
       !closing_ && state_ != State::kDisconnected && calls_.size() < kMaxCallsInFlight;
--- a/src/net/counter/counter_protocol.cpp
+++ b/src/net/counter/counter_protocol.cpp
@@ -81,9 +81,9 @@
 }  // namespace
 
 std::string encode_add_command(const AddToCounter& addition) {
-  const Micros lifetime_ms = std::clamp<Micros>(addition.forget_after / kMicrosPerMillisecond,
+  const Micros lifetime_ms = std::clamp<Micros>(addition.time_to_live / kMicrosPerMillisecond,
                                                 kMinLifetimeMs, kMaxLifetimeMs);
-  return encode_command({"CNT.ADD", std::to_string(addition.name), to_decimal(addition.amount),
+  return encode_command({"CNT.ADD", std::to_string(addition.key), to_decimal(addition.amount),
                          std::to_string(lifetime_ms)});
 }
 
--- a/src/net/counter/counter_protocol.hpp
+++ b/src/net/counter/counter_protocol.hpp
@@ -14,7 +14,7 @@
 
 namespace quota_gateway::net {
 
-// The bytes of a CNT.ADD command. The counter forgets the name after `forget_after`, at least 1 ms
+// The bytes of a CNT.ADD command. The counter forgets the key after `time_to_live`, at least 1 ms
 // and at most 60 s. `amount` must be finite.
 std::string encode_add_command(const AddToCounter& addition);
 std::string encode_ping_command();
--- a/src/net/discovery/endpoint_list.hpp
+++ b/src/net/discovery/endpoint_list.hpp
@@ -12,8 +12,8 @@
 
 namespace quota_gateway::net {
 
-// The decision module's EndpointEntry without the kind, which nothing reads; converts to one where
-// it is needed. A list may name 170,000 endpoints: each byte here is 170 KB.
+// The decision module's EndpointEntry without the hardware generation, which nothing reads;
+// converts to one where it is needed. A list may name 170,000 endpoints: each byte here is 170 KB.
 struct CompactEndpointEntry {
   std::string server;
   std::string zone;
--- a/src/net/server/action_executor.cpp
+++ b/src/net/server/action_executor.cpp
@@ -47,7 +47,7 @@
   if (counter_) {
     counter_->add(action);
   } else {
-    events_.push(CounterReply{action.name, 0, CounterOutcome::kNotAdded, 0});
+    events_.push(CounterReply{action.key, 0, CounterOutcome::kNotAdded, 0});
   }
 }
 
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -30,7 +30,7 @@
 }
 
 RejectionReason over_quota_reason(const CustomerState& customer) {
-  if (!customer.total.trusted_at) {
+  if (!customer.counter_total.trusted_at) {
     return RejectionReason::kOverQuotaTotalUnknown;
   }
   const double demand = customer.demand.own + customer.demand.others;
@@ -62,7 +62,7 @@
   if (!first_total_is_pending || !may_wait(context.now, request)) {
     return false;
   }
-  wait(context, request, customer.total.waiting);
+  wait(context, request, customer.counter_total.waiting_request_ids);
   return true;
 }
 
@@ -74,13 +74,13 @@
   const bool excess_admitted = is_excess_admitted(now, *customer.plan);
   const QuotaCheck quota = check_quota(context, request, excess_admitted);
   if (quota == QuotaCheck::kWaitForCounter) {
-    return wait(context, request, customer.quota_reservation.waiting);
+    return wait(context, request, customer.quota_reservation.waiting_request_ids);
   }
   const bool within_quota = quota != QuotaCheck::kBeyond && is_within_concurrency_limit(customer);
   const bool under_ceiling = rate_ceiling_.admits(now, customer, request.units);
   const bool passes_quota = within_quota || excess_admitted;
   if (passes_quota && !under_ceiling && reserves_from_ceiling_pool(context, request)) {
-    return wait(context, request, customer.ceiling_reservation.waiting);
+    return wait(context, request, customer.ceiling_reservation.waiting_request_ids);
   }
   if (!under_ceiling) {
     return reject_over_ceiling(context, request, within_quota);
@@ -100,7 +100,8 @@
   const std::optional<PoolReply> reservation = pools_.on_reply(now, reply);
   if (!reservation) {
     CustomerState* const customer = quota_.on_counter_reply(now, reply);
-    return customer ? std::exchange(customer->total.waiting, {}) : std::vector<std::string>();
+    return customer ? std::exchange(customer->counter_total.waiting_request_ids, {})
+                    : std::vector<std::string>();
   }
   CustomerState& customer = *reservation->customer;
   const SharedPool& pool = reservation->pool;
@@ -108,7 +109,7 @@
     const Micros elapsed = std::max(pool.elapsed(now, customer), pool.window_length / 2);
     record_pool_total(now, customer, reply.total, elapsed);
   }
-  return std::exchange(customer.reservation(pool.kind).waiting, {});
+  return std::exchange(customer.reservation(pool.kind).waiting_request_ids, {});
 }
 
 Admission::QuotaCheck Admission::check_quota(EventContext& context, Request& request,
--- a/src/policy/quota/counter_name.hpp
+++ b/src/policy/quota/counter_key.hpp
@@ -19,6 +19,6 @@
 Micros window_phase(std::uint64_t customer_key, Micros length);
 
 // The counter's name for a customer in a numbered window.
-std::int64_t counter_name(std::uint64_t customer_key, CounterSeries series, std::int64_t window);
+std::int64_t counter_key(std::uint64_t customer_key, CounterSeries series, std::int64_t window);
 
 }  // namespace quota_gateway::policy
--- a/src/policy/quota/counter_sync.cpp
+++ b/src/policy/quota/counter_sync.cpp
@@ -1,6 +1,6 @@
 #include "policy/quota/counter_sync.hpp"
 
-#include "policy/quota/counter_name.hpp"
+#include "policy/quota/counter_key.hpp"
 #include "policy/quota/quota_capacity.hpp"
 #include "policy/time_units.hpp"
 
@@ -23,7 +23,7 @@
 
 // Changes to the present epoch's name. What was asked before the epoch began is in no total of it.
 void start_epoch(Micros now, std::int64_t epoch, Micros phase, CounterTotal& total) {
-  total.epoch = epoch;
+  total.rotation_window = epoch;
   total.value = 0;
   total.own_additions = 0;
   const Micros epoch_start = epoch * kEpochLength - phase;
@@ -36,12 +36,12 @@
 }  // namespace
 
 bool CounterSync::report_demand(Micros now, CustomerState& customer, std::vector<Action>& actions) {
-  const bool is_known = customer.total.trusted_at.has_value();
+  const bool is_known = customer.counter_total.trusted_at.has_value();
   if (!settings_.has_counter || customer.quota_rate <= 0 || customer.unreported.units <= 0 ||
       is_sparse(settings_, customer)) {
     return false;
   }
-  if (!is_known && customer.total.calls_in_flight > 0) {
+  if (!is_known && customer.counter_total.calls_in_flight > 0) {
     return !limiter_.is_counter_down();
   }
   limiter_.refill(now);
@@ -56,7 +56,7 @@
 // The fewer calls are available, the more requests must one report. Without this, customers that
 // come now and then would use up what the counter bears.
 bool CounterSync::is_call_due(Micros now, const CustomerState& customer) const {
-  const CounterTotal& total = customer.total;
+  const CounterTotal& total = customer.counter_total;
   const UnreportedDemand& unreported = customer.unreported;
   const bool is_known = total.trusted_at.has_value();
   const double available = limiter_.available();
@@ -73,16 +73,16 @@
 }
 
 void CounterSync::send_call(Micros now, CustomerState& customer, std::vector<Action>& actions) {
-  CounterTotal& total = customer.total;
+  CounterTotal& total = customer.counter_total;
   UnreportedDemand& unreported = customer.unreported;
   const Micros phase = window_phase(customer.key, kEpochLength);
   const std::int64_t epoch = (now + phase) / kEpochLength;
-  if (epoch != total.epoch) {
+  if (epoch != total.rotation_window) {
     start_epoch(now, epoch, phase, total);
   }
-  const std::int64_t name = counter_name(customer.key, CounterSeries::kDemandTotal, epoch);
-  pending_[name] = {&customer, unreported.units};
-  actions.emplace_back(AddToCounter{name, unreported.units, kNameLifetime});
+  const std::int64_t key = counter_key(customer.key, CounterSeries::kDemandTotal, epoch);
+  pending_[key] = {&customer, unreported.units};
+  actions.emplace_back(AddToCounter{key, unreported.units, kNameLifetime});
   unreported.units = 0;
   unreported.requests = 0;
   total.last_call_at = now;
@@ -91,13 +91,13 @@
 
 CustomerState* CounterSync::on_reply(Micros now, Micros gateway_started_at,
                                      const CounterReply& reply) {
-  const auto call = pending_.extract(reply.name);
+  const auto call = pending_.extract(reply.key);
   if (call.empty()) {
     return nullptr;
   }
   const PendingCall pending = call.mapped();
   CustomerState& customer = *pending.customer;
-  --customer.total.calls_in_flight;
+  --customer.counter_total.calls_in_flight;
   if (reply.outcome == CounterOutcome::kNotAdded) {
     customer.unreported.units += pending.units;
   }
--- a/src/policy/quota/counter_total_estimator.cpp
+++ b/src/policy/quota/counter_total_estimator.cpp
@@ -26,7 +26,7 @@
 
 void CounterTotalEstimator::on_total(Micros now, Micros gateway_started_at, CustomerState& customer,
                                      double total, double added) {
-  CounterTotal& counter = customer.total;
+  CounterTotal& counter = customer.counter_total;
   counter.own_additions += added;
   const double increase = total - counter.value;
   const double seconds = observed_seconds(now, gateway_started_at, customer, increase);
@@ -47,8 +47,8 @@
 // are small, no total is taken as older than this gateway.
 double CounterTotalEstimator::observed_seconds(Micros now, Micros gateway_started_at,
                                                const CustomerState& customer, double increase) {
-  const double seconds = double(now - customer.total.read_at) / kSecond;
-  if (customer.total.value > 0) {
+  const double seconds = double(now - customer.counter_total.read_at) / kSecond;
+  if (customer.counter_total.value > 0) {
     return seconds;
   }
   quotas_since_last_read_ =
@@ -65,7 +65,7 @@
   advance_estimates(now, customer);
   Demand& demand = customer.demand;
   LocalBudget& budget = customer.budget;
-  const bool is_first = !customer.total.trusted_at;
+  const bool is_first = !customer.counter_total.trusted_at;
   if (is_first) {
     demand.others = kUnknownOthersFraction * customer.quota_rate;
   }
@@ -73,19 +73,20 @@
   // A smoothed rate shows a spike elsewhere when the store has long been spent there. So what was
   // asked beyond the assumption leaves the store at once, and what was not asked returns to it; up
   // to a second's debt, since others' calls are late too. Demand that others rejected is included.
-  const double asked_by_others = increase - customer.total.own_additions;
+  const double asked_by_others = increase - customer.counter_total.own_additions;
   if (!is_first) {
-    const double lower_limit = std::min(budget.store, -customer.quota_rate);
-    const double corrected = budget.store + customer.total.assumed_others - asked_by_others;
-    budget.store = std::min(store_capacity(customer), std::max(lower_limit, corrected));
+    const double lower_limit = std::min(budget.tokens, -customer.quota_rate);
+    const double corrected =
+        budget.tokens + customer.counter_total.assumed_others - asked_by_others;
+    budget.tokens = std::min(token_capacity(customer), std::max(lower_limit, corrected));
   }
   demand.others += (1 - std::exp(-seconds / demand_smoothing_seconds(customer))) *
                    (asked_by_others / seconds - demand.others);
   if (is_first) {
     set_first_budget(customer, seconds, added);
   }
-  budget.own_allowance = own_fraction(customer) * std::max(0.0, budget.store);
-  customer.total.trusted_at = now;
+  budget.own_allowance = own_fraction(customer) * std::max(0.0, budget.tokens);
+  customer.counter_total.trusted_at = now;
 }
 
 // The store starts as full as demand leaves it. With nothing left, a gateway's first request passes
@@ -96,9 +97,9 @@
   const double asked_fraction = (customer.demand.others + own_rate) / customer.quota_rate;
   const double full_fraction =
       std::clamp((1 - asked_fraction) / (1 - kUnknownOthersFraction), 0.0, 1.0);
-  customer.budget.store = quota_burst(customer) * full_fraction;
+  customer.budget.tokens = quota_burst(customer) * full_fraction;
   if (full_fraction <= 0) {
-    customer.budget.credit =
+    customer.budget.slice_credit =
         customer.unreported.last_request_units * (uniform(random_) + 1 / asked_fraction);
   }
 }
--- a/src/policy/quota/customer_state.hpp
+++ b/src/policy/quota/customer_state.hpp
@@ -20,16 +20,16 @@
 
 // Where a request's units were charged, so that they can be refunded there.
 enum class BudgetSource {
-  kStore,
-  kCredit,
+  kTokens,
+  kSliceCredit,
   kPoolReservation,  // the reservation from the quota's shared pool
 };
 
 // Units of the quota that this gateway may let through without asking anybody.
 struct LocalBudget {
-  double store = 0;  // left of the whole quota, as far as this gateway can tell; below 0: debt
+  double tokens = 0;  // left of the whole quota, as far as this gateway can tell; below 0: debt
   double own_allowance = 0;  // of the store, this gateway's to spend until the next counter total
-  double credit = 0;         // of this gateway's slice, not yet spent while the store is empty
+  double slice_credit = 0;   // of this gateway's slice, not yet spent while the store is empty
 };
 
 // Demand that no call has reported to the counter yet.
@@ -43,13 +43,13 @@
 struct CounterTotal {
   std::optional<Micros> trusted_at;  // when a total was last believed; none until the first
   Micros read_at = 0;                // when the current name was last read
-  std::int64_t epoch = 0;            // the epoch of the current name
+  std::int64_t rotation_window = 0;  // the epoch of the current name
   double value = 0;                  // units; the name's total when last read
   double own_additions = 0;          // units that this gateway added since
   double assumed_others = 0;         // units that others are assumed to have spent since
   int calls_in_flight = 0;
   Micros last_call_at = 0;
-  std::vector<std::string> waiting;  // ids of requests that wait for the first total
+  std::vector<std::string> waiting_request_ids;  // ids of requests that wait for the first total
 };
 
 // This gateway's even share of the customer's hard rate ceiling: a token bucket.
@@ -70,7 +70,7 @@
   std::optional<std::int64_t> window;  // none until the first reservation
   bool exhausted = false;              // nothing is left of the pool in `window`
   bool in_flight = false;              // a call is on its way; the customer must outlive it
-  std::vector<std::string> waiting;    // ids of requests that wait for the call
+  std::vector<std::string> waiting_request_ids;  // ids of requests that wait for the call
 };
 
 // Past the quota only a fraction of a sparse customer's requests tries to reserve units.
@@ -90,7 +90,7 @@
   Demand demand;
   LocalBudget budget;
   UnreportedDemand unreported;
-  CounterTotal total;
+  CounterTotal counter_total;
   CeilingShare ceiling;
   PoolReservation ceiling_reservation;
   PoolReservation quota_reservation;
--- a/src/policy/quota/demand_estimator.cpp
+++ b/src/policy/quota/demand_estimator.cpp
@@ -40,8 +40,8 @@
   const double slice =
       quota * std::log((own_after + demand.others) / (demand.own + demand.others)) - by_store;
   LocalBudget& budget = customer.budget;
-  budget.credit += std::clamp(kOwnDemandSeconds * slice, 0.0, units);
-  budget.credit = std::min(budget.credit, kMostCreditRequests * units);
+  budget.slice_credit += std::clamp(kOwnDemandSeconds * slice, 0.0, units);
+  budget.slice_credit = std::min(budget.slice_credit, kMostCreditRequests * units);
 }
 
 }  // namespace
@@ -58,21 +58,21 @@
 
   // Not filled by an own share: a hundredth of a store holds less than a request, so that all
   // gateways see the whole one.
-  const double before = budget.store;
-  const double debt = std::min(budget.store, 0.0);
-  const double filled = budget.store + (customer.quota_rate - demand.others) * elapsed;
-  budget.store = std::min(store_capacity(customer), std::max(debt, filled));
-  budget.own_allowance += std::max(0.0, budget.store - before);
+  const double before = budget.tokens;
+  const double debt = std::min(budget.tokens, 0.0);
+  const double filled = budget.tokens + (customer.quota_rate - demand.others) * elapsed;
+  budget.tokens = std::min(token_capacity(customer), std::max(debt, filled));
+  budget.own_allowance += std::max(0.0, budget.tokens - before);
 
   // What an empty store can't give, others did not get.
-  customer.total.assumed_others += before + customer.quota_rate * elapsed - budget.store;
+  customer.counter_total.assumed_others += before + customer.quota_rate * elapsed - budget.tokens;
 }
 
 void record_demand(Micros now, CustomerState& customer, double units) {
   advance_estimates(now, customer);
   const Demand& demand = customer.demand;
   const bool past_quota = demand.own + demand.others > customer.quota_rate;
-  if (customer.total.trusted_at && customer.budget.store < units && past_quota) {
+  if (customer.counter_total.trusted_at && customer.budget.tokens < units && past_quota) {
     credit_slice(customer, units);
   }
   customer.demand.own += units / kOwnDemandSeconds;
@@ -95,9 +95,9 @@
   fraction = std::clamp(fraction * kReservationTarget * customer.quota_rate / asked,
                         kLeastSampledFraction, 1.0);
   const double burst = quota_burst(customer);
-  customer.budget.store = std::clamp(burst - total, 0.0, burst);
-  customer.budget.own_allowance = own_fraction(customer) * customer.budget.store;
-  customer.total.trusted_at = now;
+  customer.budget.tokens = std::clamp(burst - total, 0.0, burst);
+  customer.budget.own_allowance = own_fraction(customer) * customer.budget.tokens;
+  customer.counter_total.trusted_at = now;
 }
 
 double own_fraction(const CustomerState& customer) {
--- a/src/policy/quota/quota_allocator.cpp
+++ b/src/policy/quota/quota_allocator.cpp
@@ -24,7 +24,7 @@
 
 bool can_forget(Micros now, const CustomerState& customer) {
   return now - customer.last_request_at > kForgetIdleAfter && customer.attempts_in_progress == 0 &&
-         customer.total.calls_in_flight == 0 && !customer.ceiling_reservation.in_flight &&
+         customer.counter_total.calls_in_flight == 0 && !customer.ceiling_reservation.in_flight &&
          !customer.quota_reservation.in_flight;
 }
 
@@ -63,8 +63,8 @@
   // this gateway's start on.
   customer.ceiling.units = 0;
   customer.ceiling.filled_at = *started_at_;
-  customer.budget.store = store_capacity(customer);
-  customer.budget.own_allowance = customer.budget.store;
+  customer.budget.tokens = token_capacity(customer);
+  customer.budget.own_allowance = customer.budget.tokens;
   assume_even_demand(customer);
 }
 
@@ -80,7 +80,7 @@
 bool QuotaAllocator::covers_without_reservation(const CustomerState& customer, double units) const {
   const Demand& demand = customer.demand;
   return slice_covers(customer, units) &&
-         (counter_limiter_.is_counter_down() || !customer.total.trusted_at ||
+         (counter_limiter_.is_counter_down() || !customer.counter_total.trusted_at ||
           demand.own + demand.others <= customer.quota_rate);
 }
 
@@ -139,10 +139,10 @@
   for (auto& [name, customer] : customers_) {
     advance_estimates(now, customer);
     customer.quota_rate = quota_rate(*customer.plan);
-    if (!customer.total.trusted_at) {
+    if (!customer.counter_total.trusted_at) {
       assume_even_demand(customer);
     }
-    customer.budget.store = std::min(customer.budget.store, store_capacity(customer));
+    customer.budget.tokens = std::min(customer.budget.tokens, token_capacity(customer));
   }
 }
 
@@ -150,7 +150,7 @@
   QuotaStats stats;
   stats.customers = customers_.size();
   for (const auto& [name, customer] : customers_) {
-    const std::optional<Micros> trusted_at = customer.total.trusted_at;
+    const std::optional<Micros> trusted_at = customer.counter_total.trusted_at;
     if (trusted_at && now - *trusted_at < kRecentTotal) {
       ++stats.customers_with_recent_total;
     }
--- a/src/policy/quota/quota_capacity.cpp
+++ b/src/policy/quota/quota_capacity.cpp
@@ -35,8 +35,8 @@
                                        : customer.quota_rate * kConcurrencyBurstSeconds;
 }
 
-double store_capacity(const CustomerState& customer) {
-  const double fraction = customer.total.trusted_at
+double token_capacity(const CustomerState& customer) {
+  const double fraction = customer.counter_total.trusted_at
                               ? 1
                               : std::min(1.0, kUnknownTotalShares / customer.gateway_subset_size);
   return quota_burst(customer) * fraction;
--- a/src/policy/quota/quota_capacity.hpp
+++ b/src/policy/quota/quota_capacity.hpp
@@ -15,7 +15,7 @@
 
 // The most that the local store may hold. Until a first counter total is known it is about an even
 // share of the burst; without this, each gateway would admit a whole burst of a new customer.
-double store_capacity(const CustomerState& customer);
+double token_capacity(const CustomerState& customer);
 
 // Whether an even share of the quota is so small against a request that a slice says nothing:
 // through hundreds of gateways, each sees such a customer every 10 s or less often, and a total as
--- a/src/policy/quota/shared_pool.cpp
+++ b/src/policy/quota/shared_pool.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "policy/quota/counter_name.hpp"
+#include "policy/quota/counter_key.hpp"
 #include "policy/time_units.hpp"
 
 namespace quota_gateway::policy {
@@ -72,17 +72,17 @@
     reservation.units = 0;
     reservation.exhausted = false;
   }
-  const std::int64_t name = counter_name(customer.key, series_of(pool.kind), window);
-  pending_[name] = {&customer, pool, units};
+  const std::int64_t key = counter_key(customer.key, series_of(pool.kind), window);
+  pending_[key] = {&customer, pool, units};
   reservation.in_flight = true;
   const Micros lifetime =
       std::max<Micros>(kLeastNameLifetime, kNameLifetimeWindows * pool.window_length);
-  actions.emplace_back(AddToCounter{name, units, lifetime});
+  actions.emplace_back(AddToCounter{key, units, lifetime});
   return true;
 }
 
 std::optional<PoolReply> PoolLedger::on_reply(Micros now, const CounterReply& reply) {
-  const auto call = pending_.extract(reply.name);
+  const auto call = pending_.extract(reply.key);
   if (call.empty()) {
     return std::nullopt;
   }
--- a/src/simulator/wire_codec.cpp
+++ b/src/simulator/wire_codec.cpp
@@ -80,7 +80,7 @@
 
 CounterReply parse_counter_reply(const Json& message) {
   CounterReply event;
-  event.name = required_field<std::int64_t>(message, "Cname");
+  event.key = required_field<std::int64_t>(message, "Cname");
   event.total = field_or(message, "Total", 0.0);
   event.duration = field_or<Micros>(message, "DurationUs", 0);
   event.outcome = value_of_word<CounterOutcome>(required_field<std::string>(message, "Disposition"),
@@ -149,9 +149,9 @@
   }
   Json operator()(const AddToCounter& action) const {
     return {{"what", "Tally"},
-            {"Cname", action.name},
+            {"Cname", action.key},
             {"Amount", action.amount},
-            {"ForgetAfterUs", action.forget_after}};
+            {"ForgetAfterUs", action.time_to_live}};
   }
   Json operator()(const LogLine& action) const {
     return {{"what", "NoteDown"}, {"BodyText", action.text}};
@@ -169,7 +169,7 @@
     EndpointEntry entry;
     entry.server = required_field<std::string>(json, "Server");
     entry.zone = field_or<std::string>(json, "RackZone", "");
-    entry.kind = field_or<std::string>(json, "GenerationHw", "");
+    entry.hardware_generation = field_or<std::string>(json, "GenerationHw", "");
     entry.cell = field_or<std::int64_t>(json, "Cohort", 0);
     entry.state = value_of_word<EndpointState>(
         field_or<std::string>(json, "Mode", "up"),
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -51,7 +51,7 @@
   const CounterReply reply = add(9, -1);
   EXPECT_EQ(reply.outcome, CounterOutcome::kOk);
   EXPECT_DOUBLE_EQ(reply.total, 1.5);
-  EXPECT_EQ(reply.name, 9);
+  EXPECT_EQ(reply.key, 9);
   EXPECT_EQ(fake->calls.at(0), (std::vector<std::string>{"CNT.ADD", "9", "2.5", "4000"}));
   EXPECT_EQ(fake->peers.size(), 1U);
 }
@@ -95,7 +95,7 @@
   counter->add({3, 5, 4'000'000});
   fake->last->write("$3\r\n222\r\n");  // the reply to call 2, after its time-out
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
-  EXPECT_EQ(replies[2].name, 3);
+  EXPECT_EQ(replies[2].key, 3);
   // A machine that pauses the test for longer than a call's time-out has the call time out instead.
   if (replies[2].outcome == CounterOutcome::kOk) {
     EXPECT_DOUBLE_EQ(replies[2].total, 5);
--- a/tests/policy/quota/counter_totals_test.cpp
+++ b/tests/policy/quota/counter_totals_test.cpp
@@ -62,7 +62,7 @@
   const auto calls = counter_calls(actions);
   ASSERT_EQ(calls.size(), 1U);
   EXPECT_EQ(calls[0].amount, 1);
-  EXPECT_LE(calls[0].forget_after, 60 * kSecond);
+  EXPECT_LE(calls[0].time_to_live, 60 * kSecond);
   EXPECT_TRUE(attempts(actions).empty());
   // The counter has not replied.
   EXPECT_EQ(attempts(gateway.run_timers(160 * kMillisecond)).size(), 1U);
@@ -75,7 +75,7 @@
   const auto calls_of_two = counter_calls(two.arrive(1050 * kMillisecond, "r"));
   ASSERT_EQ(calls_of_one.size(), 1U);
   ASSERT_EQ(calls_of_two.size(), 1U);
-  EXPECT_EQ(calls_of_one[0].name, calls_of_two[0].name);
+  EXPECT_EQ(calls_of_one[0].key, calls_of_two[0].key);
 }
 
 TEST(CounterSync, FastSpendingIsReportedSooner) {
--- a/tests/policy/quota/local_budget_test.cpp
+++ b/tests/policy/quota/local_budget_test.cpp
@@ -16,48 +16,49 @@
   CustomerState customer;
   customer.plan = &plan;
   customer.quota_rate = plan.quota_rate;
-  customer.total.trusted_at = 1;
+  customer.counter_total.trusted_at = 1;
   customer.budget = budget;
   return customer;
 }
 
 TEST(LocalBudget, UnitsAreRefundedWhereTheyWereCharged) {
   const PlanSettings plan = ten_a_second();
-  CustomerState customer = customer_with(plan, {.store = 5, .own_allowance = 2, .credit = 4});
+  CustomerState customer =
+      customer_with(plan, {.tokens = 5, .own_allowance = 2, .slice_credit = 4});
 
-  EXPECT_EQ(charge_slice(customer, 3), BudgetSource::kStore);
-  EXPECT_EQ(customer.budget.store, 2);
+  EXPECT_EQ(charge_slice(customer, 3), BudgetSource::kTokens);
+  EXPECT_EQ(customer.budget.tokens, 2);
   EXPECT_EQ(customer.budget.own_allowance, -1);
 
-  EXPECT_EQ(charge_slice(customer, 3), BudgetSource::kCredit);
-  EXPECT_EQ(customer.budget.credit, 1);
+  EXPECT_EQ(charge_slice(customer, 3), BudgetSource::kSliceCredit);
+  EXPECT_EQ(customer.budget.slice_credit, 1);
 
-  refund(customer, BudgetSource::kStore, 3);
-  refund(customer, BudgetSource::kCredit, 3);
-  EXPECT_EQ(customer.budget.store, 5);
+  refund(customer, BudgetSource::kTokens, 3);
+  refund(customer, BudgetSource::kSliceCredit, 3);
+  EXPECT_EQ(customer.budget.tokens, 5);
   EXPECT_EQ(customer.budget.own_allowance, 2);
-  EXPECT_EQ(customer.budget.credit, 4);
+  EXPECT_EQ(customer.budget.slice_credit, 4);
 }
 
 TEST(LocalBudget, APoolReservationIsChargedApartFromTheStore) {
   const PlanSettings plan = ten_a_second();
-  CustomerState customer = customer_with(plan, {.store = 5, .own_allowance = 5});
+  CustomerState customer = customer_with(plan, {.tokens = 5, .own_allowance = 5});
   customer.quota_reservation.units = 4;
   charge_to(customer, BudgetSource::kPoolReservation, 3);
   EXPECT_EQ(customer.quota_reservation.units, 1);
-  EXPECT_EQ(customer.budget.store, 5);
+  EXPECT_EQ(customer.budget.tokens, 5);
 }
 
 TEST(LocalBudget, WithNoAllowanceLeftTheStoreCoversNothing) {
   const PlanSettings plan = ten_a_second();
-  EXPECT_TRUE(slice_covers(customer_with(plan, {.store = 5, .own_allowance = 0.1}), 5));
-  EXPECT_FALSE(slice_covers(customer_with(plan, {.store = 5, .own_allowance = 0}), 5));
+  EXPECT_TRUE(slice_covers(customer_with(plan, {.tokens = 5, .own_allowance = 0.1}), 5));
+  EXPECT_FALSE(slice_covers(customer_with(plan, {.tokens = 5, .own_allowance = 0}), 5));
 }
 
 TEST(LocalBudget, ARequestLargerThanTheStorePassesWhenThatIsFull) {
   const PlanSettings plan = ten_a_second();
-  EXPECT_TRUE(slice_covers(customer_with(plan, {.store = 20, .own_allowance = 20}), 50));
-  EXPECT_FALSE(slice_covers(customer_with(plan, {.store = 19, .own_allowance = 19}), 50));
+  EXPECT_TRUE(slice_covers(customer_with(plan, {.tokens = 20, .own_allowance = 20}), 50));
+  EXPECT_FALSE(slice_covers(customer_with(plan, {.tokens = 19, .own_allowance = 19}), 50));
 }
 
 TEST(LocalBudget, WithoutAQuotaAllIsCoveredAndNothingCharged) {
@@ -65,13 +66,13 @@
   CustomerState customer = customer_with(plan, {});
   EXPECT_TRUE(slice_covers(customer, 100));
   charge_slice(customer, 100);
-  EXPECT_EQ(customer.budget.store, 0);
-  EXPECT_EQ(customer.budget.credit, 0);
+  EXPECT_EQ(customer.budget.tokens, 0);
+  EXPECT_EQ(customer.budget.slice_credit, 0);
 }
 
 TEST(LocalBudget, TheWaitForMissingUnitsGoesByWhatOthersLeave) {
   const PlanSettings plan = ten_a_second();
-  CustomerState customer = customer_with(plan, {.store = 1, .own_allowance = 1});
+  CustomerState customer = customer_with(plan, {.tokens = 1, .own_allowance = 1});
   customer.demand.others = 8;
   EXPECT_DOUBLE_EQ(seconds_until_covered(customer, 5), 2);
   EXPECT_DOUBLE_EQ(seconds_until_covered(customer, 1), 0);
--- a/tests/policy/quota/quota_enforcement_test.cpp
+++ b/tests/policy/quota/quota_enforcement_test.cpp
@@ -80,7 +80,7 @@
       gateway.complete(now, attempt);
     }
     for (const AddToCounter& call : counter_calls(actions)) {
-      Total& total = totals.try_emplace(call.name, Total{now - kSecond, 0}).first->second;
+      Total& total = totals.try_emplace(call.key, Total{now - kSecond, 0}).first->second;
       total.added_here += call.amount;
       const double elsewhere = 12.0 * double(now - total.started_at) / double(kSecond);
       gateway.handle(now, {counter_total(call, total.added_here + elsewhere)});
--- a/tests/policy/quota/quota_error_test.cpp
+++ b/tests/policy/quota/quota_error_test.cpp
@@ -122,7 +122,7 @@
     ++calls_;
     counter_idle_at_ = std::max(counter_idle_at_, double(now)) + service_time_ * kSecond;
     const Micros duration = Micros(counter_idle_at_) - now + kMillisecond / 2;
-    double& total = totals_[call.name];
+    double& total = totals_[call.key];
     total += call.amount;
     const CounterReply reply = duration > kCounterTimeout
                                    ? counter_unanswered(call, kCounterTimeout)
--- a/tests/policy/quota/shared_pool_test.cpp
+++ b/tests/policy/quota/shared_pool_test.cpp
@@ -24,7 +24,7 @@
   const AddToCounter& last_call() const { return std::get<AddToCounter>(actions.back()); }
   std::optional<PoolReply> reply(Micros now, double total,
                                  CounterOutcome outcome = CounterOutcome::kOk) {
-    return ledger.on_reply(now, CounterReply{last_call().name, total, outcome, 1'000});
+    return ledger.on_reply(now, CounterReply{last_call().key, total, outcome, 1'000});
   }
 
   Settings settings;
@@ -39,7 +39,7 @@
 TEST_F(PoolLedgerTest, WhatLiesWithinThePoolIsReservedUntilItsWindowEnds) {
   ASSERT_TRUE(reserve(0, 4));
   EXPECT_EQ(last_call().amount, 4);
-  EXPECT_EQ(last_call().forget_after, 10 * kSecondUs);
+  EXPECT_EQ(last_call().time_to_live, 10 * kSecondUs);
   const std::optional<PoolReply> usable = reply(1'000, 9);
   ASSERT_TRUE(usable);
   EXPECT_TRUE(usable->is_usable);
@@ -79,9 +79,9 @@
   plan.ceiling_rate = 2;
   plan.ceiling_burst = 20;
   ASSERT_TRUE(reserve(0, 1));
-  const std::int64_t quota_name = last_call().name;
+  const std::int64_t quota_name = last_call().key;
   ASSERT_TRUE(ledger.reserve(0, customer, ceiling_pool(plan), 1, 0, actions));
-  EXPECT_NE(last_call().name, quota_name);
+  EXPECT_NE(last_call().key, quota_name);
 }
 
 }  // namespace
--- a/tests/support/endpoint_lists.cpp
+++ b/tests/support/endpoint_lists.cpp
@@ -32,7 +32,7 @@
   EndpointEntry entry;
   entry.server = "server-" + std::to_string(number) + ".site:8080";
   entry.zone = "zone-" + std::to_string(number % 7);
-  entry.kind = "standard";
+  entry.hardware_generation = "standard";
   entry.cell = number % 50;
   entry.state = state;
   return entry;
--- a/tests/support/gateway_harness.cpp
+++ b/tests/support/gateway_harness.cpp
@@ -97,7 +97,7 @@
 
 CounterReply counter_total(const AddToCounter& call, double total, Micros duration) {
   CounterReply reply;
-  reply.name = call.name;
+  reply.key = call.key;
   reply.total = total;
   reply.outcome = CounterOutcome::kOk;
   reply.duration = duration;
@@ -106,7 +106,7 @@
 
 CounterReply counter_unanswered(const AddToCounter& call, Micros duration) {
   CounterReply reply;
-  reply.name = call.name;
+  reply.key = call.key;
   reply.outcome = CounterOutcome::kUnknown;
   reply.duration = duration;
   return reply;
--- a/tests/support/quota_share_trial.cpp
+++ b/tests/support/quota_share_trial.cpp
@@ -61,11 +61,11 @@
     ++calls_;
     // Every total but the first counts from a second before its first call.
     const Micros started_at = now - (started_at_.empty() ? 0 : kSecond);
-    started_at_.try_emplace(call.name, started_at);
-    double& added_here = added_here_[call.name];
+    started_at_.try_emplace(call.key, started_at);
+    double& added_here = added_here_[call.key];
     added_here += call.amount;
     const double elsewhere =
-        load_.elsewhere_rate * double(now - started_at_[call.name]) / double(kSecond);
+        load_.elsewhere_rate * double(now - started_at_[call.key]) / double(kSecond);
     CounterReply reply = counter_total(call, added_here + elsewhere);
     if (now >= kStart + load_.fault_from * kSecond) {
       reply.outcome = load_.counter_fault;
--- a/tests/support/shared_counter_fleet.cpp
+++ b/tests/support/shared_counter_fleet.cpp
@@ -26,11 +26,11 @@
     perform(gateway, now, gateways_[gateway].complete(now, attempt));
   }
   for (const AddToCounter& call : counter_calls(actions)) {
-    totals_[call.name] += call.amount;
+    totals_[call.key] += call.amount;
     if (!counter_replies) {
       continue;
     }
-    CounterReply reply = counter_total(call, totals_[call.name]);
+    CounterReply reply = counter_total(call, totals_[call.key]);
     reply.outcome = counter_outcome;
     const Micros replied_at = now + kMillisecond;
     perform(gateway, replied_at, gateways_[gateway].handle(replied_at, {reply}));
