--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -17,10 +17,11 @@
 
 // Utilization of the endpoints, 0 to 1, below which requests beyond the quota may be admitted.
 constexpr double kMaxUtilizationForExcess = 0.25;
-// Seconds of the customer's demand in one reservation from the ceiling's pool, which saves calls.
+// A reservation from the ceiling pool covers at least this many seconds of the demand of the
+// customer through this gateway, limited to the quota rate, to save counter calls.
 constexpr double kReserveAheadSeconds = 0.5;
-// Seconds of the limit on counter calls that a reservation may overdraw. Reservations from the
-// ceiling's pool go first, for the ceiling is a hard rule.
+// Seconds of the counter call rate that a reservation may overdraw. Reservations from the ceiling
+// pool take precedence, because the ceiling is a hard limit.
 constexpr double kQuotaOverdraftSeconds = 0;
 constexpr double kCeilingOverdraftSeconds = 1;
 
@@ -50,19 +51,19 @@
       rejections_(rejections),
       pools_(quota.counter_limiter()) {}
 
-// Without this, a gateway that sees a customer seldom would never know a total in time. If the
-// ceiling does not admit the request, the call is left for a reservation from the ceiling's pool:
-// there may be only one to spare.
+// A gateway that rarely receives requests of a customer learns its first total in time only if the
+// request waits for it. If the ceiling does not admit the request, the demand is not reported now:
+// the call limit may allow only one call, which a reservation from the ceiling pool needs.
 bool Admission::waits_for_first_total(EventContext& context, Request& request) {
   CustomerState& customer = *request.customer;
   if (!rate_ceiling_.admits(context.now, customer, request.units)) {
     return false;
   }
   const bool first_total_is_pending = quota_.report_demand(context.now, customer, context.actions);
-  if (!first_total_is_pending || !may_wait(context.now, request)) {
+  if (!first_total_is_pending || !may_wait_for_counter(context.now, request)) {
     return false;
   }
-  wait(context, request, customer.total.waiting);
+  wait_for_counter(context, request, customer.total.waiting);
   return true;
 }
 
@@ -74,13 +75,14 @@
   const bool excess_admitted = is_excess_admitted(now, *customer.plan);
   const QuotaCheck quota = check_quota(context, request, excess_admitted);
   if (quota == QuotaCheck::kWaitForCounter) {
-    return wait(context, request, customer.quota_reservation.waiting);
+    return wait_for_counter(context, request, customer.quota_reservation.waiting);
   }
-  const bool within_quota = quota != QuotaCheck::kBeyond && is_within_concurrency_limit(customer);
+  const bool within_quota =
+      quota != QuotaCheck::kOverQuota && is_within_concurrency_limit(customer);
   const bool under_ceiling = rate_ceiling_.admits(now, customer, request.units);
   const bool passes_quota = within_quota || excess_admitted;
-  if (passes_quota && !under_ceiling && reserves_from_ceiling_pool(context, request)) {
-    return wait(context, request, customer.ceiling_reservation.waiting);
+  if (passes_quota && !under_ceiling && try_reserve_from_ceiling_pool(context, request)) {
+    return wait_for_counter(context, request, customer.ceiling_reservation.waiting);
   }
   if (!under_ceiling) {
     return reject_over_ceiling(context, request, within_quota);
@@ -118,11 +120,11 @@
     return check_shared_pool(context, request, excess_admitted);
   }
   return slice_covers(customer, request.quota_units) ? QuotaCheck::kWithinSlice
-                                                     : QuotaCheck::kBeyond;
+                                                     : QuotaCheck::kOverQuota;
 }
 
-// Sparse customers reserve units from the pool that all gateways share. A request has one chance to
-// do so.
+// Sparse customers reserve units from the pool that all gateways share. Each request may try one
+// reservation.
 Admission::QuotaCheck Admission::check_shared_pool(EventContext& context, Request& request,
                                                    bool excess_admitted) {
   const Micros now = context.now;
@@ -134,14 +136,14 @@
     return QuotaCheck::kReserved;
   }
   if (pool.exhausted(now, customer) || (may_reserve && !quota_.should_reserve(customer))) {
-    return QuotaCheck::kBeyond;
+    return QuotaCheck::kOverQuota;
   }
-  if (may_reserve && may_wait(now, request) &&
+  if (may_reserve && may_wait_for_counter(now, request) &&
       pools_.reserve(now, customer, pool, request.units, kQuotaOverdraftSeconds, context.actions)) {
     return QuotaCheck::kWaitForCounter;
   }
   return quota_.covers_without_reservation(customer, request.units) ? QuotaCheck::kWithinSlice
-                                                                    : QuotaCheck::kBeyond;
+                                                                    : QuotaCheck::kOverQuota;
 }
 
 void Admission::charge(Request& request, QuotaCheck quota) {
@@ -154,16 +156,17 @@
   }
 }
 
-// Plans that earn more beyond their quota than it costs use what endpoints have to spare.
+// Requests beyond the quota may use spare endpoint capacity if they earn more than they cost.
 bool Admission::is_excess_admitted(Micros now, const PlanSettings& plan) {
   return plan.over_quota_value > plan.over_quota_cost &&
          load_balancer_.utilization(now) < kMaxUtilizationForExcess;
 }
 
-// Whether a reservation is in flight that may let the request pass the ceiling.
-bool Admission::reserves_from_ceiling_pool(EventContext& context, const Request& request) {
+// Reserves units from the ceiling pool, which may let the request pass. Returns whether a
+// reservation is in flight to wait for.
+bool Admission::try_reserve_from_ceiling_pool(EventContext& context, const Request& request) {
   const Micros now = context.now;
-  if (!may_wait(now, request) || !settings_.has_counter) {
+  if (!may_wait_for_counter(now, request) || !settings_.has_counter) {
     return false;
   }
   CustomerState& customer = *request.customer;
@@ -173,15 +176,16 @@
                         kCeilingOverdraftSeconds, context.actions);
 }
 
-// For the counter: the time-out of one call at most, over all calls that a request waits for.
-bool Admission::may_wait(Micros now, const Request& request) const {
+// Whether the request may wait for the counter: all calls that it waits for together take at most
+// one call timeout, and another one must fit into the time that it has left.
+bool Admission::may_wait_for_counter(Micros now, const Request& request) const {
   const Micros time_left = request.give_up_at - now;
   return now - request.arrived_at < settings_.counter_timeout &&
          time_left > settings_.counter_timeout + 2 * settings_.clock_tick;
 }
 
-AdmissionDecision Admission::wait(EventContext& context, Request& request,
-                                  std::vector<std::string>& waiting_ids) {
+AdmissionDecision Admission::wait_for_counter(EventContext& context, Request& request,
+                                              std::vector<std::string>& waiting_ids) {
   request.waiting_for_counter = true;
   waiting_ids.push_back(request.id);
   const Micros decide_at = request.arrived_at + settings_.counter_timeout + settings_.clock_tick;
@@ -191,8 +195,8 @@
 
 AdmissionDecision Admission::reject_over_ceiling(EventContext& context, const Request& request,
                                                  bool within_quota) {
-  // Without this, a client whose quota is not spent would be advised to return at once, and the
-  // ceiling would reject it again.
+  // Retry-After must cover the ceiling as well as the quota: a client with unspent quota would
+  // otherwise be told to return immediately, and the ceiling would reject the request again.
   const Micros min_retry_after =
       rate_ceiling_.time_until_available(context.now, *request.customer, request.units);
   const RejectionReason reason =
--- a/src/policy/attempt_completion.cpp
+++ b/src/policy/attempt_completion.cpp
@@ -14,8 +14,8 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Of the expected response time. A connection that was reset sooner cost its endpoint next to
-// nothing.
+// Fraction of the expected response time. A connection that is reset before then has cost its
+// endpoint almost no work.
 constexpr double kMaxFreeResetFraction = 0.25;
 
 bool may_have_run(Outcome outcome) {
@@ -23,12 +23,13 @@
          outcome != Outcome::kNotSent;
 }
 
-// Whether the attempt cost its endpoint so little that a retry adds no load to speak of.
+// Whether a retry is free, that is, not charged to the retry budget: the attempt cost its endpoint
+// almost no work, or it was cancelled as stalled, which has been charged already.
 bool is_retry_free(const Request& request, const Attempt& attempt, const AttemptCompleted& event) {
-  const bool reset_at_once =
+  const bool reset_early =
       event.outcome == Outcome::kReset &&
       double(event.duration) < kMaxFreeResetFraction * request.expected_response_time;
-  return !attempt.may_have_run || attempt.cancelled_as_stalled || reset_at_once;
+  return !attempt.may_have_run || attempt.cancelled_as_stalled || reset_early;
 }
 
 }  // namespace
@@ -79,8 +80,8 @@
   const RequestClass& request_class = *request.request_class;
   const double mean = request_class.latency.mean();
   const Micros objective = std::max<Micros>(1, request_class.settings.latency_objective);
-  // The duration that the event states counts, not the clock: a gateway that was suspended finds
-  // completions that are old.
+  // Uses the duration in the event and not the clock: after the gateway process was suspended, it
+  // processes completions late.
   const auto duration = double(event.duration);
   const AttemptResult result{
       .outcome = event.outcome,
@@ -113,8 +114,9 @@
   if (sender_.send(context, request)) {
     return;
   }
-  // A request with an idempotency key that may have run has few endpoints to go to, which are often
-  // all at their limit. Without this it would be rejected while others are held.
+  // A request with an idempotency key that may have run can be retried only at the endpoints that
+  // recognise the key, which are few and often all at their limit. The request is then held, like
+  // other requests, instead of being rejected.
   const bool has_candidates =
       load_balancer_.any_available(context.now, [&](const Endpoint& candidate) {
         return retry_policy_.may_send_to(context.now, request, candidate);
--- a/src/policy/attempt_completion.hpp
+++ b/src/policy/attempt_completion.hpp
@@ -1,5 +1,6 @@
-// What follows when an attempt ends: the endpoint's health and the class's response times learn of
-// it, and the request is done, retried, held, or rejected. Owned by the gateway.
+// Handles the end of an attempt: reports the result to the load balancer and to the latency
+// estimator of the request class, then finishes, retries, holds, rejects or fails the request.
+// Owned by the gateway.
 #pragma once
 
 #include "policy/event_context.hpp"
@@ -22,9 +23,9 @@
                     RetryPolicy& retry_policy, AttemptSender& sender, HoldQueue& hold_queue,
                     RequestFinisher& finisher);
 
-  // An attempt of this request ended. Ignores attempts that the request never had and those that
-  // have ended before: returns false then. Leaves it to the caller to erase the request if that is
-  // done.
+  // Processes the end of an attempt of this request. Returns false and has no effect if the request
+  // has no such attempt or if the attempt has already ended. Does not erase the request; the caller
+  // erases it if it is no longer used.
   bool on_completed(EventContext& context, Request& request, const AttemptCompleted& event);
 
  private:
--- a/src/policy/attempt_sender.cpp
+++ b/src/policy/attempt_sender.cpp
@@ -12,8 +12,8 @@
 namespace quota_gateway::policy {
 namespace {
 
-constexpr double kStalledCheckDelay = 7;  // expected response times
-// us. Fast endpoints pause for longer than a few of their response times.
+constexpr double kStalledCheckDelayFactor = 7;  // times the expected response time
+// us. Fast endpoints pause for longer than a few of their response times without having stalled.
 constexpr Micros kMinStalledCheckDelay = 50'000;
 
 }  // namespace
@@ -89,15 +89,16 @@
 
 void AttemptSender::schedule_stalled_check(EventContext& context, const Request& request,
                                            int attempt_index) {
-  const Micros delay =
-      std::max(Micros(kStalledCheckDelay * request.expected_response_time), kMinStalledCheckDelay);
+  const Micros delay = std::max(Micros(kStalledCheckDelayFactor * request.expected_response_time),
+                                kMinStalledCheckDelay);
   const Micros check_at = context.now + delay;
   if (check_at < request.give_up_at) {
     timers_.arm(context, request, StalledAttemptCheck{attempt_index}, check_at);
   }
 }
 
-// An endpoint that has answered others since then is not stalled; the request is only a heavy one.
+// An endpoint that has answered other requests since the attempt was sent has not stalled; this
+// request merely takes long.
 bool AttemptSender::may_cancel_stalled(const Request& request, const Attempt& attempt) const {
   return RetryPolicy::is_repeatable(*request.request_class) && retry_policy_.can_afford_retry() &&
          settings_.cancellation_allowed && attempt.endpoint->last_progress_at <= attempt.sent_at;
--- a/src/policy/attempt_sender.hpp
+++ b/src/policy/attempt_sender.hpp
@@ -1,5 +1,5 @@
-// Sends attempts to endpoints and watches those in flight: cancels one whose endpoint has stalled.
-// Owned by the gateway; the hold queue and the completion of attempts send through it.
+// Sends attempts to endpoints and cancels attempts at endpoints that have stalled. Owned by the
+// gateway; the hold queue and the attempt completion send through it.
 #pragma once
 
 #include "policy/event_context.hpp"
@@ -19,15 +19,17 @@
   AttemptSender(const Settings& settings, RetryPolicy& retry_policy, RateCeiling& rate_ceiling,
                 LoadBalancer& load_balancer, TimerTable& timers);
 
-  // Sends the next attempt of a request if it may have one, the ceiling admits it and an endpoint
-  // has capacity. Returns whether it was sent.
+  // Sends the next attempt of a request if the request has attempts and time left, an endpoint has
+  // capacity and, for a first attempt, the rate ceiling admits it. Returns whether an attempt was
+  // sent.
   bool send(EventContext& context, Request& request);
 
-  // The endpoint has all of the request's body now.
+  // Records that the endpoint has received the complete request body; from then on the attempt
+  // counts as in flight there.
   void on_written(EventContext& context, Request& request, int attempt_index);
 
-  // The attempt takes long. Cancels it if its endpoint has answered nothing since it was sent,
-  // otherwise checks again later.
+  // Handles an attempt that takes long: cancels it if its endpoint has made no progress since the
+  // attempt was sent and a retry is allowed, otherwise schedules another check.
   void check_stalled(EventContext& context, Request& request, int attempt_index);
 
  private:
--- a/src/policy/event_context.hpp
+++ b/src/policy/event_context.hpp
@@ -1,5 +1,6 @@
-// The batch of events at hand, as every policy module sees it: when it happened and where the
-// decisions go. The gateway makes one per batch; modules take it by reference and never keep it.
+// The batch of events in progress, as the policy modules see it: its time and the list of actions
+// that they append to. The gateway creates one per batch; modules take it by reference and do not
+// store it.
 #pragma once
 
 #include <utility>
@@ -10,8 +11,8 @@
 namespace quota_gateway::policy {
 
 struct EventContext {
-  Micros now;                    // us; the instant of the batch
-  std::vector<Action>& actions;  // in the order in which they are to be carried out
+  Micros now;                    // time of the batch
+  std::vector<Action>& actions;  // in order of execution
 
   void emit(Action action) { actions.push_back(std::move(action)); }
 };
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -1,5 +1,5 @@
-// The gateway: dispatches events to the policy modules, which decide, and owns the state that they
-// share. Everything that is decided is in the modules.
+// Implements the gateway: dispatches events to the policy modules and owns the state that they
+// share. The modules make all decisions.
 #include "quota_gateway/gateway.hpp"
 
 #include <algorithm>
@@ -42,18 +42,18 @@
  private:
   static Settings sanitized(Settings settings);
 
-  void on(EventContext& context, const EndpointListUpdate& event);
-  void on(EventContext& context, const RequestArrived& event);
-  void on(EventContext& context, const StreamStarted& event);
-  void on(EventContext& context, const AttemptWritten& event);
-  void on(EventContext& context, const AttemptCompleted& event);
-  void on(EventContext& context, const ResponseAborted& event);
-  void on(EventContext& context, const ClientDisconnected& event);
-  void on(EventContext& context, const TimerFired& event);
-  void on(EventContext& context, const HealthCheckCompleted& event);
-  void on(EventContext& context, const CounterReply& event);
-  void on(EventContext& context, const PeerProcessesChanged& event);
-  void on(EventContext& context, const SettingsChanged& event);
+  void on_event(EventContext& context, const EndpointListUpdate& event);
+  void on_event(EventContext& context, const RequestArrived& event);
+  void on_event(EventContext& context, const StreamStarted& event);
+  void on_event(EventContext& context, const AttemptWritten& event);
+  void on_event(EventContext& context, const AttemptCompleted& event);
+  void on_event(EventContext& context, const ResponseAborted& event);
+  void on_event(EventContext& context, const ClientDisconnected& event);
+  void on_event(EventContext& context, const TimerFired& event);
+  void on_event(EventContext& context, const HealthCheckCompleted& event);
+  void on_event(EventContext& context, const CounterReply& event);
+  void on_event(EventContext& context, const PeerProcessesChanged& event);
+  void on_event(EventContext& context, const SettingsChanged& event);
 
   void on_timer(EventContext& context, Request& request, const StalledAttemptCheck& check);
   void on_timer(EventContext& context, Request& request, const CounterWaitTimeout& timeout);
@@ -80,7 +80,7 @@
   RequestFinisher finisher_;
   HoldQueue hold_queue_;
   AttemptCompletion completion_;
-  std::optional<Micros> next_period_at_;  // none before the first batch
+  std::optional<Micros> next_period_at_;  // empty before the first batch
 };
 
 Gateway::Impl::Impl(Settings settings, std::uint64_t seed)
@@ -108,21 +108,21 @@
 void Gateway::Impl::handle(Micros now, const std::vector<Event>& events,
                            std::vector<Action>& actions) {
   EventContext context{now, actions};
-  if (!next_period_at_) {  // each gateway's period starts at a time of its own
+  if (!next_period_at_) {  // the seed staggers the periods of the gateways
     next_period_at_ = now + 1 + Micros(mix(seed_) % std::uint64_t(kUpdatePeriod));
     context.emit(SetTimer{*next_period_at_, TimerTable::kPeriodicToken});
   }
   for (const Event& event : events) {
-    std::visit([&](const auto& typed_event) { on(context, typed_event); }, event);
+    std::visit([&](const auto& typed_event) { on_event(context, typed_event); }, event);
   }
   hold_queue_.dispatch_ready(context);
 }
 
-void Gateway::Impl::on(EventContext& context, const EndpointListUpdate& event) {
+void Gateway::Impl::on_event(EventContext& context, const EndpointListUpdate& event) {
   load_balancer_.update_endpoints(context.now, event);
 }
 
-void Gateway::Impl::on(EventContext& context, const RequestArrived& event) {
+void Gateway::Impl::on_event(EventContext& context, const RequestArrived& event) {
   rejection_stats_.counts().on_request();
   Request& request = intake_.create(context.now, event);
   if (!admission_.waits_for_first_total(context, request)) {
@@ -130,38 +130,38 @@
   }
 }
 
-void Gateway::Impl::on(EventContext&, const StreamStarted& event) {
+void Gateway::Impl::on_event(EventContext&, const StreamStarted& event) {
   if (Request* request = requests_.find(event.id)) {
-    request->done = true;  // the response is on its way to the client
+    request->done = true;  // the response is being streamed to the client
   }
 }
 
-void Gateway::Impl::on(EventContext& context, const AttemptWritten& event) {
+void Gateway::Impl::on_event(EventContext& context, const AttemptWritten& event) {
   if (Request* request = requests_.find(event.id)) {
     sender_.on_written(context, *request, event.attempt);
   }
 }
 
-void Gateway::Impl::on(EventContext& context, const AttemptCompleted& event) {
+void Gateway::Impl::on_event(EventContext& context, const AttemptCompleted& event) {
   Request* const request = requests_.find(event.id);
   if (request && completion_.on_completed(context, *request, event)) {
     requests_.erase_if_unused(*request);
   }
 }
 
-void Gateway::Impl::on(EventContext& context, const ResponseAborted& event) {
+void Gateway::Impl::on_event(EventContext& context, const ResponseAborted& event) {
   if (load_balancer_.on_response_aborted(context.now, event.server)) {
     log_.log(context, LogKind::kEndpoint, event.server + " ejected as an outlier");
   }
 }
 
-void Gateway::Impl::on(EventContext& context, const ClientDisconnected& event) {
+void Gateway::Impl::on_event(EventContext& context, const ClientDisconnected& event) {
   if (Request* request = requests_.find(event.id)) {
     finisher_.finish_and_erase(context, *request);
   }
 }
 
-void Gateway::Impl::on(EventContext& context, const TimerFired& event) {
+void Gateway::Impl::on_event(EventContext& context, const TimerFired& event) {
   if (event.token == TimerTable::kPeriodicToken) {
     on_period(context);
     return;
@@ -177,9 +177,9 @@
   std::visit([&](const auto& purpose) { on_timer(context, *request, purpose); }, timer->purpose);
 }
 
-void Gateway::Impl::on(EventContext&, const HealthCheckCompleted&) {}
+void Gateway::Impl::on_event(EventContext&, const HealthCheckCompleted&) {}
 
-void Gateway::Impl::on(EventContext& context, const CounterReply& event) {
+void Gateway::Impl::on_event(EventContext& context, const CounterReply& event) {
   for (const std::string& id : admission_.on_counter_reply(context.now, event)) {
     Request* const request = requests_.find(id);
     if (request && request->waiting_for_counter) {
@@ -187,18 +187,18 @@
     }
   }
   if (event.outcome != CounterOutcome::kOk) {
-    log_.log(context, LogKind::kCounter, "a call failed; cached totals are used");
+    log_.log(context, LogKind::kCounter, "call failed; continuing with the last known totals");
   }
 }
 
-void Gateway::Impl::on(EventContext& context, const PeerProcessesChanged& event) {
+void Gateway::Impl::on_event(EventContext& context, const PeerProcessesChanged& event) {
   const int processes = 1 + event.peer_count;
   quota_.refill_ceilings(context.now, rate_ceiling_);
   quota_.set_process_count(context.now, processes);
   load_balancer_.set_process_count(processes);
 }
 
-void Gateway::Impl::on(EventContext& context, const SettingsChanged& event) {
+void Gateway::Impl::on_event(EventContext& context, const SettingsChanged& event) {
   quota_.refill_ceilings(context.now, rate_ceiling_);
   settings_ = sanitized(event.settings);
   registry_.update(settings_);
@@ -218,14 +218,14 @@
 }
 
 void Gateway::Impl::on_timer(EventContext&, Request&, const HoldTimeout&) {
-  // The hold queue is served after every batch.
+  // handle() dispatches the hold queue after every batch.
 }
 
 void Gateway::Impl::on_period(EventContext& context) {
   load_balancer_.on_period(context.now);
   quota_.on_period(context.now, context.actions);
   log_rejections(context);
-  // After a late batch, the periods that were missed are skipped.
+  // Periods missed because of a late batch are skipped.
   next_period_at_ = std::max(*next_period_at_ + kUpdatePeriod, context.now);
   context.emit(SetTimer{*next_period_at_, TimerTable::kPeriodicToken});
 }
@@ -245,7 +245,7 @@
 
 void Gateway::Impl::log_rejections(EventContext& context) {
   const auto counts = rejection_stats_.take_if_due(context.now);
-  if (counts && counts->any()) {
+  if (counts && counts->has_rejections()) {
     log_.log(context, LogKind::kRejections,
              concat(counts->text(), "; ", format_quota_stats(quota_.take_stats(context.now)), "; ",
                     load_balancer_.describe_state(context.now)));
--- a/src/policy/hold_queue.cpp
+++ b/src/policy/hold_queue.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 constexpr double kMaxHoldFraction = 0.25;  // of the latency objective
-constexpr double kMinTimeLeft = 1.5;       // expected response times, when a held request is sent
+// Expected response times that are left when a held request is sent.
+constexpr double kMinTimeLeftFactor = 1.5;
 
 }  // namespace
 
@@ -29,10 +30,11 @@
       finisher_(finisher) {}
 
 void HoldQueue::send_or_hold(EventContext& context, Request& request) {
-  // Capacity grows with time. Without this, the first request to arrive after an idle moment would
-  // take it from held ones of higher priority.
-  const bool others_first = !request.over_quota && !request_ids_.empty();
-  if (!others_first && sender_.send(context, request)) {
+  // Capacity becomes available over time. While requests are held, a new request joins the queue:
+  // sent directly, the first one to arrive after an idle moment would take the capacity from held
+  // requests of higher priority.
+  const bool held_requests_first = !request.over_quota && !request_ids_.empty();
+  if (!held_requests_first && sender_.send(context, request)) {
     return;
   }
   if (!request.over_quota) {
@@ -60,15 +62,16 @@
     return;
   }
   std::vector<std::string> still_held;
-  double work_ahead = 0;  // us; expected response times of the requests that stay in the queue
+  double work_ahead = 0;  // us; sum of the expected response times of the requests still held
   for (const std::string& id : request_ids_) {
     Request& request = requests_.at(id);
     request.held = false;
     if (!request.done && !sender_.send(context, request)) {
-      // Without this, a request behind more of them than will be sent in its time would be held in
-      // vain: it is rejected at once.
-      const double turn_at = double(context.now) + work_ahead / load_balancer_.in_flight_limit();
-      if (turn_at < double(request.hold_until)) {
+      // Rejects the request now if the requests ahead of it are expected to take longer than its
+      // remaining hold time; holding it would be in vain.
+      const double expected_send_at =
+          double(context.now) + work_ahead / load_balancer_.in_flight_limit();
+      if (expected_send_at < double(request.hold_until)) {
         work_ahead += request.expected_response_time;
         request.held = true;
         still_held.push_back(id);
@@ -83,9 +86,11 @@
 
 Micros HoldQueue::hold_until(Micros now, const Request& request) const {
   const Micros time_left =
-      std::max(settings_.clock_tick, Micros(kMinTimeLeft * request.expected_response_time));
+      std::max(settings_.clock_tick, Micros(kMinTimeLeftFactor * request.expected_response_time));
   const Micros objective = request.request_class->settings.latency_objective;
   const auto max_hold = Micros(kMaxHoldFraction * double(objective));
+  // The hold time of a first attempt counts from the arrival of the request, that of a retry from
+  // now.
   const Micros held_since = request.is_first_attempt() ? request.arrived_at : now;
   return std::min(request.give_up_at - time_left, held_since + max_hold);
 }
--- a/src/policy/hold_queue.hpp
+++ b/src/policy/hold_queue.hpp
@@ -1,6 +1,7 @@
-// Requests within their quota that found no endpoint with capacity. They are held for a fraction of
-// their latency objective, and those of the highest priority are sent first. Owned by the gateway,
-// which serves the queue after every batch of events.
+// Queue of requests for which no endpoint had capacity. A request is held for at most a fraction of
+// its latency objective, and requests are sent in descending order of priority. New requests beyond
+// their quota are rejected instead of held. Owned by the gateway, which dispatches the queue after
+// every batch of events.
 #pragma once
 
 #include <string>
@@ -25,15 +26,15 @@
   HoldQueue(const Settings& settings, RequestTable& requests, TimerTable& timers, LogLimiter& log,
             LoadBalancer& load_balancer, AttemptSender& sender, RequestFinisher& finisher);
 
-  // Sends a request that was admitted. If that is not possible now, it is held if it is within its
-  // quota and rejected otherwise.
+  // Sends an admitted request. If it cannot be sent now, holds it if it is within its quota, and
+  // rejects it otherwise.
   void send_or_hold(EventContext& context, Request& request);
 
-  // Holds a request that is not held yet.
+  // Adds a request that is not in the queue.
   void enqueue(EventContext& context, Request& request);
 
-  // Sends what endpoints have capacity for by now, and rejects what they will have none for in
-  // time.
+  // Sends the held requests for which endpoints now have capacity, and rejects those that are not
+  // expected to be sent before their hold time ends.
   void dispatch_ready(EventContext& context);
 
  private:
@@ -46,7 +47,7 @@
   LoadBalancer& load_balancer_;
   AttemptSender& sender_;
   RequestFinisher& finisher_;
-  std::vector<std::string> request_ids_;  // highest priority first
+  std::vector<std::string> request_ids_;  // in descending order of priority
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/latency_estimator.cpp
+++ b/src/policy/latency_estimator.cpp
@@ -5,9 +5,9 @@
 namespace quota_gateway::policy {
 namespace {
 
-constexpr double kSmoothing = 0.02;      // weight of the newest sample in a running mean
-constexpr double kGuessSamples = 4;      // successes that the first guess counts for
-constexpr double kObjectiveToGuess = 6;  // the objective over the first guess
+constexpr double kSmoothing = 0.02;         // minimum weight of the newest sample in a running mean
+constexpr double kInitialGuessWeight = 4;   // successes that the initial guess counts as
+constexpr double kInitialGuessDivisor = 6;  // of the latency objective
 
 }  // namespace
 
@@ -25,17 +25,17 @@
 
 void LatencyEstimator::on_success(Micros duration) {
   ++successes_;
-  const double gain = std::max(kSmoothing, 1 / (kGuessSamples + successes_));
+  const double gain = std::max(kSmoothing, 1 / (kInitialGuessWeight + successes_));
   measured_mean_ = mean() + gain * (double(duration) - mean());
 }
 
 double LatencyEstimator::mean() const {
-  return measured_mean_ > 0 ? measured_mean_ : double(latency_objective_) / kObjectiveToGuess;
+  return measured_mean_ > 0 ? measured_mean_ : double(latency_objective_) / kInitialGuessDivisor;
 }
 
 double LatencyEstimator::expected(double units) const {
-  const bool sized = mean_units_ > 0 && units > 0;
-  return mean() * (sized ? units / mean_units_ : 1.0);
+  const bool has_known_size = mean_units_ > 0 && units > 0;
+  return mean() * (has_known_size ? units / mean_units_ : 1.0);
 }
 
 }  // namespace quota_gateway::policy
--- a/src/policy/log_limiter.hpp
+++ b/src/policy/log_limiter.hpp
@@ -1,5 +1,5 @@
-// Log lines at a bounded rate: one of each kind every five seconds, the others are dropped. Owned
-// by the gateway, used by every module that logs.
+// Limits log lines to one of each kind every five seconds and drops the others. Owned by the
+// gateway and used by every module that logs.
 #pragma once
 
 #include <array>
@@ -11,14 +11,14 @@
 
 namespace quota_gateway::policy {
 
-// The first word of a log line.
+// Kind of a log line, which determines its prefix.
 enum class LogKind { kEndpoint, kCounter, kCapacity, kRejections };
 
 class LogLimiter {
  public:
-  static constexpr Micros kInterval = 5'000'000;  // us between lines of one kind
+  static constexpr Micros kInterval = 5'000'000;  // us; minimum between two lines of one kind
 
-  // Emits the line "KIND: text", unless one of this kind was emitted less than kInterval ago.
+  // Emits the line "KIND: text", unless a line of this kind was emitted less than kInterval ago.
   void log(EventContext& context, LogKind kind, std::string_view text);
 
  private:
--- a/src/policy/rejection_stats.cpp
+++ b/src/policy/rejection_stats.cpp
@@ -7,7 +7,7 @@
 
 namespace quota_gateway::policy {
 
-bool RejectionCounts::any() const {
+bool RejectionCounts::has_rejections() const {
   return over_quota() + over_ceiling() + count(RejectionReason::kNoEndpointCapacity) > 0;
 }
 
--- a/src/policy/rejection_stats.hpp
+++ b/src/policy/rejection_stats.hpp
@@ -1,5 +1,6 @@
-// Requests that were rejected, counted by reason for the log. Owned by the gateway; admission and
-// the request finisher count, the gateway reports now and then. Decides nothing.
+// Counts rejected requests by reason, for the log. Owned by the gateway: admission and the request
+// finisher record rejections, and the gateway logs the counts periodically. No decision depends on
+// them.
 #pragma once
 
 #include <array>
@@ -11,24 +12,26 @@
 
 namespace quota_gateway::policy {
 
+// Why a request was rejected.
 enum class RejectionReason {
-  kOverQuota,                   // beyond this gateway's slice of the quota
-  kOverQuotaTotalUnknown,       // the same, while no total was known from the counter
-  kOverQuotaDemandWithinQuota,  // the same, though the measured demand is within the quota
-  kOverCeiling,                 // the quota is spent as well
-  kOverCeilingWithinQuota,      // the quota alone would have admitted it
-  kNoEndpointCapacity,          // no endpoint could take it in time
+  kOverQuota,                   // not covered by this gateway's slice of the quota
+  kOverQuotaTotalUnknown,       // the same, before any counter total was known
+  kOverQuotaDemandWithinQuota,  // the same, although the measured demand is below the quota
+  kOverCeiling,                 // over the ceiling and over the quota
+  kOverCeilingWithinQuota,      // over the ceiling only
+  kNoEndpointCapacity,          // no endpoint could serve it in time
 };
 
+// Numbers of arrived and of rejected requests.
 class RejectionCounts {
  public:
   void on_request() { ++requests_; }
   void on_rejected(RejectionReason reason) { ++counts_[std::size_t(reason)]; }
 
-  // Whether anything was rejected.
-  bool any() const;
+  // Whether any request was rejected.
+  bool has_rejections() const;
 
-  // One line for the log.
+  // The counts as text for a log line.
   std::string text() const;
 
  private:
@@ -38,16 +41,17 @@
   int over_quota() const;
   int over_ceiling() const;
 
-  int requests_ = 0;  // that arrived, rejected or not
+  int requests_ = 0;  // all arrivals, rejected or not
   std::array<int, kReasons> counts_{};
 };
 
-// The counts since the last report.
+// Accumulates the counts since the last report.
 class RejectionStats {
  public:
   RejectionCounts& counts() { return counts_; }
 
-  // Takes the counts for a report, and starts anew, if the last report is long enough ago.
+  // Returns the counts and resets them if the last report is at least LogLimiter::kInterval ago;
+  // otherwise returns nothing.
   std::optional<RejectionCounts> take_if_due(Micros now);
 
  private:
--- a/src/policy/request.hpp
+++ b/src/policy/request.hpp
@@ -1,5 +1,5 @@
-// What the gateway knows of an open request and of the attempts made for it. Requests live in the
-// RequestTable; the policy modules change their fields, each only those of its own concern.
+// Open requests and the attempts made for them. The RequestTable owns the requests; each policy
+// module writes only the fields that it is responsible for.
 #pragma once
 
 #include <memory>
@@ -15,27 +15,28 @@
 
 struct Endpoint;
 
-// One class of requests. Open requests share the class that they arrived with: a class whose
-// settings change is a new object.
+// A request class. Open requests keep the class with which they arrived, since a settings change
+// replaces the object instead of changing it.
 struct RequestClass {
   ClassSettings settings;
   LatencyEstimator latency{settings.latency_objective};
 };
 
-// One attempt to have a request answered by an endpoint.
+// One attempt to have an endpoint answer a request.
 struct Attempt {
   Endpoint* endpoint = nullptr;
   Micros sent_at = 0;
   bool in_flight = true;
   bool may_have_run = true;
-  // The endpoint has all of the request. A long body that still arrives slowly occupies nothing
-  // there.
+  // The endpoint has received the complete request. While a long body is still arriving there, the
+  // attempt occupies no capacity and does not count as in flight.
   bool fully_written = true;
   bool cancelled_as_stalled = false;  // by this gateway
 };
 
+// A request that has arrived and is not yet erased from the RequestTable.
 struct Request {
-  // Whether the next attempt is the first.
+  // Whether the next attempt is the first one.
   bool is_first_attempt() const { return attempts.empty(); }
 
   std::string id;
@@ -44,23 +45,24 @@
   int max_attempts = 1;
 
   double units = 1;
-  // Charged to the quota: units, or attempt-seconds under a limit on concurrent attempts.
+  // Units to charge to the quota: `units`, or the expected attempt-seconds if the plan limits
+  // concurrent attempts instead of a rate.
   double quota_units = 1;
   double expected_response_time = 0;  // us
-  double priority = 1;                // value per us of expected work; the highest is sent first
+  double priority = 1;                // value per us of expected response time; highest first
 
   Micros arrived_at = 0;
-  Micros give_up_at = 0;  // an answer after this earns nothing
-  Micros hold_until = 0;  // while held: when it is rejected if no endpoint had capacity
+  Micros give_up_at = 0;  // a response after this time has no value
+  Micros hold_until = 0;  // while held: rejected at this time if no endpoint has had capacity
 
-  bool over_quota = false;           // as far as this gateway can tell
+  bool over_quota = false;           // as estimated by this gateway
   bool body_pending = false;         // the client is still sending a long body
-  bool waiting_for_counter = false;  // not decided yet
-  bool reservation_tried = false;    // it had its one chance to reserve units from the shared pool
-  bool held = false;                 // its id is in the hold queue
-  bool done = false;                 // has its final answer, or needs none
+  bool waiting_for_counter = false;  // no admission decision yet
+  bool reservation_tried = false;    // its only try at a shared pool reservation is used
+  bool held = false;                 // in the hold queue
+  bool done = false;                 // has its final response, or needs none
 
-  std::optional<BudgetSource> charged_to;  // where its quota_units were charged, if they were
+  std::optional<BudgetSource> charged_to;  // empty if quota_units are not charged
   std::vector<Attempt> attempts;
   int attempts_in_flight = 0;
 };
--- a/src/policy/request_finisher.hpp
+++ b/src/policy/request_finisher.hpp
@@ -1,5 +1,5 @@
-// Ends requests: the final reply of those that no endpoint will answer, cancellation of attempts
-// that are no longer needed, and units of the quota that were never used. Owned by the gateway.
+// Ends requests: emits the final response of requests that no endpoint answers, cancels attempts
+// that are no longer needed and refunds unused quota units. Owned by the gateway.
 #pragma once
 
 #include "policy/event_context.hpp"
@@ -16,15 +16,17 @@
   // All references must outlive this object.
   RequestFinisher(const Settings& settings, RejectionCounts& rejections, RequestTable& requests);
 
-  // The one final reply of a request that no endpoint will answer: rejected if it had no effect or
-  // may be sent again, failed otherwise. Does nothing if the request is done.
+  // Emits the final response of a request that no endpoint will answer: a rejection if the request
+  // had no effect or may be sent again, a failure otherwise. Does nothing if the request is done.
   void reject_or_fail(EventContext& context, Request& request);
 
-  // The request has its final reply, or its client is gone. Cancels its attempts where that is
-  // allowed, and leaves it in the table.
+  // Marks a request as done because it has its final response or its client has disconnected.
+  // Refunds its quota units if it was never sent, and cancels its attempts in flight where that is
+  // allowed. The request stays in the table.
   void finish(EventContext& context, Request& request) const;
 
-  // The same, and erases it from the table unless an attempt or the hold queue still needs it.
+  // Calls finish() and erases the request from the table, unless an attempt in flight or the hold
+  // queue still refers to it.
   void finish_and_erase(EventContext& context, Request& request);
 
  private:
--- a/src/policy/request_intake.hpp
+++ b/src/policy/request_intake.hpp
@@ -1,5 +1,5 @@
-// Turns an arrival into an open request: looks up its class, plan and customer, records its demand,
-// and estimates its size and priority. Owned by the gateway.
+// Creates an open request from an arrival: looks up its class, plan and customer, records its
+// demand, and estimates its response time and priority. Owned by the gateway.
 #pragma once
 
 #include "policy/request.hpp"
@@ -17,7 +17,7 @@
   RequestIntake(const Settings& settings, SettingsRegistry& registry, QuotaAllocator& quota,
                 RequestTable& requests);
 
-  // The new open request; nothing is decided about it yet.
+  // Adds the request to the table and returns it, without an admission decision.
   Request& create(Micros now, const RequestArrived& event);
 
  private:
--- a/src/policy/request_table.hpp
+++ b/src/policy/request_table.hpp
@@ -1,5 +1,5 @@
-// All open requests, by id. Owned by the gateway; a request stays until it is done and nothing
-// points to it any more.
+// Table of all open requests by id. Owned by the gateway. A request stays in the table until it is
+// done and neither an attempt in flight nor the hold queue refers to it.
 #pragma once
 
 #include <string>
@@ -11,21 +11,22 @@
 
 class RequestTable {
  public:
-  // The request of this id, a new one if there is none. References stay valid until it is erased.
+  // Returns the request with this id and creates it if there is none. The reference stays valid
+  // until the request is erased.
   Request& find_or_create(const std::string& id);
 
-  // Null if no such request is open.
+  // Returns null if no request with this id is open.
   Request* find(const std::string& id);
 
-  // The request of an id that is known to be open; throws std::out_of_range otherwise.
+  // Returns the open request with this id; throws std::out_of_range if there is none.
   Request& at(const std::string& id);
 
-  // Erases the request, and the reference with it, if it is done, has no attempt in flight and is
-  // not in the hold queue.
+  // Erases the request, which invalidates the reference, if it is done, has no attempt in flight
+  // and is not in the hold queue.
   void erase_if_unused(const Request& request);
 
  private:
-  std::unordered_map<std::string, Request> requests_;  // looked up by id, never walked
+  std::unordered_map<std::string, Request> requests_;  // accessed by id, never iterated
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -9,8 +9,8 @@
 
 constexpr double kRetriesPerFirstAttempt = 0.1;
 
-// Whether the two share the memory of idempotency keys.
-bool shares_dedup_memory(DedupScope scope, const EndpointEntry& first,
+// Whether the endpoints recognise the same idempotency keys.
+bool in_same_dedup_scope(DedupScope scope, const EndpointEntry& first,
                          const EndpointEntry& second) {
   switch (scope) {
     case DedupScope::kAll:
@@ -35,7 +35,7 @@
   const ClassSettings& settings = request_class.settings;
   for (const Attempt& attempt : request.attempts) {
     if (attempt.endpoint == &endpoint) {
-      return false;  // what failed there once may fail there again
+      return false;  // the request may fail there again
     }
     if (!attempt.may_have_run || settings.idempotency == Idempotency::kIdempotent) {
       continue;
@@ -43,7 +43,7 @@
     if (settings.idempotency == Idempotency::kNonIdempotent) {
       return false;
     }
-    if (!shares_dedup_memory(settings.dedup_scope, endpoint.entry, attempt.endpoint->entry) ||
+    if (!in_same_dedup_scope(settings.dedup_scope, endpoint.entry, attempt.endpoint->entry) ||
         !dedup_window_covers(now, request_class, attempt)) {
       return false;
     }
@@ -74,8 +74,8 @@
 
 bool RetryPolicy::dedup_window_covers(Micros now, const RequestClass& request_class,
                                       const Attempt& attempt) const {
-  const Micros usable_window =
-      request_class.settings.dedup_window - 2 * settings_.clock_tick;  // both ends are rounded
+  // The clock rounds both ends of the interval.
+  const Micros usable_window = request_class.settings.dedup_window - 2 * settings_.clock_tick;
   return now - attempt.sent_at < usable_window;
 }
 
--- a/src/policy/settings_registry.hpp
+++ b/src/policy/settings_registry.hpp
@@ -1,5 +1,5 @@
-// The request classes and plans that the settings name, at addresses that customers and open
-// requests may keep. Owned by the gateway, which updates it whenever settings change.
+// Holds the request classes and plans of the settings, at stable addresses that open requests and
+// customers may refer to. Owned by the gateway, which updates it whenever the settings change.
 #pragma once
 
 #include <map>
@@ -13,20 +13,22 @@
 
 class SettingsRegistry {
  public:
-  // A plan changes in place, also for the customers that have it. A class becomes another object
-  // with the measurements of the old one: requests that are open keep the class they came with.
+  // Applies new settings. A plan is updated in place and thus changes for its customers. A class is
+  // replaced by a new object that takes over the latency measurements, so that open requests keep
+  // the class with which they arrived.
   void update(const Settings& settings);
 
-  // The class of this name; one with default settings if the settings have none.
+  // Returns the class with this name, or a class with default settings if the settings do not
+  // define it.
   const std::shared_ptr<RequestClass>& request_class(const std::string& name) const;
 
-  // The plan of this name; one without any quota if the settings have none.
+  // Returns the plan with this name, or a plan without a quota if the settings do not define it.
   const PlanSettings& plan(const std::string& name);
 
  private:
   const std::shared_ptr<RequestClass> unknown_class_ = std::make_shared<RequestClass>();
   std::map<std::string, std::shared_ptr<RequestClass>> classes_;
-  std::map<std::string, PlanSettings> plans_;  // never erased, for customers point to them
+  std::map<std::string, PlanSettings> plans_;  // never erased, because customers refer to them
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/timer_table.hpp
+++ b/src/policy/timer_table.hpp
@@ -1,5 +1,5 @@
-// Timers that belong to a request: which request, and what to do when they fire. Owned by the
-// gateway; modules arm them, and the gateway's dispatch extracts those that fired.
+// Timers of requests: which request a timer belongs to, and what to do when it fires. Owned by the
+// gateway; modules arm timers, and the gateway extracts each timer that fires.
 #pragma once
 
 #include <cstdint>
@@ -17,17 +17,17 @@
 struct StalledAttemptCheck {
   int attempt;  // index in Request::attempts
 };
-// The counter has not answered in time: decide with what is known.
+// The counter has not replied in time: decide the request without the reply.
 struct CounterWaitTimeout {};
-// The request has been held for as long as it may be. Nothing to do but to wake the gateway, which
-// serves the hold queue after every batch.
+// The request has reached its maximum hold time. The timer only makes the gateway process a batch,
+// after which it dispatches the hold queue.
 struct HoldTimeout {};
 
 using TimerPurpose = std::variant<StalledAttemptCheck, CounterWaitTimeout, HoldTimeout>;
 
 class TimerTable {
  public:
-  // The token of the gateway's own periodic timer, which is no request's.
+  // Token of the periodic timer of the gateway, which belongs to no request.
   static constexpr std::int64_t kPeriodicToken = 0;
 
   struct Timer {
@@ -35,10 +35,10 @@
     TimerPurpose purpose;
   };
 
-  // Emits the timer; it fires at the instant `fire_at`, us.
+  // Registers a timer and emits the action that sets it to fire at the time `fire_at`.
   void arm(EventContext& context, const Request& request, TimerPurpose purpose, Micros fire_at);
 
-  // Takes out the timer that fired; nothing if the token belongs to none.
+  // Removes and returns the timer with this token; returns nothing if there is none.
   std::optional<Timer> extract(std::int64_t token);
 
  private:
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -1,5 +1,4 @@
-// The decision module as a whole: input that is late or wrong, what it logs, and that it is
-// deterministic.
+// Tests the decision module from end to end: late or malformed input, log lines and determinism.
 #include "quota_gateway/gateway.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +13,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(Gateway, EventsOfRequestsThatHaveEndedAreIgnored) {
+TEST(Gateway, EventsOfEndedRequestsAreIgnored) {
   GatewayHarness gateway;
   const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
   gateway.complete(2 * kMillisecond, sent.at(0));
@@ -29,7 +28,7 @@
   EXPECT_TRUE(rejections(later).empty());
 }
 
-// Requests of fifty customers whose sizes and gateway subsets make no sense.
+// Requests of fifty customers with invalid units and gateway subsets.
 std::vector<Event> malformed_requests(int count, Micros now) {
   std::vector<Event> events;
   for (int i = 0; i < count; ++i) {
@@ -43,7 +42,7 @@
   return events;
 }
 
-// How often each request was rejected or failed.
+// The number of final responses, rejections and failures, of each request.
 std::map<std::string, int> final_answers(const std::vector<Action>& actions) {
   std::map<std::string, int> answers;
   for (const Reject& rejection : rejections(actions)) {
@@ -55,7 +54,7 @@
   return answers;
 }
 
-TEST(Gateway, MalformedInputNeitherCrashesItNorLosesARequest) {
+TEST(Gateway, MalformedInputNeitherCrashesNorLosesRequests) {
   Settings settings = settings_with_counter();
   settings.gateway_count = 0;
   GatewayHarness gateway(settings);
@@ -93,7 +92,7 @@
   EXPECT_EQ(attempts(gateway.handle(0, {request})).size(), 1U);
 }
 
-TEST(Gateway, LogSaysWhyRequestsWereRejected) {
+TEST(Gateway, LogStatesWhyRequestsWereRejected) {
   GatewayHarness gateway;
   gateway.admitted(kMillisecond, 25);  // five beyond the quota
   gateway.run_timers(12 * kSecond);
@@ -109,7 +108,7 @@
 }
 
 TEST(Gateway, SameEventsGiveTheSameActions) {
-  const auto play = [] {
+  const auto forwarded_attempts = [] {
     GatewayHarness gateway;
     for (int i = 0; i < 50; ++i) {
       gateway.admitted(i * 30 * kMillisecond, 3);
@@ -121,7 +120,7 @@
     }
     return forwarded;
   };
-  EXPECT_EQ(play(), play());
+  EXPECT_EQ(forwarded_attempts(), forwarded_attempts());
 }
 
 }  // namespace
--- a/tests/policy/hold_queue_test.cpp
+++ b/tests/policy/hold_queue_test.cpp
@@ -1,4 +1,4 @@
-// Requests that wait in the gateway for a server's capacity.
+// Tests requests that the gateway holds until a server has capacity.
 #include <gtest/gtest.h>
 
 #include "support/gateway_harness.hpp"
@@ -6,8 +6,8 @@
 namespace quota_gateway::testing {
 namespace {
 
-// The attempts of `count` requests that arrive together at 1 ms; the other requests wait or were
-// rejected.
+// Sends `count` requests that arrive together at 1 ms and returns the attempts of those forwarded;
+// the other requests are held or rejected.
 std::vector<SendAttempt> send_burst(GatewayHarness& gateway, int count) {
   std::vector<SendAttempt> sent;
   for (int i = 0; i < count; ++i) {
@@ -26,21 +26,22 @@
   EXPECT_TRUE(failures(actions).empty());
 }
 
-TEST(HoldQueue, RequestThatWasNeverForwardedSpendsNoQuota) {
+TEST(HoldQueue, RequestNeverForwardedUsesNoQuota) {
   GatewayHarness gateway(basic_settings(), make_endpoints({"a"}));
   const auto sent = send_burst(gateway, 12);
   gateway.run_timers(400 * kMillisecond);
-  const std::size_t rejected =
-      rejections(gateway.actions()).size();  // the server's capacity is used
+  // The requests that were not sent, because the server had no capacity left.
+  const std::size_t rejected = rejections(gateway.actions()).size();
   ASSERT_EQ(sent.size() + rejected, 12U);
   ASSERT_GT(rejected, 6U);
   for (const SendAttempt& attempt : sent) {
     gateway.complete(401 * kMillisecond, attempt);
   }
-  EXPECT_GE(gateway.admitted(402 * kMillisecond, 20), 20 - int(sent.size()));  // of the twenty
+  // Only the requests that were sent have used units of the burst of 20.
+  EXPECT_GE(gateway.admitted(402 * kMillisecond, 20), 20 - int(sent.size()));
 }
 
-TEST(HoldQueue, NewArrivalsDoNotOvertakeWaitingRequestsOfHigherPriority) {
+TEST(HoldQueue, NewArrivalsDoNotOvertakeHeldRequestsOfHigherPriority) {
   Settings settings = basic_settings();
   ClassSettings priority = read_class();
   priority.name = "priority";
@@ -53,7 +54,7 @@
   waiting.request_class = "priority";
   ASSERT_TRUE(attempts(gateway.handle(2 * kMillisecond, {waiting})).empty());
 
-  // Capacity is free again in the same batch in which a request of lower priority arrives.
+  // Capacity becomes available in the same batch in which a request of lower priority arrives.
   std::vector<Event> events;
   events.reserve(sent.size() + 1);
   for (const SendAttempt& attempt : sent) {
--- a/tests/policy/log_limiter_test.cpp
+++ b/tests/policy/log_limiter_test.cpp
@@ -1,3 +1,4 @@
+// Tests that LogLimiter emits one line of each kind per interval.
 #include "policy/log_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +10,7 @@
 namespace quota_gateway::policy {
 namespace {
 
-// The line that the limiter emits at `now`; empty if it drops it.
+// The line that the limiter emits at `now`, or an empty string if the limiter drops the line.
 std::string logged(LogLimiter& limiter, Micros now, LogKind kind, const std::string& text) {
   std::vector<Action> actions;
   EventContext context{now, actions};
@@ -25,7 +26,7 @@
             "counter: third");
 }
 
-TEST(LogLimiter, LimitsEachKindForItself) {
+TEST(LogLimiter, LimitsEachKindSeparately) {
   LogLimiter limiter;
   EXPECT_EQ(logged(limiter, 0, LogKind::kCounter, "text"), "counter: text");
   EXPECT_EQ(logged(limiter, 0, LogKind::kCapacity, "text"), "capacity: text");
--- a/tests/policy/peer_processes_test.cpp
+++ b/tests/policy/peer_processes_test.cpp
@@ -1,4 +1,5 @@
-// Two processes of one gateway that serve side by side during a restart divide its limits.
+// Tests that two processes of one gateway, which serve side by side during a hot restart, divide
+// the limits of the gateway.
 #include <gtest/gtest.h>
 
 #include "support/gateway_harness.hpp"
@@ -6,20 +7,20 @@
 namespace quota_gateway::testing {
 namespace {
 
-// A ceiling of 20 units a second and 40 at once; half of it belongs to each of the two gateways.
+// A ceiling of 20 units per second and a burst of 40 units, split between two gateways.
 Settings settings_with_ceiling() {
   Settings settings = basic_settings();
   set_ceiling(settings, 20, 40);
   return settings;
 }
 
-TEST(PeerProcesses, ParentAndChildTogetherKeepOneShareOfTheCeiling) {
+TEST(PeerProcesses, ParentAndChildTogetherStayWithinOneShareOfTheCeiling) {
   Settings settings = settings_with_ceiling();
   set_quota(settings, 1000, 1000);
   GatewayHarness parent(settings);
   GatewayHarness child(settings);
   parent.arrive(kMillisecond, "first");
-  EXPECT_EQ(parent.admitted(10 * kSecond, 15), 15);  // the gateway's share holds twenty
+  EXPECT_EQ(parent.admitted(10 * kSecond, 15), 15);  // the share of the gateway holds 20 units
   parent.handle(10 * kSecond, {PeerProcessesChanged{1}});
   child.handle(10 * kSecond, {PeerProcessesChanged{1}});
   int forwarded = 0;
@@ -28,28 +29,29 @@
     forwarded += child.admitted(now, 3);
   }
   EXPECT_GE(forwarded, 36);
-  EXPECT_LE(forwarded, 5 + 40);  // what was left, and ten a second
+  EXPECT_LE(forwarded, 5 + 40);  // 5 units left over, and 10 per second for 4 s
 
   child.handle(14 * kSecond, {PeerProcessesChanged{0}});
   forwarded = 0;
   for (Micros now = 14 * kSecond + kMillisecond; now <= 18 * kSecond; now += 20 * kMillisecond) {
     forwarded += child.admitted(now, 3);
   }
-  EXPECT_GE(forwarded, 36);  // alone, the child has the whole share again
+  EXPECT_GE(forwarded, 36);  // alone, the child gets the complete share
   EXPECT_LE(forwarded, 41);
 }
 
-TEST(PeerProcesses, CustomerFirstSeenAfterTheSplitHasOnlyWhatHasRefilledSince) {
+TEST(PeerProcesses, CustomerFirstSeenAfterTheSplitGetsOnlyUnitsRefilledSince) {
   GatewayHarness gateway(settings_with_ceiling());
   RequestArrived other = make_request("other", kSecond);
   other.customer = "c2";
   gateway.handle(kSecond, {other});
   gateway.handle(10 * kSecond, {PeerProcessesChanged{1}});
-  // Half of ten a second; the parent process may have spent the rest.
+  // Half of 10 units per second, refilled for 1 s; the peer process may have spent all units from
+  // before the split.
   EXPECT_EQ(gateway.admitted(11 * kSecond, 20), 5);
 }
 
-TEST(PeerProcesses, EachSendsAWarmingUpServerItsOwnShare) {
+TEST(PeerProcesses, EachProcessSendsItsShareToAWarmingUpServer) {
   Settings settings = basic_settings();
   set_quota(settings, 1000, 1000);
   settings.gateway_count = 1;
@@ -59,7 +61,7 @@
   settings.slow_start_overload_window = kSecond;
   auto endpoints = make_endpoints({"a"});
   endpoints[0].started_at = 1;
-  const auto forwarded_beside = [&](int peer_count) {
+  const auto forwarded_with_peers = [&](int peer_count) {
     GatewayHarness gateway(settings, endpoints);
     gateway.handle(kMillisecond, {PeerProcessesChanged{peer_count}});
     int forwarded = 0;
@@ -68,8 +70,8 @@
     }
     return forwarded;
   };
-  EXPECT_EQ(forwarded_beside(0), 8);
-  EXPECT_EQ(forwarded_beside(1), 4);
+  EXPECT_EQ(forwarded_with_peers(0), 8);
+  EXPECT_EQ(forwarded_with_peers(1), 4);
 }
 
 }  // namespace
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -1,5 +1,5 @@
-// Which attempts may follow one that failed, by the request's idempotency and by whether the failed
-// attempt may have run.
+// Tests which attempts may follow a failed one, by the idempotency of the request and by whether
+// the failed attempt may have run.
 #include <gtest/gtest.h>
 
 #include "support/gateway_harness.hpp"
@@ -7,7 +7,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-// Keys are recognised for 8 s, within one cell.
+// Settings under which the servers of one cell recognise a repeated idempotency key for 8 s.
 Settings settings_with(Idempotency idempotency) {
   Settings settings = basic_settings();
   settings.classes[0].idempotency = idempotency;
@@ -17,7 +17,7 @@
   return settings;
 }
 
-// What the gateway does when a request's first attempt ends with `outcome` after 50 ms.
+// The actions of the gateway when the first attempt of a request ends with `outcome` at 50 ms.
 std::vector<Action> first_attempt_ends(GatewayHarness& gateway, Outcome outcome) {
   const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
   return gateway.complete(50 * kMillisecond, sent.at(0), {.outcome = outcome});
@@ -41,7 +41,7 @@
 }
 
 TEST(RetryPolicy, KeyedRequestThatMayHaveRunIsFailedNotRejected) {
-  // Without this, a client told that its request was rejected would take it for one that never ran.
+  // A rejection tells the client that the request never ran, which is not certain here.
   Settings settings = settings_with(Idempotency::kIdempotencyKey);
   settings.max_attempts = 1;
   GatewayHarness gateway(settings);
--- a/tests/policy/settings_change_test.cpp
+++ b/tests/policy/settings_change_test.cpp
@@ -1,5 +1,5 @@
-// New settings while requests are open: an open request keeps the rules of its arrival, later
-// requests have the new ones, and what customers have spent stays spent.
+// Tests new settings while requests are open: an open request keeps the class with which it
+// arrived, later requests use the new settings, and spent quota stays spent.
 #include <gtest/gtest.h>
 
 #include "support/gateway_harness.hpp"
@@ -14,8 +14,8 @@
   return settings;
 }
 
-// What the gateway does when the first attempt of a request is reset, after the settings changed
-// from `before` to `after` while it was open.
+// The actions of the gateway when the first attempt of a request is reset, after the settings
+// changed from `before` to `after` while the request was open.
 std::vector<Action> reset_after_change(const Settings& before, const Settings& after) {
   GatewayHarness gateway(before);
   const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
@@ -33,7 +33,7 @@
   EXPECT_EQ(failures(actions).size(), 1U);
 }
 
-TEST(SettingsChange, LaterRequestsHaveTheNewIdempotency) {
+TEST(SettingsChange, LaterRequestsUseTheNewIdempotency) {
   GatewayHarness gateway(settings_with(Idempotency::kIdempotent, 3));
   gateway.handle(kMillisecond, {SettingsChanged{settings_with(Idempotency::kNonIdempotent, 3)}});
   const auto sent = attempts(gateway.arrive(2 * kMillisecond, "r"));
@@ -42,20 +42,20 @@
   EXPECT_EQ(failures(actions).size(), 1U);
 }
 
-TEST(SettingsChange, OpenRequestOfARemovedClassFollowsTheRulesOfThatClass) {
+TEST(SettingsChange, OpenRequestKeepsAClassThatIsRemoved) {
   Settings removed = basic_settings();
   removed.classes[0].name = "other";
   EXPECT_EQ(attempts(reset_after_change(basic_settings(), removed)).size(), 1U);
 }
 
-TEST(SettingsChange, FewerAttemptsApplyAtOnceAndMoreOnlyToNewRequests) {
+TEST(SettingsChange, LowerAttemptLimitAppliesToOpenRequestsHigherOneDoesNot) {
   const Settings one_attempt = settings_with(Idempotency::kIdempotent, 1);
   const Settings three_attempts = settings_with(Idempotency::kIdempotent, 3);
   EXPECT_TRUE(attempts(reset_after_change(three_attempts, one_attempt)).empty());
   EXPECT_TRUE(attempts(reset_after_change(one_attempt, three_attempts)).empty());
 }
 
-TEST(SettingsChange, QuotaThatACustomerHasSpentStaysSpent) {
+TEST(SettingsChange, SpentQuotaStaysSpent) {
   GatewayHarness gateway;
   EXPECT_EQ(gateway.admitted(kMillisecond, 30), 20);
   gateway.handle(2 * kMillisecond, {SettingsChanged{settings_with(Idempotency::kIdempotent, 2)}});
--- a/tests/policy/stalled_attempts_test.cpp
+++ b/tests/policy/stalled_attempts_test.cpp
@@ -1,5 +1,5 @@
-// Attempts whose server makes no progress are cancelled and sent elsewhere, early enough for an
-// answer within the latency objective.
+// Tests that attempts at a server without progress are cancelled and sent elsewhere, early enough
+// for a response within the latency objective.
 #include <gtest/gtest.h>
 
 #include "support/gateway_harness.hpp"
@@ -7,7 +7,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(StalledAttempts, StalledServerIsReplacedBeforeTheLatencyObjective) {
+TEST(StalledAttempts, StalledAttemptIsSentElsewhereBeforeTheLatencyObjective) {
   GatewayHarness gateway;
   for (int i = 0; i < 10; ++i) {
     const auto usual = attempts(gateway.arrive(i * kSecond, numbered("usual", i)));
@@ -23,7 +23,8 @@
 }
 
 TEST(StalledAttempts, OneFastAnswerDoesNotMakeTheNextRequestLookStalled) {
-  // Without this, a gateway that has served one cheap request would cancel whatever takes longer.
+  // A short mean response time after one cheap request must not make the gateway cancel every
+  // request that takes longer.
   GatewayHarness gateway;
   const auto first = attempts(gateway.arrive(0, "first"));
   gateway.complete(0, first.at(0), {.duration = 2 * kMillisecond});
