--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -78,7 +78,7 @@
     return wait_for_counter(context, request, customer.quota_reservation.waiting);
   }
   const bool within_quota =
-      quota != QuotaCheck::kOverQuota && is_within_concurrency_limit(customer);
+      quota != QuotaCheck::kNotCovered && is_within_concurrency_limit(customer);
   const bool under_ceiling = rate_ceiling_.admits(now, customer, request.units);
   const bool passes_quota = within_quota || excess_admitted;
   if (passes_quota && !under_ceiling && try_reserve_from_ceiling_pool(context, request)) {
@@ -120,7 +120,7 @@
     return check_shared_pool(context, request, excess_admitted);
   }
   return slice_covers(customer, request.quota_units) ? QuotaCheck::kWithinSlice
-                                                     : QuotaCheck::kOverQuota;
+                                                     : QuotaCheck::kNotCovered;
 }
 
 // Sparse customers reserve units from the pool that all gateways share. Each request may try one
@@ -136,14 +136,14 @@
     return QuotaCheck::kReserved;
   }
   if (pool.exhausted(now, customer) || (may_reserve && !quota_.should_reserve(customer))) {
-    return QuotaCheck::kOverQuota;
+    return QuotaCheck::kNotCovered;
   }
   if (may_reserve && may_wait_for_counter(now, request) &&
       pools_.reserve(now, customer, pool, request.units, kQuotaOverdraftSeconds, context.actions)) {
     return QuotaCheck::kWaitForCounter;
   }
   return quota_.covers_without_reservation(customer, request.units) ? QuotaCheck::kWithinSlice
-                                                                    : QuotaCheck::kOverQuota;
+                                                                    : QuotaCheck::kNotCovered;
 }
 
 void Admission::charge(Request& request, QuotaCheck quota) {
--- a/src/policy/admission.hpp
+++ b/src/policy/admission.hpp
@@ -49,7 +49,7 @@
  private:
   // How the quota of the customer covers a request.
   enum class QuotaCheck {
-    kOverQuota,      // not covered
+    kNotCovered,     // over the quota
     kWithinSlice,    // covered by this gateway's slice
     kReserved,       // covered by units reserved from the shared pool
     kWaitForCounter  // a reservation call is in flight
--- a/src/policy/attempt_sender.cpp
+++ b/src/policy/attempt_sender.cpp
@@ -12,8 +12,10 @@
 namespace quota_gateway::policy {
 namespace {
 
-constexpr double kStalledCheckDelayFactor = 7;  // times the expected response time
-// us. Fast endpoints pause for longer than a few of their response times without having stalled.
+// Expected response times after which an attempt is checked for a stalled endpoint.
+constexpr double kStalledCheckDelayFactor = 7;
+// Minimum of this delay, in microseconds: fast endpoints pause for longer than a few of their
+// response times without having stalled.
 constexpr Micros kMinStalledCheckDelay = 50'000;
 
 }  // namespace
