--- a/src/policy/endpoints/concurrency_limit.cpp
+++ b/src/policy/endpoints/concurrency_limit.cpp
@@ -8,37 +8,39 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Attempts per endpoint, by all gateways together, at the start and at the least.
-constexpr double kLeastInFlightPerEndpoint = 2;
+// Initial and minimum limit, in attempts per endpoint over all gateways together.
+constexpr double kMinInFlightPerEndpoint = 2;
 
-// Mean response time over the idle one, above which endpoints hold too much.
+// Ratio of the mean response time to the idle one, above which endpoints count as overloaded.
 constexpr double kOverloadRatio = 1.6;
 
-// Idle response times that one attempt counts for at the most.
-constexpr double kOutlierRatio = 4;
+// Maximum that one sample counts for, as a multiple of the idle response time.
+constexpr double kMaxSampleRatio = 4;
 
 constexpr double kReductionFactor = 0.85;  // at most once per mean response time
-constexpr double kIncrement = 0.04;        // attempts per good answer, while the limit binds
+constexpr double kIncrement = 0.04;        // attempts per valid sample, while the limit binds
 
-// Standard deviations that the attempts in flight may be above the limit for a short time.
+// Standard deviations by which the attempts in flight may exceed the limit for a short time.
 constexpr double kBurstDeviations = 2;
 
-constexpr double kResponseTimeGain = 1.0 / 30;       // per answer
-constexpr double kSlowResponseTimeGain = 1.0 / 150;  // so that its least is not a matter of luck
-constexpr double kIdleRiseGain =
-    1.0 / 40000;  // per answer; how fast the idle response time may rise
+// Smoothing per sample. The long-term mean is smoothed more, so that its minimum is not due to
+// chance; the idle response time follows this mean down immediately but rises slowly.
+constexpr double kResponseTimeGain = 1.0 / 30;
+constexpr double kLongTermGain = 1.0 / 150;
+constexpr double kIdleRiseGain = 1.0 / 40000;
 
 }  // namespace
 
 double ConcurrencyLimit::limit() const {
-  return std::max(limit_, kLeastInFlightPerEndpoint * std::max(healthy_endpoints_, 1) /
-                              settings_.gateway_count);
+  return std::max(
+      limit_, kMinInFlightPerEndpoint * std::max(healthy_endpoints_, 1) / settings_.gateway_count);
 }
 
-// With more gateways than endpoints a limit is less than one attempt. When demand by chance asks
-// for more, it is paid for by the capacity that was unused in the last second. A pause after it
-// would be worse: valuable requests would time out waiting, and the next capacity would go to
-// whoever came then. What is within the limit is always admitted.
+// If there are more gateways than endpoints, the limit can be less than one attempt. A random peak
+// in demand may therefore exceed the limit by using capacity that was unused in the last second.
+// Pausing after the peak instead would be worse: valuable requests would time out in the queue, and
+// the next free capacity would go to whichever request arrived at that time. Attempts within the
+// limit are always admitted.
 bool ConcurrencyLimit::admits(Micros now) {
   update_unused_capacity(now);
   if (in_flight_ + 1 <= limit()) {
@@ -63,7 +65,7 @@
     update_response_times(sample.objective_fraction);
   }
   if (sample.overloaded) {
-    return;  // by one endpoint, or for one plan there: no sign that all are full
+    return;  // by one endpoint, perhaps for one plan only: no sign of general overload
   }
   const bool endpoints_overloaded =
       idle_response_time_ > 0 && response_time_ > kOverloadRatio * idle_response_time_;
@@ -88,25 +90,25 @@
 }
 
 void ConcurrencyLimit::update_response_times(double objective_fraction) {
-  // A few attempts that were lost or far heavier than the rest are no sign of overload.
+  // Bounds the effect of a few lost or unusually heavy attempts, which are no sign of overload.
   if (idle_response_time_ > 0) {
-    objective_fraction = std::min(objective_fraction, kOutlierRatio * idle_response_time_);
+    objective_fraction = std::min(objective_fraction, kMaxSampleRatio * idle_response_time_);
   }
   const double gain = response_time_ > 0 ? kResponseTimeGain : 1.0;
   response_time_ += gain * (objective_fraction - response_time_);
-  ++answers_;
-  const double slow_gain = std::max(kSlowResponseTimeGain, 1.0 / answers_);
-  slow_response_time_ += slow_gain * (objective_fraction - slow_response_time_);
-  if (answers_ <= 1 / kResponseTimeGain) {
+  ++sample_count_;
+  const double long_term_gain = std::max(kLongTermGain, 1.0 / sample_count_);
+  long_term_response_time_ += long_term_gain * (objective_fraction - long_term_response_time_);
+  if (sample_count_ <= 1 / kResponseTimeGain) {
     return;
   }
   if (idle_response_time_ <= 0) {
-    idle_response_time_ = slow_response_time_;
+    idle_response_time_ = long_term_response_time_;
     return;
   }
-  const double risen =
-      idle_response_time_ + kIdleRiseGain * (slow_response_time_ - idle_response_time_);
-  idle_response_time_ = std::min(slow_response_time_, risen);
+  const double raised =
+      idle_response_time_ + kIdleRiseGain * (long_term_response_time_ - idle_response_time_);
+  idle_response_time_ = std::min(long_term_response_time_, raised);
 }
 
 }  // namespace quota_gateway::policy
--- a/src/policy/endpoints/endpoint.cpp
+++ b/src/policy/endpoints/endpoint.cpp
@@ -5,15 +5,15 @@
 namespace quota_gateway::policy {
 namespace {
 
-// The weight of the assumption that the endpoint is as good as its peers, in samples.
+// Weight, in samples, of the prior assumption that an endpoint is as fast as its peers.
 constexpr double kPriorSamples = 8;
 
-// Evidence fades with this time constant, so that a slow endpoint gets attempts again, a few at
-// first.
-constexpr Micros kDurationMemory = 4'000'000;
+// us. Samples decay with this time constant, so that an endpoint that was slow gradually gets
+// attempts again.
+constexpr Micros kDurationTimeConstant = 4'000'000;
 
-// Without an answer for longer than this many mean response times, an endpoint counts as slow.
-constexpr double kSilenceTolerance = 3;
+// Number of mean response times without progress after which an endpoint counts as slow.
+constexpr double kNoProgressTolerance = 3;
 
 }  // namespace
 
@@ -22,16 +22,18 @@
 }
 
 double relative_slowness(Micros now, const Endpoint& endpoint, double mean_response_time) {
-  const double by_answers = endpoint.relative_duration.mean(now, kDurationMemory, kPriorSamples);
+  const double by_durations =
+      endpoint.relative_duration.mean(now, kDurationTimeConstant, kPriorSamples);
   if (endpoint.attempts_in_flight == 0 || mean_response_time <= 0) {
-    return by_answers;
+    return by_durations;
   }
-  const auto silent_for = static_cast<double>(now - endpoint.last_progress_at);
-  return std::max(by_answers, silent_for / (kSilenceTolerance * mean_response_time));
+  const auto time_without_progress = static_cast<double>(now - endpoint.last_progress_at);
+  return std::max(by_durations,
+                  time_without_progress / (kNoProgressTolerance * mean_response_time));
 }
 
 void add_relative_duration(Micros now, Endpoint& endpoint, double relative_duration) {
-  endpoint.relative_duration.add(now, kDurationMemory, relative_duration);
+  endpoint.relative_duration.add(now, kDurationTimeConstant, relative_duration);
 }
 
 }  // namespace quota_gateway::policy
--- a/src/policy/endpoints/endpoint_registry.cpp
+++ b/src/policy/endpoints/endpoint_registry.cpp
@@ -37,7 +37,7 @@
   const bool restarted = update_description(listed, entry);
   Change change = set_state(slot, entry.state);
   change.restarted = restarted;
-  // Those that a complete list removes are erased together at its end.
+  // Endpoints that a complete list removes are erased together after its last entry.
   if (is_removed && listed.endpoint == nullptr && kind == ListKind::kPartial) {
     erase(slot);
   }
--- a/src/policy/endpoints/endpoint_registry.hpp
+++ b/src/policy/endpoints/endpoint_registry.hpp
@@ -1,9 +1,9 @@
-// All endpoints of the list, in the ring order that all gateways agree on, and the state of those
-// that this gateway uses. Applies list updates; decides nothing.
+// Stores all listed endpoints in ring order, which is the same on all gateways, and the state of
+// those that this gateway uses. Applies list updates; makes no decisions.
 //
-// A list may hold 170,000 endpoints, of which a gateway uses few. Those get an Endpoint, which owns
-// all that is learned of them; the others take a compact entry, for an Endpoint each would need
-// more memory than a gateway has.
+// A list may hold 170,000 endpoints, but a gateway uses only a few of them. An endpoint in use has
+// an Endpoint object for its state. Every other endpoint has only a compact entry, because an
+// Endpoint object for each would take more memory than a gateway has.
 #pragma once
 
 #include <cstddef>
@@ -24,56 +24,59 @@
 
 class EndpointRegistry {
  public:
+  // The effect of an update on one endpoint.
   struct Change {
     std::uint64_t ring_position = 0;
     CountChange up_change = CountChange::kUnchanged;
-    bool restarted = false;        // its process started later than the list said before
-    Endpoint* endpoint = nullptr;  // null if it is not in use
+    bool restarted = false;        // the listed start time is later than before
+    Endpoint* endpoint = nullptr;  // null if the endpoint is not in use
   };
 
-  std::size_t size() const { return ring_.size(); }  // with removed ones that are still in use
+  std::size_t size() const { return ring_.size(); }  // including removed ones in use
   std::size_t up_count() const { return ring_.counted_size(); }
   int draining_count() const { return draining_count_; }
   std::size_t in_use_count() const { return in_use_.size(); }
 
-  // The position of the endpoint that is up and has `rank` such before it; `rank` is less than
-  // up_count().
+  // Returns the position of the endpoint that is up and preceded by `rank` endpoints that are up;
+  // `rank` must be less than up_count().
   std::uint64_t position_of_rank(std::size_t rank) const { return ring_.position_of_rank(rank); }
 
-  // Applies an update and calls `on_change(const Change&)` for each of its entries, after it was
-  // applied. Under a complete list every known endpoint is first reported as removed, and then each
-  // entry. `on_change` may not call the registry, except for its counts.
+  // Applies an update and calls `on_change(const Change&)` after each applied entry. For a complete
+  // list, every known endpoint is first reported as removed, then each entry is applied. Skips
+  // entries that remove an unknown endpoint, and ignores an update of kind kError. `on_change` must
+  // not call the registry, except for its counts.
   template <typename OnChange>
   void update(const EndpointListUpdate& update, OnChange on_change);
 
-  // Calls `visit(Endpoint&)` for the endpoints that are up, from a ring position on and once round
-  // at the most, until it returns false. All that are visited are in use from now on.
+  // Calls `visit(Endpoint&)` for the endpoints that are up, starting at a ring position and going
+  // round the ring at most once, until `visit` returns false. Marks all visited endpoints as in
+  // use.
   template <typename Visit>
   void use_from(std::uint64_t position, Visit visit);
 
-  // The endpoint of this name if it is in use, or null.
+  // Returns the endpoint of this name if it is in use, otherwise null.
   Endpoint* find(const std::string& server);
 
-  // Deletes the state of each endpoint for which `predicate(Endpoint&)` is true.
+  // Deletes the state of each endpoint in use for which `predicate(Endpoint&)` returns true.
   template <typename Predicate>
   void forget_if(Predicate predicate);
 
  private:
   struct ListedEndpoint {
     CompactString name;
-    std::uint32_t zone;  // in zones_
+    std::uint32_t zone;  // id in zones_
     float weight = 1;
     Micros started_at = 0;
     std::int64_t cell = 0;
-    Endpoint* endpoint = nullptr;  // null if it is not in use
+    Endpoint* endpoint = nullptr;  // null if the endpoint is not in use
     EndpointState state = EndpointState::kRemoved;
-    bool counted = false;  // it is up; kept by the ring
+    bool counted = false;  // true if it is up; set by the ring
   };
   using Ring = OrderStatisticRing<ListedEndpoint>;
 
   enum class ListKind { kPartial, kComplete };
 
-  // Nothing if the entry removes an endpoint that is not known.
+  // Returns nothing if the entry removes an unknown endpoint.
   std::optional<Change> apply(const EndpointEntry& entry, ListKind kind);
 
   // Returns whether the endpoint has restarted.
--- a/src/policy/endpoints/endpoint_subset.cpp
+++ b/src/policy/endpoints/endpoint_subset.cpp
@@ -8,38 +8,39 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Multiples of it, round a ring, lie evenly and neighbouring ones far apart.
-constexpr double kGoldenRatio = 0.6180339887498949;
+// Multiples of the golden ratio, modulo 1, are evenly spread, and consecutive ones are far apart.
+constexpr double kGoldenRatioConjugate = 0.6180339887498949;
 
-constexpr double kGatewaysPerEndpoint = 10;  // about, where there are more gateways
-constexpr double kLeastSubsetSize = 6;
+constexpr double kGatewaysPerEndpoint = 10;  // approximately, if there are more gateways than that
+constexpr double kMinSubsetSize = 6;
 
-// Fraction of the subset's size by which it may begin off its even distance.
-constexpr double kStartSlack = 0.125;
+// Maximum distance of a subset's start from its even position, as a fraction of the subset's size.
+constexpr double kMaxStartOffset = 0.125;
 
-// us per endpoint of the subset, between checks of who has warmed up.
+// us per endpoint of the subset, between checks for endpoints that have warmed up.
 constexpr Micros kWarmupCheckInterval = 300;
 
 }  // namespace
 
 double subset_size(const EndpointRegistry& registry, const Settings& settings) {
   const auto endpoints_up = static_cast<double>(registry.up_count());
-  return std::max(kLeastSubsetSize,
+  return std::max(kMinSubsetSize,
                   std::ceil(endpoints_up * kGatewaysPerEndpoint / settings.gateway_count));
 }
 
-// At an exactly even rank one endpoint more or less would shift the subsets of half of all
-// gateways; at a fixed position the subsets would lie as unevenly as chance has it. So a position
-// is kept while its rank is near the even one; small subsets have no slack.
+// The start keeps its ring position while its rank is near the even one. If its rank were always
+// exactly even, adding or removing one endpoint would shift the subsets of half of all gateways. If
+// its position never changed, the subsets would be distributed unevenly, as random positions are.
+// The allowed distance is rounded down, to 0 for small subsets.
 bool place_subset_start(RankCursor& start, const EndpointRegistry& registry,
                         const Settings& settings) {
   const auto endpoints_up = static_cast<double>(registry.up_count());
-  const double turns = settings.gateway_index * kGoldenRatio;
+  const double turns = settings.gateway_index * kGoldenRatioConjugate;
   const double even_rank = std::floor(endpoints_up * (turns - std::floor(turns)));
   const double distance = std::abs(start.rank() - even_rank);
-  const double distance_round_ring = std::min(distance, endpoints_up - distance);
+  const double distance_on_ring = std::min(distance, endpoints_up - distance);
   if (endpoints_up <= 0 ||
-      distance_round_ring <= std::floor(kStartSlack * subset_size(registry, settings))) {
+      distance_on_ring <= std::floor(kMaxStartOffset * subset_size(registry, settings))) {
     return false;
   }
   start.move_to_rank(registry, static_cast<std::size_t>(even_rank));
@@ -52,9 +53,9 @@
 
 void EndpointSubset::on_endpoint_changed(const EndpointRegistry::Change& change) {
   start_.on_change(change.ring_position, change.up_change);
-  // Unsigned distances, since the stretch may pass the ring's end.
-  const std::uint64_t from_start = change.ring_position - start_.ring_position();
-  if (from_start <= last_position_ - start_.ring_position()) {
+  // Unsigned distances, because the segment may wrap around the end of the ring.
+  const std::uint64_t distance_from_start = change.ring_position - start_.ring_position();
+  if (distance_from_start <= last_position_ - start_.ring_position()) {
     is_stale_ = true;
   }
 }
@@ -73,17 +74,17 @@
 
 const std::vector<Endpoint*>& EndpointSubset::endpoints(Micros now) {
   if (is_stale_ || now >= next_warmup_check_at_) {
-    determine(now);
+    recompute(now);
   }
   return endpoints_;
 }
 
-void EndpointSubset::determine(Micros now) {
+void EndpointSubset::recompute(Micros now) {
   is_stale_ = false;
   desired_size_ = subset_size(registry_, settings_);
   endpoints_.clear();
   total_weight_ = 0;
-  double healthy = 0;  // a warming endpoint counts for the fraction of its capacity that it has
+  double healthy = 0;  // a warming endpoint counts as its warm-up fraction
   bool any_warming = false;
   registry_.use_from(start_.ring_position(), [&](Endpoint& endpoint) {
     endpoints_.push_back(&endpoint);
--- a/src/policy/endpoints/load_balancer.cpp
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -11,27 +11,29 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Endpoints compared for an attempt, besides this gateway's share of all.
-constexpr int kLeastSampleSize = 2;
+// Endpoints compared per pick, in addition to this gateway's share of the healthy endpoints.
+constexpr int kMinSampleSize = 2;
 
-// An endpoint's share of the attempts in flight, over an even one.
-constexpr double kUnevenness = 1.6;
+// Maximum share of one endpoint in the attempts in flight, relative to an even share.
+constexpr double kMaxShareFactor = 1.6;
 
-// An endpoint in another zone must look so much better to be worth the longer way.
-constexpr double kOtherZoneCost = 1.08;
+// Multiplies the cost of an endpoint in another zone, which has a longer network path.
+constexpr double kOtherZoneCostFactor = 1.08;
 
-// Cost of an ejected endpoint, when too many are ejected: it comes after all others.
-constexpr double kLastResortCost = 1e6;
+// Multiplies the cost of an ejected endpoint when too many are ejected: such an endpoint is picked
+// only if there is no other.
+constexpr double kLastResortFactor = 1e6;
 
-// A load report says little after this time constant.
-constexpr Micros kLoadReportMemory = 1'000'000;
+// us. Load reports decay with this time constant.
+constexpr Micros kLoadReportTimeConstant = 1'000'000;
 
-// Expected durations that a failed attempt counts for at the least, so that an endpoint that
-// answers errors at once does not look fast.
-constexpr double kFailedRelativeDuration = 10;
+// Minimum relative duration that a failed attempt counts for, so that an endpoint that returns
+// errors immediately does not appear fast.
+constexpr double kMinFailedRelativeDuration = 10;
 
-constexpr Micros kLeastRetention = 64 * kUpdatePeriod;
+constexpr Micros kMinRetention = 64 * kUpdatePeriod;
 
+// Whether the attempt is evidence that its endpoint is faulty.
 bool is_failure(const AttemptResult& result) {
   switch (result.outcome) {
     case Outcome::kOk:
@@ -44,7 +46,7 @@
   }
 }
 
-// Does the attempt's duration say how long its endpoint takes?
+// Whether the attempt's duration indicates how long its endpoint takes to respond.
 bool has_valid_duration(const AttemptResult& result) {
   return result.outcome == Outcome::kOk || result.outcome == Outcome::kTimeout ||
          result.cancelled_as_stalled;
@@ -64,7 +66,7 @@
   if (load.attempts_of_others <= 0) {
     return 0;
   }
-  return load.attempts_of_others * decay_factor(now - load.reported_at, kLoadReportMemory);
+  return load.attempts_of_others * decay_factor(now - load.reported_at, kLoadReportTimeConstant);
 }
 
 }  // namespace
@@ -75,7 +77,7 @@
       slow_start_(settings),
       subset_(settings, registry_, slow_start_),
       concurrency_limit_(settings),
-      retention_(kLeastRetention) {
+      retention_(kMinRetention) {
   settings_changed();
 }
 
@@ -145,7 +147,7 @@
   const bool duration_is_valid = has_valid_duration(result);
   if (failed) {
     add_relative_duration(now, endpoint,
-                          std::max(result.relative_duration, kFailedRelativeDuration));
+                          std::max(result.relative_duration, kMinFailedRelativeDuration));
   } else if (duration_is_valid) {
     add_relative_duration(now, endpoint, result.relative_duration);
   }
@@ -190,13 +192,13 @@
 }
 
 std::string LoadBalancer::describe_state(Micros now) {
-  subset(now);  // ends ejections that are over
+  subset(now);  // ends expired ejections
   const OutcomeCounts counts = std::exchange(outcome_counts_, {});
-  return concat("in flight ", concurrency_limit_.in_flight(), " of ", concurrency_limit_.limit(),
-                ", response time ", concurrency_limit_.response_time(), " idle ",
-                concurrency_limit_.idle_response_time(), " of the objective, ejected ",
-                outlier_detector_.ejected_count(), " of ", registry_.size(), " endpoints, ",
-                counts.text());
+  return concat("attempts in flight ", concurrency_limit_.in_flight(), " of ",
+                concurrency_limit_.limit(), ", response time ", concurrency_limit_.response_time(),
+                " (idle ", concurrency_limit_.idle_response_time(),
+                ") times the latency objective, ejected ", outlier_detector_.ejected_count(),
+                " of ", registry_.size(), " endpoints, ", counts.text());
 }
 
 int LoadBalancer::healthy_endpoints() const {
@@ -208,7 +210,8 @@
   concurrency_limit_.set_healthy_endpoints(healthy_endpoints());
 }
 
-// A random window of a large subset, so that the cost of a pick does not grow with it.
+// A pick considers a window of a large subset, at a random index, so that the time for a pick does
+// not grow with the subset. Returns the index.
 std::size_t LoadBalancer::first_considered(std::size_t subset_size) {
   if (subset_size <= kConsideredPerPick) {
     return 0;
@@ -216,16 +219,18 @@
   return static_cast<std::size_t>(uniform(random_state_) * static_cast<double>(subset_size));
 }
 
-// Gateways that see little of what endpoints hold would all pick the one that looks best, and the
-// slower ones would lie idle. So a few are drawn by their speed, the fewer the less of the load is
-// this gateway's own, and the best of those is taken.
+// A gateway that sends only a small part of the endpoints' load knows little about the rest. If all
+// such gateways picked the endpoint that appears best, that one would be overloaded and the slower
+// ones would be idle. Each gateway therefore draws a few endpoints, with probabilities proportional
+// to their speed, and picks the best of these. The smaller the gateway's part of the load, the
+// fewer endpoints it draws.
 std::size_t LoadBalancer::sample_size() const {
-  const int size = kLeastSampleSize + healthy_endpoints() / settings_.gateway_count;
+  const int size = kMinSampleSize + healthy_endpoints() / settings_.gateway_count;
   return static_cast<std::size_t>(size);
 }
 
 double LoadBalancer::max_attempts_per_speed() const {
-  return kUnevenness * concurrency_limit_.limit() / subset_.total_weight();
+  return kMaxShareFactor * concurrency_limit_.limit() / subset_.total_weight();
 }
 
 void LoadBalancer::consider(Micros now, Endpoint& endpoint, const AttemptEstimate& attempt,
@@ -243,20 +248,21 @@
   if (!slow_start_admits(now, endpoint, attempt.work)) {
     return;
   }
-  // Compared without the warm-up: drawn by it and compared by it too, warming endpoints would lie
-  // idle beside full ones.
+  // The cost excludes the warm-up fraction, which already makes it less likely that a warming
+  // endpoint is drawn. If its cost were higher too, a warming endpoint would be idle next to warm
+  // ones.
   const double load = in_flight + attempts_of_others(now, endpoint) + 1;
   double cost = load / speed * warmup_root;
   if (endpoint.is_in_other_zone) {
-    cost *= kOtherZoneCost;
+    cost *= kOtherZoneCostFactor;
   }
-  const double last_resort = endpoint.outlier.ejected ? kLastResortCost : 1;
+  const double last_resort = endpoint.outlier.ejected ? kLastResortFactor : 1;
   const double key = -std::log(1 - uniform(random_state_)) / speed * last_resort;
   candidates_.add(key, cost * last_resort, &endpoint);
 }
 
-// Where a whole zone is gone, more endpoints may be ejected than is useful: ejected ones are then
-// selectable, too, at the last resort's cost.
+// If a complete zone fails, more endpoints may be ejected than is useful. Ejected endpoints are
+// then selectable as a last resort.
 bool LoadBalancer::is_selectable(const Endpoint& endpoint) const {
   if (endpoint.outlier.ejected && !outlier_detector_.too_many_ejected(registry_.up_count())) {
     return false;
@@ -269,7 +275,7 @@
     return false;
   }
   outcome_counts_.add_ejection();
-  endpoint.last_used_at = now;  // so that it is kept until the ejection ends
+  endpoint.last_used_at = now;  // keeps the endpoint in memory until the ejection ends
   on_health_changed();
   return true;
 }
--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -1,8 +1,8 @@
-// Picks the endpoint of each attempt and learns from how attempts end.
+// Picks the endpoint of each attempt and learns from the outcomes of attempts.
 //
-// Ties the modules of this folder together: the registry of the list, this gateway's subset of it,
-// outlier detection, slow start and the limit of attempts in flight. Owned and called by the
-// Gateway alone; deterministic for a seed. Instants must not go backwards.
+// Combines the modules of this folder: the registry of listed endpoints, this gateway's subset,
+// outlier detection, slow start and the limit on attempts in flight. Owned and called only by
+// Gateway. Deterministic for a given seed. The times passed in must not go backwards.
 #pragma once
 
 #include <algorithm>
@@ -23,24 +23,25 @@
 
 namespace quota_gateway::policy {
 
-// What a caller expects of an attempt.
+// The expected cost of an attempt.
 struct AttemptEstimate {
-  double work = 0;                // s of an endpoint's time
-  double mean_response_time = 0;  // us, of its class
+  double work = 0;                // s of endpoint time
+  double mean_response_time = 0;  // us, of the request class
 };
 
 // How an attempt ended.
 struct AttemptResult {
   Outcome outcome = Outcome::kOk;
-  bool cancelled_as_stalled = false;  // by this gateway, since its endpoint made no progress
-  double relative_duration = 0;       // over what was expected of it
-  double objective_fraction = 0;      // its duration over the latency objective, scaled to its size
-  double mean_response_time = 0;      // us, of its class
+  bool cancelled_as_stalled = false;  // by this gateway, because the endpoint made no progress
+  double relative_duration = 0;       // as a multiple of the expected duration
+  double objective_fraction = 0;      // see ConcurrencySample
+  double mean_response_time = 0;      // us, of the request class
 };
 
 class LoadBalancer {
  public:
-  // `settings` must outlive this object; call `settings_changed` after each change of it.
+  // `settings` must outlive this object; `settings_changed` must be called after each change to
+  // them.
   LoadBalancer(const Settings& settings, std::uint64_t seed);
   LoadBalancer(const LoadBalancer&) = delete;
   LoadBalancer& operator=(const LoadBalancer&) = delete;
@@ -48,65 +49,68 @@
   void settings_changed();
   void update_endpoints(Micros now, const EndpointListUpdate& update);
 
-  // So many processes of this gateway run side by side.
+  // Sets the number of processes that serve as this gateway at the same time.
   void set_process_count(int processes) { slow_start_.set_process_count(processes); }
 
-  // Must be called once every kUpdatePeriod: updates estimates and forgets endpoints that were not
-  // used for long.
+  // Must be called once every kUpdatePeriod. Updates estimates and forgets endpoints that have not
+  // been used for the retention time.
   void on_period(Micros now);
 
-  // The endpoint where an attempt should end soonest, or null if none can take it now. Considers
-  // those for which `is_allowed(const Endpoint&)` is true. The endpoint stays valid while its
+  // Draws a few endpoints and returns the one where an attempt is expected to end soonest, or null
+  // if no endpoint can take the attempt now. Considers only endpoints for which
+  // `is_allowed(const Endpoint&)` returns true. The endpoint stays valid while its
   // `open_references` is not 0.
   template <typename IsAllowed>
   Endpoint* pick(Micros now, const AttemptEstimate& attempt, IsAllowed is_allowed);
 
-  // Is there an allowed endpoint that is not ejected, whether or not it can take an attempt at this
-  // moment?
+  // Returns whether an allowed endpoint is not ejected, even if it cannot take an attempt now.
   template <typename IsAllowed>
   bool any_available(Micros now, IsAllowed is_allowed);
 
-  // An attempt of this work (s) is sent: adds to the endpoint's `open_references`.
+  // Must be called when an attempt of this work (s) is sent. Increments the endpoint's
+  // `open_references`.
   void on_attempt_sent(Micros now, Endpoint& endpoint, double work);
 
-  // `attempts` more are with the endpoint, from the last byte of their requests to their end;
-  // negative when they end.
+  // Adds `attempts` to the endpoint's attempts in flight; negative when attempts end. An attempt is
+  // in flight from the last byte of its request to its end.
   void add_in_flight(Micros now, Endpoint& endpoint, int attempts);
 
-  // Returns whether the endpoint was ejected for it. `load` is what the endpoint reported with the
-  // answer.
+  // Returns whether the attempt caused the endpoint's ejection. `load` is the load report in the
+  // response.
   bool on_attempt_complete(Micros now, Endpoint& endpoint, const AttemptResult& result,
                            const LoadReport& load);
 
-  // An answer that had begun broke off. Returns whether the endpoint was ejected for it.
+  // Must be called when a response is cut off after its attempt was reported as successful. Returns
+  // whether this caused the endpoint's ejection.
   bool on_response_aborted(Micros now, const std::string& server);
 
-  // The endpoints that this gateway uses, in ring order. Valid until the next call of a non-const
-  // function.
+  // Returns the endpoints that this gateway uses, in ring order. Valid until the next call of a
+  // non-const function.
   const std::vector<Endpoint*>& subset(Micros now);
 
-  // May an attempt of this work (s) be sent to the endpoint, as far as its warm-up goes?
+  // Returns whether slow start lets an attempt of this work (s) be sent to the endpoint.
   bool slow_start_admits(Micros now, Endpoint& endpoint, double work) const;
 
-  // How many attempts of this gateway may be in flight.
+  // Maximum number of attempts of this gateway in flight.
   double in_flight_limit() const { return concurrency_limit_.limit(); }
 
-  // How much of that limit was used in the last second: 0 when nothing is in flight, 1 and more
-  // when it is exceeded.
+  // Returns how much of that limit was used recently, from 0 (nothing in flight) to 1 (the limit is
+  // exceeded).
   double utilization(Micros now) { return concurrency_limit_.utilization(now); }
 
-  // Endpoints that are draining, or were ejected and have not succeeded since.
+  // Number of endpoints that are draining, or were ejected and have not succeeded since.
   int unavailable_endpoints() const;
 
-  // Endpoints of which state is kept.
+  // Number of endpoints that have state in memory.
   std::size_t tracked_endpoints() const { return registry_.in_use_count(); }
 
-  // For the log: attempts in flight, response times over the latency objective, ejected endpoints,
-  // and how attempts have ended since the last call.
+  // Returns a summary for the log: attempts in flight, response times as multiples of the latency
+  // objective, ejected endpoints, and the outcomes of attempts since the last call.
   std::string describe_state(Micros now);
 
  private:
-  // How many endpoints of a large subset an attempt considers.
+  // Number of endpoints that a pick considers in a large subset; more only while none of them is a
+  // candidate.
   static constexpr std::size_t kConsideredPerPick = 16;
 
   int healthy_endpoints() const;
@@ -126,10 +130,10 @@
   EndpointSubset subset_;
   OutlierDetector outlier_detector_;
   ConcurrencyLimit concurrency_limit_;
-  WeightedSample<Endpoint> candidates_;  // of one pick; a member, so that its memory is used again
+  WeightedSample<Endpoint> candidates_;  // of one pick; a member to reuse its memory
 
   OutcomeCounts outcome_counts_;
-  Micros retention_;  // an endpoint that was not used for longer is forgotten
+  Micros retention_;  // endpoints that were not used for longer are forgotten
 };
 
 template <typename IsAllowed>
--- a/src/policy/endpoints/outcome_counts.hpp
+++ b/src/policy/endpoints/outcome_counts.hpp
@@ -1,4 +1,4 @@
-// How attempts ended, counted for the log.
+// Counts the outcomes of attempts, for the log.
 #pragma once
 
 #include <array>
@@ -13,18 +13,19 @@
  public:
   void add(Outcome outcome);
 
-  // An attempt that this gateway cancelled since its endpoint had stalled, whatever its outcome.
+  // Counts an attempt that this gateway cancelled because its endpoint had stalled. Replaces the
+  // call of `add` for this attempt.
   void add_stalled();
 
   void add_ejection();
 
-  // For the log; leaves out outcomes that did not occur.
+  // Returns the counts as text for the log, without outcomes that did not occur.
   std::string text() const;
 
  private:
   static constexpr std::size_t kStalled = static_cast<std::size_t>(Outcome::kNotSent) + 1;
 
-  std::array<int, kStalled + 1> counts_{};  // by outcome, and the stalled ones
+  std::array<int, kStalled + 1> counts_{};  // by outcome, followed by the stalled attempts
   int ejections_ = 0;
 };
 
--- a/src/policy/endpoints/outlier_detector.cpp
+++ b/src/policy/endpoints/outlier_detector.cpp
@@ -6,16 +6,16 @@
 namespace quota_gateway::policy {
 namespace {
 
-constexpr double kFaultyFailureRate = 0.6;       // of the attempts to a faulty endpoint
-constexpr double kLeastFailureRate = 0.04;       // of those to any endpoint, by chance
-constexpr double kFailureRateGain = 1.0 / 40;    // smoothing of the failure rate, per answer
-constexpr double kEjectionLogOdds = 4;           // reached by two failures where they are rare
-constexpr double kMaxEjectedFraction = 0.34;     // above it the fault is probably everyone's
+constexpr double kFaultyFailureRate = 0.6;       // of attempts at a faulty endpoint
+constexpr double kMinFailureRate = 0.04;         // of attempts at any endpoint, by chance
+constexpr double kFailureRateGain = 1.0 / 40;    // smoothing of the failure rate, per attempt
+constexpr double kEjectionLogOdds = 4;           // reached after two failures if failures are rare
+constexpr double kMaxEjectedFraction = 0.34;     // above it the fault is probably common to all
 constexpr Micros kEjectionDuration = 3'000'000;  // us; then the endpoint is on trial
 
 }  // namespace
 
-OutlierDetector::OutlierDetector() : failure_rate_(kLeastFailureRate) {}
+OutlierDetector::OutlierDetector() : failure_rate_(kMinFailureRate) {}
 
 bool OutlierDetector::too_many_ejected(std::size_t endpoints_up) const {
   return ejected_count_ > kMaxEjectedFraction * static_cast<double>(endpoints_up);
@@ -34,14 +34,14 @@
   return true;
 }
 
-// A gateway that sends an endpoint little waits long for failures in a row. So each failure counts
-// by how rare failures are; where all endpoints fail, it is next to no evidence against one.
+// If a fixed number of consecutive failures were required, a gateway that sends an endpoint few
+// attempts would detect a fault late. Instead, the rarer failures are in general, the more each one
+// counts. If all endpoints fail, a failure is almost no evidence against a single endpoint.
 bool OutlierDetector::on_failure(Micros now, Endpoint& endpoint) {
   OutlierState& state = endpoint.outlier;
   failure_rate_ =
       std::min(kFaultyFailureRate, failure_rate_ + kFailureRateGain * (1 - failure_rate_));
-  state.log_odds_faulty +=
-      std::log(kFaultyFailureRate / std::max(kLeastFailureRate, failure_rate_));
+  state.log_odds_faulty += std::log(kFaultyFailureRate / std::max(kMinFailureRate, failure_rate_));
   const bool is_suspect = state.on_trial || state.log_odds_faulty >= kEjectionLogOdds;
   if (!is_suspect || state.ejected_until > now) {
     return false;
@@ -68,7 +68,7 @@
   while (!ejections_.empty() && ejections_.front().ends_at <= now) {
     Endpoint& endpoint = *ejections_.front().endpoint;
     ejections_.pop_front();
-    // A restart may have ended the ejection, and a later one may have begun since.
+    // A restart may have ended this ejection early, and a later ejection may still be in force.
     if (endpoint.outlier.ejected && endpoint.outlier.ejected_until <= now) {
       endpoint.outlier.ejected = false;
       update_counts(endpoint);
--- a/src/policy/endpoints/outlier_detector.hpp
+++ b/src/policy/endpoints/outlier_detector.hpp
@@ -1,7 +1,8 @@
-// Finds endpoints that fail more often than the others and ejects them for some time.
+// Detects endpoints that fail more often than the others and ejects them temporarily.
 //
-// Owned by LoadBalancer; owns Endpoint::outlier. An ejected endpoint gets no attempts for a few
-// seconds, and then one at a time, on trial, until one of them succeeds.
+// Owned by LoadBalancer; maintains Endpoint::outlier. An ejected endpoint gets no attempts for a
+// few seconds, unless too many endpoints are ejected. The endpoint is then on trial: it gets one
+// attempt at a time until one succeeds.
 #pragma once
 
 #include <cstddef>
@@ -16,27 +17,30 @@
  public:
   OutlierDetector();
 
-  // Endpoints that are up and ejected, or on trial. Valid after update_counts for each endpoint
-  // whose `is_up` changed.
+  // Number of endpoints that are up and ejected, or up and on trial. Valid only if update_counts
+  // was called for each endpoint after a change of its `is_up`.
   int ejected_count() const { return ejected_count_; }
   int on_trial_count() const { return on_trial_count_; }
 
-  // So many endpoints are ejected that the fault is probably not theirs; ejected ones may then get
-  // attempts too.
+  // Returns whether so many endpoints are ejected that the fault is probably not their own. Ejected
+  // endpoints may then get attempts too.
   bool too_many_ejected(std::size_t endpoints_up) const;
 
-  // Returns whether the endpoint's trial ended by this success.
+  // Returns whether this success ended a trial of the endpoint.
   bool on_success(Endpoint& endpoint);
 
-  // Returns whether the endpoint was ejected. It must stay in memory until the ejection ends.
+  // Returns whether this failure ejected the endpoint. An ejected endpoint must stay in memory
+  // until its ejection ends.
   bool on_failure(Micros now, Endpoint& endpoint);
 
-  // A new process serves there: what was learned of the old one is void.
+  // Must be called when the endpoint's process has restarted. Ends an ejection or trial and
+  // discards the evidence, because these concern the previous process.
   void on_restart(Endpoint& endpoint);
 
-  // Ends the ejections whose time is over. Returns whether there was any.
+  // Ends the ejections that have expired. Returns whether there were any.
   bool end_expired_ejections(Micros now);
 
+  // Must be called after a change of the endpoint's `is_up`.
   void update_counts(Endpoint& endpoint);
 
  private:
@@ -48,7 +52,7 @@
   double failure_rate_;  // of all endpoints; smoothed
   int ejected_count_ = 0;
   int on_trial_count_ = 0;
-  std::deque<Ejection> ejections_;  // by their end
+  std::deque<Ejection> ejections_;  // ordered by `ends_at`
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/endpoints/slow_start.cpp
+++ b/src/policy/endpoints/slow_start.cpp
@@ -7,11 +7,11 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Fraction of a warming endpoint's budget that this gateway spends: estimates differ between
-// gateways.
-constexpr double kBudgetSafety = 0.55;
+// Fraction of a warming endpoint's budget that this gateway uses. Leaves a margin because estimates
+// differ between gateways.
+constexpr double kBudgetSafetyFactor = 0.55;
 
-// Smoothing of the peers' rate, per period.
+// Smoothing of the rate sent to warm endpoints, per period.
 constexpr double kPeerRateGain = 0.3;
 
 }  // namespace
@@ -26,9 +26,9 @@
   return std::clamp(least + (1 - least) * age, least, 1.0);
 }
 
-// A warming endpoint that gets too much fails for good. This gateway keeps to its own share of what
-// the endpoint can bear; what it sends a warm peer is taken for its share of a warm endpoint's
-// load.
+// A warming endpoint that gets too much work fails permanently. This gateway therefore stays within
+// its own share of the endpoint's capacity. The work that it sends to a warm endpoint serves as the
+// estimate of its share of a warm endpoint's load.
 bool SlowStart::admits(Micros now, Endpoint& endpoint, double work, SubsetShare share) const {
   const double warmup = warmup_fraction(now, endpoint);
   if (warmup >= 1) {
@@ -38,9 +38,11 @@
   const double sharing_gateways = settings_.gateway_count * process_count_ *
                                   static_cast<double>(share.subset_size) /
                                   static_cast<double>(std::max<std::size_t>(1, share.endpoints_up));
-  const double budget = kBudgetSafety * settings_.slow_start_overload_factor * warmup * peer_rate_ *
-                        effective_weight(endpoint) * window / kMicrosPerSecond / process_count_;
-  // Where the budget of a window is less than one attempt, attempts are so much further apart.
+  const double budget = kBudgetSafetyFactor * settings_.slow_start_overload_factor * warmup *
+                        peer_rate_ * effective_weight(endpoint) * window / kMicrosPerSecond /
+                        process_count_;
+  // If the attempt exceeds the budget of one window, the span grows in proportion, so that attempts
+  // are spaced further apart.
   const double span = window * std::clamp(work / std::max(budget, 1e-9), 1.0, sharing_gateways);
   SlidingWindowSum& recent_work = endpoint.slow_start.work_while_warming;
   const double spent = recent_work.sum_within(now, span);
--- a/tests/policy/endpoints/concurrency_limit_test.cpp
+++ b/tests/policy/endpoints/concurrency_limit_test.cpp
@@ -1,4 +1,4 @@
-// How many attempts a gateway may have in flight at a server.
+// Tests of the limit on the number of attempts that a gateway has in flight.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -41,9 +41,9 @@
   for (int i = 0; i < 200; ++i) {
     forwarded += attempts(gateway.arrive(kMillisecond, numbered("r", i))).size();
   }
-  EXPECT_LE(forwarded, 8U);  // five a server over two gateways
-  // Requests behind more than can be forwarded in time are rejected at once, the others after they
-  // waited.
+  EXPECT_LE(forwarded, 8U);  // five per server, divided between two gateways
+  // A request is rejected immediately if too many requests wait ahead of it for it to be forwarded
+  // in time. The other requests that are not forwarded are rejected after a wait.
   const std::size_t rejected_at_once = rejections(gateway.actions()).size();
   EXPECT_GE(rejected_at_once, 150U);
   EXPECT_LT(rejected_at_once + forwarded, 200U);
@@ -51,7 +51,7 @@
   EXPECT_EQ(rejections(gateway.actions()).size() + forwarded, 200U);
 }
 
-TEST(ConcurrencyLimit, SlowAnswersToABurstLeaveTheGatewayItsEvenShare) {
+TEST(ConcurrencyLimit, SlowResponsesToABurstDoNotLowerTheLimitBelowTheEvenShare) {
   GatewayHarness gateway;
   std::vector<SendAttempt> sent;
   for (int i = 0; i < 8; ++i) {
--- a/tests/policy/endpoints/endpoint_subset_test.cpp
+++ b/tests/policy/endpoints/endpoint_subset_test.cpp
@@ -1,4 +1,4 @@
-// Each gateway of a large fleet uses a subset of the endpoints.
+// Tests that each gateway of a large fleet uses only a suitable subset of the endpoints.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-// Endpoints of `failing` refuse connections, the others serve.
+// Returns a function by which the endpoints in `failing` refuse connections and all others succeed.
 OutcomeOf refusing_connections(const std::set<std::string>& failing) {
   return [&failing](const std::string& endpoint) {
     return failing.contains(endpoint) ? Outcome::kConnectFailed : Outcome::kOk;
@@ -19,10 +19,10 @@
 }
 
 TEST(EndpointSubset, ConnectionsStayBoundedAndEvenAsGatewaysAreAdded) {
-  // Without this, each of a hundred gateways would connect to each of sixty endpoints.
+  // Guards against each of a hundred gateways connecting to each of sixty endpoints.
   for (const int gateway_count : {2, 10, 40, 100, 200}) {
     GatewayFleet fleet(gateway_count, 60);
-    fleet.rounds(1, gateway_count > 50 ? 600 : 1'500, 50 * kMillisecond, always_ok);
+    fleet.run_rounds(1, gateway_count > 50 ? 600 : 1'500, 50 * kMillisecond, always_ok);
     std::map<std::string, int> gateways_using;
     for (const auto& used : fleet.used_endpoints()) {
       EXPECT_GE(used.size(), 6U);
@@ -31,21 +31,22 @@
       }
     }
     EXPECT_EQ(gateways_using.size(), 60U) << gateway_count;  // no endpoint is left unused
-    int least = gateway_count;
-    int most = 0;
+    int min_gateways = gateway_count;
+    int max_gateways = 0;
     for (const auto& [endpoint, gateways] : gateways_using) {
-      least = std::min(least, gateways);
-      most = std::max(most, gateways);
+      min_gateways = std::min(min_gateways, gateways);
+      max_gateways = std::max(max_gateways, gateways);
     }
-    EXPECT_LE(most, std::max(12, gateway_count / 10 + 4)) << gateway_count;
-    EXPECT_GE(least, std::min(gateway_count, 8)) << gateway_count;
+    EXPECT_LE(max_gateways, std::max(12, gateway_count / 10 + 4)) << gateway_count;
+    EXPECT_GE(min_gateways, std::min(gateway_count, 8)) << gateway_count;
   }
 }
 
-TEST(EndpointSubset, IsWidenedWhenItsEndpointsFail) {
-  // Without this, a gateway whose whole subset is lost, as with a zone, would serve nothing.
+TEST(EndpointSubset, GrowsWhenItsEndpointsFail) {
+  // If the subset did not grow, a gateway that lost all of its endpoints, for example with a zone,
+  // could not serve any request.
   GatewayFleet fleet(100, 60);
-  fleet.rounds(1, 40, 50 * kMillisecond, always_ok);
+  fleet.run_rounds(1, 40, 50 * kMillisecond, always_ok);
   const std::set<std::string> lost = fleet.used_endpoints()[0];
   const OutcomeOf outcome_of = refusing_connections(lost);
   GatewayHarness& gateway = fleet.gateway(0);
@@ -64,14 +65,14 @@
   EXPECT_GE(served, 95);
 }
 
-TEST(EndpointSubset, OneMoreEndpointLeavesMostOfItUnchanged) {
-  // Without this, all gateways would reconnect to other endpoints on each change of the list.
+TEST(EndpointSubset, AddingAnEndpointKeepsMostOfEachSubset) {
+  // Guards against all gateways reconnecting to other endpoints on each change of the list.
   GatewayFleet fleet(100, 60);
-  fleet.rounds(1, 40, 50 * kMillisecond, always_ok);
+  fleet.run_rounds(1, 40, 50 * kMillisecond, always_ok);
   const auto before = fleet.used_endpoints();
   fleet.reset_usage();
-  fleet.handle_everywhere(2'001 * kMillisecond, partial_update(make_endpoints({"fresh"})));
-  fleet.rounds(41, 80, 50 * kMillisecond, always_ok);
+  fleet.broadcast(2'001 * kMillisecond, partial_update(make_endpoints({"fresh"})));
+  fleet.run_rounds(41, 80, 50 * kMillisecond, always_ok);
   std::size_t total = 0;
   std::size_t kept = 0;
   for (std::size_t i = 0; i < before.size(); ++i) {
@@ -83,21 +84,23 @@
   EXPECT_GE(kept, total * 8 / 10);
 }
 
-TEST(EndpointSubset, UnreachableEndpointsAreDialledRarelyHoweverManyGatewaysThereAre) {
-  // An outdated list names endpoints that refuse connections. Each gateway serves five requests a
-  // second.
+TEST(EndpointSubset, UnreachableEndpointsAreRarelyDialledInFleetsOfAnySize) {
+  // An outdated list contains endpoints that refuse connections. Each gateway serves five requests
+  // per second.
   for (const int gateway_count : {20, 100}) {
     GatewayFleet fleet(gateway_count, 60);
-    const std::set<std::string> gone(fleet.endpoints().begin(), fleet.endpoints().begin() + 20);
-    const OutcomeOf outcome_of = refusing_connections(gone);
-    fleet.rounds(1, 25, 200 * kMillisecond, outcome_of);
+    const std::set<std::string> unreachable(fleet.endpoints().begin(),
+                                            fleet.endpoints().begin() + 20);
+    const OutcomeOf outcome_of = refusing_connections(unreachable);
+    fleet.run_rounds(1, 25, 200 * kMillisecond, outcome_of);
     fleet.reset_usage();
-    fleet.rounds(26, 75, 200 * kMillisecond, outcome_of);
+    fleet.run_rounds(26, 75, 200 * kMillisecond, outcome_of);
     int dials = 0;
-    for (const auto& endpoint : gone) {
+    for (const auto& endpoint : unreachable) {
       dials += fleet.attempts_at(endpoint);
     }
-    // In 10 s; a gateway that learnt nothing would dial in a third of its 50 requests.
+    // In 10 s. Without outlier detection, a gateway would dial an unreachable endpoint for a third
+    // of its 50 requests.
     EXPECT_LE(dials, gateway_count * 3) << gateway_count;
   }
 }
--- a/tests/policy/endpoints/load_balancer_cost_test.cpp
+++ b/tests/policy/endpoints/load_balancer_cost_test.cpp
@@ -1,5 +1,5 @@
-// What endpoint lists of all sizes cost a gateway: processor time of requests and changes, and
-// memory.
+// Measures the processor time that a gateway needs for requests and list changes, and its memory,
+// with endpoint lists of different sizes.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -22,7 +22,7 @@
 namespace quota_gateway::testing {
 namespace {
 
-constexpr std::int64_t kPeriodicTimer = 0;  // token of the timer that a gateway always keeps
+constexpr std::int64_t kPeriodicTimer = 0;  // token of the timer that is always set
 
 double processor_time_us() {
   timespec time{};
@@ -35,7 +35,7 @@
   return static_cast<double>(info.uordblks) + static_cast<double>(info.hblkhd);
 }
 
-// One gateway under steady requests that are answered after 20 ms.
+// One gateway that gets a request every 4 ms; servers respond after 20 ms.
 class LoadedGateway {
  public:
   LoadedGateway(int gateway_count, int endpoint_count)
@@ -46,7 +46,8 @@
     }
   }
 
-  // Processor time of each of `count` requests, with all that happens meanwhile; us.
+  // Returns the processor time per request, over `count` requests, in us. Includes the completions
+  // and timers that are due between the requests.
   double cost_of_requests(int count) {
     const double before = processor_time_us();
     for (int i = 0; i < count; ++i) {
@@ -55,7 +56,7 @@
     return (processor_time_us() - before) / count;
   }
 
-  // Processor time of one change of the list; us.
+  // Returns the processor time of one update of the list, in us.
   double cost_of_change(const std::vector<EndpointEntry>& entries) {
     const std::vector<Event> events{partial_update(entries)};
     const double before = processor_time_us();
@@ -89,7 +90,7 @@
     gateway_.handle(now_, events, actions_);
     for (const Action& action : actions_) {
       if (const auto* attempt = std::get_if<SendAttempt>(&action)) {
-        answer_later(*attempt);
+        schedule_answer(*attempt);
       }
       const auto* timer = std::get_if<SetTimer>(&action);
       if (timer != nullptr && timer->token == kPeriodicTimer) {
@@ -98,7 +99,7 @@
     }
   }
 
-  void answer_later(const SendAttempt& attempt) {
+  void schedule_answer(const SendAttempt& attempt) {
     AttemptCompleted completed;
     completed.id = attempt.id;
     completed.server = attempt.server;
@@ -129,15 +130,16 @@
 };
 
 struct Cost {
-  double least_us = 0;
-  double ratio = 0;  // to the cost at the first size; the median of the rounds
+  double min_us = 0;
+  double ratio = 0;  // to the cost at the first list size; median over the rounds
 };
 
-// `measure(gateway, endpoint_count, round)` gives a cost in us. Gateways with lists of several
-// sizes take turns, and each round is compared in itself: all meet the same load of the machine.
+// Compares the costs at several list sizes. `measure(gateway, endpoint_count, round)` returns a
+// cost in us. The gateways take turns, and ratios are computed within a round, so that all of them
+// are measured under the same load of the machine.
 template <typename Measure>
 std::vector<Cost> compare_costs(const std::vector<int>& endpoint_counts, int gateway_count,
-                                const char* what, Measure measure) {
+                                const char* operation, Measure measure) {
   constexpr std::size_t kRounds = 61;
   std::vector<std::unique_ptr<LoadedGateway>> gateways;
   gateways.reserve(endpoint_counts.size());
@@ -157,16 +159,16 @@
     const auto median = ratios[i].begin() + kRounds / 2;
     std::nth_element(ratios[i].begin(), median, ratios[i].end());
     result.push_back({*std::min_element(costs[i].begin(), costs[i].end()), *median});
-    std::printf("%d gateways, %d endpoints: %.2f us a %s at the least, %.2f times\n", gateway_count,
-                endpoint_counts[i], result[i].least_us, what, result[i].ratio);
+    std::printf("%d gateways, %d endpoints: %.2f us per %s at minimum, ratio %.2f\n", gateway_count,
+                endpoint_counts[i], result[i].min_us, operation, result[i].ratio);
     EXPECT_GE(gateways[i]->sent_count(), gateways[i]->request_count() * 9 / 10);
   }
   return result;
 }
 
-// A walk over the list for each request took 90 times as long at 20,000 endpoints, and 2,000 times
-// at 170,000.
-TEST(LoadBalancerCost, ARequestCostsAboutTheSameHoweverManyEndpointsAreListed) {
+// Guards against a scan of the list for each request, which took 90 times as long at 20,000
+// endpoints as at 200, and 2,000 times as long at 170,000.
+TEST(LoadBalancerCost, CostPerRequestIsNearlyIndependentOfListSize) {
   for (const int gateway_count : {300, 7'400}) {
     const auto costs = compare_costs(
         {200, 2'000, 20'000, 170'000}, gateway_count, "request",
@@ -177,7 +179,7 @@
   }
 }
 
-// One of five kinds of change, by `number`, to a list of `endpoint_count`.
+// Returns a change to a list of `endpoint_count` endpoints. `number` selects one of five kinds.
 EndpointEntry change_of_list(int number, int endpoint_count, Micros now) {
   const auto random = mix(static_cast<std::uint64_t>(number));
   EndpointEntry entry =
@@ -201,8 +203,9 @@
   return entry;
 }
 
-// A ring that was sorted anew for each change took 4,000 times as long at 170,000 endpoints.
-TEST(LoadBalancerCost, AChangeCostsAboutTheSameHoweverManyEndpointsAreListed) {
+// Guards against sorting the ring again for each change, which took 4,000 times as long at 170,000
+// endpoints as at 200.
+TEST(LoadBalancerCost, CostPerChangeIsNearlyIndependentOfListSize) {
   constexpr int kChangesPerRound = 50;
   const auto costs = compare_costs(
       {200, 20'000, 170'000}, 7'400, "change",
@@ -216,44 +219,45 @@
         return sum / kChangesPerRound;
       });
   for (const Cost& cost : costs) {
-    EXPECT_LE(cost.ratio, 6);  // more than 1, since a longer list lies farther apart in memory
+    EXPECT_LE(cost.ratio, 6);  // above 1, because a longer list is spread over more memory
   }
 }
 
-// Each update of a lost zone, and the request after it, must cost by the update's size and not by
-// the list's.
-TEST(LoadBalancerCost, LosingAZoneInManyUpdatesCostsWhatTheUpdatesHold) {
-  constexpr int kLost = 24'000;
-  constexpr int kLostOfBoth = 20'000;
-  constexpr int kPerUpdate = 300;
+// When a zone is lost in many updates, the cost of each update must depend on the size of the
+// update and not on the size of the list.
+TEST(LoadBalancerCost, RemovingAZoneInManyUpdatesDoesNotDependOnListSize) {
+  constexpr int kRemovedFromLarge = 24'000;
+  constexpr int kRemovedFromBoth = 20'000;
+  constexpr int kEndpointsPerUpdate = 300;
   for (const int gateway_count : {300, 7'400}) {
     LoadedGateway large(gateway_count, 170'000);
     LoadedGateway small(gateway_count, 24'000);
     double sum_large = 0;
     double sum_small = 0;
-    double most = 0;
-    double sum_of_requests = 0;
-    for (int first = 0; first < kLost; first += kPerUpdate) {
-      const auto lost = fleet_endpoints(first, first + kPerUpdate, EndpointState::kRemoved);
+    double max_update_cost = 0;
+    double sum_request_cost = 0;
+    for (int first = 0; first < kRemovedFromLarge; first += kEndpointsPerUpdate) {
+      const auto lost =
+          fleet_endpoints(first, first + kEndpointsPerUpdate, EndpointState::kRemoved);
       const double cost = large.cost_of_change(lost);
       sum_large += cost;
-      most = std::max(most, cost);
-      sum_of_requests += large.cost_of_requests(1);
-      if (first < kLostOfBoth) {
+      max_update_cost = std::max(max_update_cost, cost);
+      sum_request_cost += large.cost_of_requests(1);
+      if (first < kRemovedFromBoth) {
         sum_small += small.cost_of_change(lost);
       }
     }
     std::printf(
-        "%d gateways: 24,000 removed in %.1f ms, the worst update %.2f ms, requests between %.2f "
-        "ms\n",
-        gateway_count, sum_large / 1e3, most / 1e3, sum_of_requests / 1e3);
+        "%d gateways: 24,000 endpoints removed in %.1f ms, slowest update %.2f ms, requests "
+        "between updates %.2f ms\n",
+        gateway_count, sum_large / 1e3, max_update_cost / 1e3, sum_request_cost / 1e3);
     EXPECT_LE(sum_large, 6 * sum_small);
   }
 }
 
-TEST(LoadBalancerCost, AListOf170000TakesLittleMemoryAndIsNotWalkedToCountEndpoints) {
+TEST(LoadBalancerCost, ListOf170000EndpointsFitsInMemoryLimitAndIsNotScannedForCounts) {
 #if defined(__SANITIZE_ADDRESS__)
-  GTEST_SKIP() << "the sanitizer's allocator reports no heap size";
+  GTEST_SKIP() << "the allocator of AddressSanitizer does not report the heap size";
 #endif
   const double before = heap_bytes();
   const auto list =
@@ -275,7 +279,7 @@
     gateway.handle(second * kSecond, {TimerFired{kPeriodicTimer}}, actions);
   }
   EXPECT_EQ(unavailable_endpoints, 0);
-  // A walk over the list for each count would take hundreds of times as long.
+  // A scan of the list for each of the 500 counts would take hundreds of times as long.
   EXPECT_LE(processor_time_us() - count_started, update_time);
 }
 
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -30,27 +30,28 @@
   return request;
 }
 
-// A gateway under random changes of its list, failures that widen its subset, whole lists and
-// settings that move it elsewhere; checks that each attempt goes to an endpoint that is up.
+// Runs a gateway with random changes of its list, complete lists, failures that enlarge its subset
+// and settings that move its subset. Checks that each attempt goes to an endpoint that is up.
 class ChangingFleet {
  public:
   explicit ChangingFleet(int gateway_count)
       : settings_(fleet_settings(gateway_count)), gateway_(settings_, 3) {
-    gateway_.handle(0, {complete_list(remember(fleet_endpoints(0, kEndpoints)))}, actions_);
+    gateway_.handle(0, {complete_list(record_states(fleet_endpoints(0, kEndpoints)))}, actions_);
   }
 
   void step(int number) {
     const Micros now = number * kInterval;
     std::vector<Event> events;
-    // Drawn at each step, so that the draws of later steps do not depend on whether it is used.
+    // Drawn at each step, so that the random numbers of later steps do not depend on whether this
+    // step uses the changes.
     std::vector<EndpointEntry> changes = random_changes(now);
     if (number % 500 == 0) {
       for (auto& [name, state] : states_) {
         state = EndpointState::kRemoved;
       }
-      events.emplace_back(complete_list(remember(fleet_endpoints(number / 50, 550))));
+      events.emplace_back(complete_list(record_states(fleet_endpoints(number / 50, 550))));
     } else {
-      events.emplace_back(partial_update(remember(std::move(changes))));
+      events.emplace_back(partial_update(record_states(std::move(changes))));
     }
     if (number % 700 == 0) {
       settings_.gateway_index += 5;
@@ -92,7 +93,7 @@
  private:
   static constexpr int kEndpoints = 600;
 
-  std::vector<EndpointEntry> remember(std::vector<EndpointEntry> entries) {
+  std::vector<EndpointEntry> record_states(std::vector<EndpointEntry> entries) {
     for (const EndpointEntry& entry : entries) {
       states_[entry.server] = entry.state;
     }
@@ -117,7 +118,7 @@
     return changes;
   }
 
-  // Three of ten fail.
+  // Returns the end of an attempt; three of ten attempts fail.
   AttemptCompleted complete(const SendAttempt& sent, int attempt) {
     AttemptCompleted completed;
     completed.id = sent.id;
@@ -137,7 +138,7 @@
   int sent_count_ = 0;
 };
 
-TEST(LoadBalancer, NothingIsSentToADrainingOrRemovedEndpointHoweverSubsetsMove) {
+TEST(LoadBalancer, NoAttemptIsSentToADrainingOrRemovedEndpointWhileSubsetsMove) {
   for (const int gateway_count : {5, 60, 2'000}) {
     ChangingFleet fleet(gateway_count);
     for (int number = 1; number <= 3'000; ++number) {
@@ -150,7 +151,7 @@
   }
 }
 
-TEST(LoadBalancer, NoMoreEndpointsAreTrackedThanTheSubsetsOfTheLastMinuteHeld) {
+TEST(LoadBalancer, OnlyEndpointsOfRecentSubsetsAreTracked) {
   Settings settings = fleet_settings(1'000);
   LoadBalancer load_balancer(settings, 1);
   load_balancer.update_endpoints(0, complete_list(fleet_endpoints(0, 10'000)));
@@ -164,9 +165,9 @@
   }
 }
 
-// The attempt would otherwise refer to an endpoint whose state is gone: it left the list minutes
-// before the end.
-TEST(LoadBalancer, AStreamedAnswerMayOutliveItsEndpointInTheList) {
+// Guards against an attempt that refers to an endpoint state that was already deleted: the endpoint
+// is removed from the list minutes before the streamed response ends.
+TEST(LoadBalancer, StreamedResponseMayEndAfterItsEndpointWasRemoved) {
   Gateway gateway(fleet_settings(1), 1);
   std::vector<Action> actions;
   gateway.handle(0, {complete_list(fleet_endpoints(0, 3))}, actions);
--- a/tests/policy/endpoints/load_balancing_test.cpp
+++ b/tests/policy/endpoints/load_balancing_test.cpp
@@ -1,5 +1,5 @@
-// Which server gets a request, as seen in the gateway's actions. load_balancer_test.cpp tests the
-// class itself.
+// Tests of load balancing through the actions of a gateway. load_balancer_test.cpp tests the class
+// LoadBalancer.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -27,8 +27,9 @@
   }
 }
 
-TEST(LoadBalancing, FastErrorsAttractNoMoreRequests) {
-  // Without this, a faulty server that serves one request in five would seem to be the fastest.
+TEST(LoadBalancing, FastErrorsDoNotAttractRequests) {
+  // Guards against a faulty server, which serves only one request in five, appearing to be the
+  // fastest because it fails quickly.
   Settings settings = basic_settings();
   set_quota(settings, 1000, 1000);
   GatewayHarness gateway(settings);
@@ -48,7 +49,7 @@
   EXPECT_GT(attempts_at["b"] + attempts_at["c"], 300);
 }
 
-TEST(LoadBalancing, OverloadAnsweredForOnePlanIsRetriedElsewhereAndLowersNoLimit) {
+TEST(LoadBalancing, OverloadOfOnePlanIsRetriedElsewhereAndDoesNotLowerTheLimit) {
   Settings settings = basic_settings();
   set_quota(settings, 1000, 1000);
   GatewayHarness gateway(settings);
@@ -68,8 +69,8 @@
   EXPECT_EQ(served, 100);
 }
 
-// Serves requests until each of `server_count` servers has reported its load: server a is nearly
-// idle, the others are not.
+// Serves requests until each of `server_count` servers has reported its load. Server a reports that
+// it is nearly idle, the others do not.
 void collect_load_reports(GatewayHarness& gateway, std::size_t server_count) {
   std::set<std::string> reported;
   for (int i = 0; i < 100 && reported.size() < server_count; ++i) {
@@ -100,14 +101,14 @@
   EXPECT_LT(picked["a"], 45);
 }
 
-TEST(LoadBalancing, PausesOfTheGatewayAreNotTakenForSlowServers) {
+TEST(LoadBalancing, PausesOfTheGatewayDoNotCountAsSlowServers) {
   GatewayHarness gateway(settings_with_unlimited_quota());
   Micros now = kSecond;
   std::size_t forwarded = 0;
   for (int i = 0; i < 200; ++i) {
     const auto sent = attempts(gateway.arrive(now, numbered("r", i)));
     forwarded += sent.size();
-    // The gateway sees every second answer a second late; it took 10 ms.
+    // The gateway processes every second response a second late, although it took only 10 ms.
     for (const SendAttempt& attempt : sent) {
       if (i % 2 == 1) {
         now += kSecond;
--- a/tests/policy/endpoints/outlier_detector_test.cpp
+++ b/tests/policy/endpoints/outlier_detector_test.cpp
@@ -1,4 +1,4 @@
-// Servers that fail more than the others are ejected.
+// Tests that servers that fail more often than the others are ejected.
 #include "policy/endpoints/outlier_detector.hpp"
 
 #include <gtest/gtest.h>
@@ -19,8 +19,8 @@
 using policy::Endpoint;
 using policy::OutlierDetector;
 
-// Serves one request of a steady 50 a second; `outcome_of(server)` ends its attempts, each after 10
-// to 30 ms.
+// Serves request number `number` of a steady 50 per second. `outcome_of(server)` determines the
+// outcome of each attempt, which takes 10 to 30 ms.
 template <typename OutcomeOf>
 void serve_steadily(GatewayHarness& gateway, int number, const OutcomeOf& outcome_of) {
   const Micros duration = (10 + number * 7 % 21) * kMillisecond;
@@ -29,7 +29,7 @@
   });
 }
 
-TEST(OutlierDetector, ResponsesAbortedInARowEject) {
+TEST(OutlierDetector, ConsecutiveAbortedResponsesEjectAServer) {
   GatewayHarness gateway(basic_settings(), make_endpoints({"a", "b"}));
   gateway.arrive(kMillisecond, "r");
   for (int i = 0; i < 3; ++i) {
@@ -44,9 +44,9 @@
   }
 }
 
-TEST(OutlierDetector, TwoFailuresEjectWhereFailuresAreRare) {
-  // Without this, each of a hundred gateways would need a third failure in a row to find a faulty
-  // server.
+TEST(OutlierDetector, TwoFailuresEjectAServerIfFailuresAreRare) {
+  // Guards against each of a hundred gateways needing a third consecutive failure to detect a
+  // faulty server.
   GatewayHarness gateway(settings_with_unlimited_quota(),
                          make_endpoints({"a", "b", "c", "d", "e", "f"}));
   int attempts_at_faulty = 0;
@@ -67,7 +67,7 @@
 }
 
 TEST(OutlierDetector, RandomFailuresOrAFaultOfAllServersEjectOnlyAFew) {
-  // One attempt in twenty fails at any server, later all attempts do at all servers.
+  // First, one attempt in twenty fails at random, at any server. Later, all attempts fail.
   GatewayHarness gateway(settings_with_unlimited_quota(),
                          make_endpoints({"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}));
   struct Usage {
@@ -96,7 +96,7 @@
   EXPECT_GE(with_all_failing.attempts, 100);
 }
 
-TEST(OutlierDetector, FailuresInARowEject) {
+TEST(OutlierDetector, ConsecutiveFailuresEjectAServer) {
   GatewayHarness gateway;
   std::set<std::string> used_later;
   for (int i = 0; i < 30; ++i) {
@@ -111,12 +111,12 @@
   EXPECT_FALSE(used_later.contains("a"));
 }
 
-TEST(OutlierDetector, AnEjectionEndsInATrialAndATrialInASuccess) {
+TEST(OutlierDetector, EjectionIsFollowedByATrialThatEndsWithASuccess) {
   OutlierDetector detector;
   Endpoint endpoint;
   endpoint.is_up = true;
   EXPECT_FALSE(detector.on_failure(0, endpoint));
-  EXPECT_TRUE(detector.on_failure(0, endpoint));  // the second, where failures are rare
+  EXPECT_TRUE(detector.on_failure(0, endpoint));  // two are enough if failures are rare
   EXPECT_TRUE(endpoint.outlier.ejected);
   EXPECT_EQ(detector.ejected_count(), 1);
   EXPECT_EQ(detector.on_trial_count(), 1);
@@ -131,7 +131,7 @@
   EXPECT_EQ(detector.on_trial_count(), 0);
 }
 
-TEST(OutlierDetector, ARestartVoidsAnEjectionAndItsEvidence) {
+TEST(OutlierDetector, RestartClearsTheEjectionAndItsEvidence) {
   OutlierDetector detector;
   Endpoint endpoint;
   endpoint.is_up = true;
@@ -144,9 +144,10 @@
   EXPECT_FALSE(detector.end_expired_ejections(4 * kSecond));
 }
 
-// The ejection would otherwise end on an endpoint whose state is gone, which the sanitized build
-// would see: the endpoint was last used a minute before.
-TEST(OutlierDetector, AnEndpointThatIsEjectedLateIsKeptUntilTheEjectionEnds) {
+// Guards against the end of an ejection accessing a deleted endpoint, which a build with sanitizers
+// detects. The endpoint is removed and unused for a minute before its ejection, so that its state
+// is about to be deleted.
+TEST(OutlierDetector, EndpointEjectedLateIsKeptUntilTheEjectionEnds) {
   Gateway gateway(fleet_settings(1), 1);
   std::vector<Action> actions;
   gateway.handle(0, {complete_list(fleet_endpoints(0, 3))}, actions);
@@ -154,7 +155,7 @@
   EndpointEntry removed;
   removed.server = server;
   removed.state = EndpointState::kRemoved;
-  gateway.handle(2 * kMillisecond, {TimerFired{0}}, actions);  // so that all three are in use
+  gateway.handle(2 * kMillisecond, {TimerFired{0}}, actions);  // marks all three as in use
   gateway.handle(3 * kMillisecond, {partial_update({removed})}, actions);
   for (int second = 1; second < 64; ++second) {
     gateway.handle(second * kSecond, {TimerFired{0}}, actions);
--- a/tests/policy/endpoints/slow_start_test.cpp
+++ b/tests/policy/endpoints/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Servers that have just started are warmed up with a growing part of their full load.
+// Tests that recently started servers get a growing part of their full load while they warm up.
 #include "policy/endpoints/slow_start.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 using policy::LoadBalancer;
 using policy::SlowStart;
 
-TEST(SlowStart, WarmingUpServerGetsOneRequestAWindowUntilOthersAreObserved) {
+TEST(SlowStart, WarmingServerGetsOneRequestPerWindowUntilThePeerRateIsKnown) {
   Settings settings = basic_settings();
   settings.slow_start_min_fraction = 0.2;
   settings.slow_start_duration = 15 * kSecond;
@@ -31,8 +31,8 @@
   EXPECT_EQ(attempts(gateway.actions()).size(), 1U);
 }
 
-// Six in ten of sixty servers restart at once behind a hundred gateways, which together serve 500
-// requests a second.
+// Sixty servers behind a hundred gateways, which together serve 500 requests per second. Six in ten
+// of the servers restart at the same time.
 class SlowStartOfManyServers : public ::testing::Test {
  protected:
   static constexpr int kServers = 60;
@@ -40,24 +40,24 @@
   static constexpr double kMinFraction = 0.26;
   static constexpr double kDurationSeconds = 17;
   static constexpr double kOverloadFactor = 2.5;
-  static constexpr int kRoundsASecond = 5;
-  static constexpr Micros kInterval = kSecond / kRoundsASecond;
+  static constexpr int kRoundsPerSecond = 5;
+  static constexpr Micros kInterval = kSecond / kRoundsPerSecond;
 
   SlowStartOfManyServers() {
-    fleet_.rounds(1, 50, kInterval, always_ok);
+    fleet_.run_rounds(1, 50, kInterval, always_ok);
     const Micros restarted_at = next_round_ * kInterval;
     auto restarted =
         make_endpoints({fleet_.endpoints().begin(), fleet_.endpoints().begin() + kRestarted});
     for (EndpointEntry& endpoint : restarted) {
       endpoint.started_at = restarted_at;
     }
-    fleet_.handle_everywhere(restarted_at, partial_update(restarted));
+    fleet_.broadcast(restarted_at, partial_update(restarted));
   }
 
   void run_one_second() {
     fleet_.reset_usage();
-    fleet_.rounds(next_round_, next_round_ + kRoundsASecond - 1, kInterval, always_ok);
-    next_round_ += kRoundsASecond;
+    fleet_.run_rounds(next_round_, next_round_ + kRoundsPerSecond - 1, kInterval, always_ok);
+    next_round_ += kRoundsPerSecond;
   }
 
   int attempts_at(int server) const {
@@ -78,10 +78,10 @@
   int next_round_ = 51;
 };
 
-TEST_F(SlowStartOfManyServers, AllAreWarmedUpAndNoneIsOverloaded) {
-  // Without this, each gateway's share of a server's allowance would be less than one request and
-  // never be used, or all gateways would use theirs at once.
-  double to_warming_up = 0;  // attempts a server
+TEST_F(SlowStartOfManyServers, AllServersAreWarmedUpWithoutOverload) {
+  // Guards against two faults. Each gateway's share of a server's budget is less than one request,
+  // so it might never be used; or all gateways might use their shares at the same time.
+  double to_warming_up = 0;  // attempts per server
   double to_warm = 0;
   for (int second = 0; second < 8; ++second) {
     run_one_second();
@@ -90,7 +90,8 @@
       const int received = attempts_at(server);
       forwarded += received;
       const bool warming_up = server < kRestarted;
-      // A warm server bears at least 13 a second: those of the quiet fleet, which are sent 8, do.
+      // Assumes that a warm server can handle at least 13 requests per second. Before the restart,
+      // each of the 60 servers is sent 8 and can handle 13.
       if (warming_up) {
         EXPECT_LE(received, kOverloadFactor * 13 *
                                 (kMinFraction + (1 - kMinFraction) * second / kDurationSeconds));
@@ -102,27 +103,28 @@
     }
     EXPECT_GE(forwarded, 475) << second;  // of 500
   }
-  // Each of the fourteen gateways that share one waits longer than a second between its requests.
+  // Each of the fourteen gateways that share a server waits more than a second between requests to
+  // it.
   EXPECT_GT(to_warming_up, 0.2 * to_warm);
 }
 
-TEST(SlowStart, CapacityGrowsWithAgeFromItsLeastFraction) {
+TEST(SlowStart, CapacityGrowsWithAgeFromTheMinimumFraction) {
   const Settings settings = fleet_settings(1);  // from 0.2, in 60 s
   const SlowStart slow_start(settings);
   Endpoint endpoint;
-  EXPECT_EQ(slow_start.warmup_fraction(kSecond, endpoint), 1);  // started long ago
+  EXPECT_EQ(slow_start.warmup_fraction(kSecond, endpoint), 1);  // start time 0: warm
   endpoint.entry.started_at = 100 * kSecond;
   EXPECT_EQ(slow_start.warmup_fraction(100 * kSecond, endpoint), 0.2);
   EXPECT_DOUBLE_EQ(slow_start.warmup_fraction(130 * kSecond, endpoint), 0.6);
   EXPECT_EQ(slow_start.warmup_fraction(160 * kSecond, endpoint), 1);
   EXPECT_EQ(slow_start.warmup_fraction(200 * kSecond, endpoint), 1);
-  EXPECT_EQ(slow_start.warmup_fraction(99 * kSecond, endpoint), 0.2);  // a clock that differs
+  EXPECT_EQ(slow_start.warmup_fraction(99 * kSecond, endpoint), 0.2);  // clocks differ
 }
 
-TEST(SlowStart, WorkOfAWarmingEndpointIsRememberedWhileItIsOutsideTheSubset) {
+TEST(SlowStart, WorkOfAWarmingEndpointStillCountsAfterItReturnsToTheSubset) {
   Settings settings = fleet_settings(1'000);
   settings.slow_start_duration = 400 * kSecond;
-  // Sixty gateways share an endpoint, so that each may send it one request in 600 s.
+  // Sixty gateways share each endpoint, so that each gateway may send it one request per 600 s.
   settings.slow_start_overload_window = 10 * kSecond;
   LoadBalancer load_balancer(settings, 1);
   load_balancer.update_endpoints(0, complete_list(fleet_endpoints(0, 100)));
--- a/tests/policy/endpoints/subset_placement_test.cpp
+++ b/tests/policy/endpoints/subset_placement_test.cpp
@@ -1,4 +1,4 @@
-// Where the subsets of a fleet's gateways lie on the ring, at all sizes of fleet and list.
+// Tests the positions of the gateways' subsets on the ring, for different sizes of fleet and list.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -28,11 +28,11 @@
 using policy::EndpointRegistry;
 using policy::LoadBalancer;
 
-// The subsets of all gateways at one moment: stretches of the ring positions of the endpoints that
-// are up.
+// The subsets of all gateways at one point in time. Each subset is a contiguous segment of the ring
+// positions of the endpoints that are up.
 struct FleetSubsets {
   std::vector<std::uint64_t> positions;  // of the endpoints, sorted
-  std::vector<std::size_t> starts;       // by gateway, into `positions`
+  std::vector<std::size_t> starts;       // by gateway: index into `positions`
   std::size_t subset_size = 0;
 
   std::uint64_t position(std::size_t gateway, std::size_t index) const {
@@ -46,7 +46,7 @@
     std::sort(subset.begin(), subset.end());
     return subset;
   }
-  // How many gateways use each endpoint; sorted.
+  // Returns the number of gateways that use each endpoint, sorted.
   std::vector<int> gateways_per_endpoint() const {
     std::vector<int> counts(positions.size());
     for (const std::size_t start : starts) {
@@ -59,7 +59,7 @@
   }
 };
 
-// Pairs of gateway and endpoint in `after` that `before` has not.
+// Returns the number of pairs of gateway and endpoint that are in `after` but not in `before`.
 std::size_t new_pairs(const FleetSubsets& before, const FleetSubsets& after) {
   std::size_t count = 0;
   for (std::size_t gateway = 0; gateway < before.starts.size(); ++gateway) {
@@ -79,7 +79,7 @@
   return count;
 }
 
-// Where the subsets of all gateways begin on one list, without the state of endpoints.
+// The starts of all gateways' subsets on one list. Keeps no state of endpoints.
 class Fleet {
  public:
   Fleet(int gateway_count, int endpoint_count) {
@@ -143,28 +143,29 @@
 struct FleetShape {
   int gateways = 0;
   int endpoints = 0;
-  double least = 0;                  // gateways of an endpoint, over the mean
-  double most = 0;                   // gateways of an endpoint, over the mean
-  double new_pairs_by_endpoint = 0;  // for one more or less, over the mean gateways of an endpoint
-  double new_pairs_by_gateway = 0;   // for one more, of all pairs
+  double min_ratio = 0;              // gateways per endpoint, minimum over mean
+  double max_ratio = 0;              // gateways per endpoint, maximum over mean
+  double new_pairs_by_endpoint = 0;  // for one more or less, over the mean gateways per endpoint
+  double new_pairs_by_gateway = 0;   // for one more, over the number of all pairs
 };
 
-// Checks that all endpoints have about as many gateways. Returns the mean.
+// Checks that all endpoints are used by about the same number of gateways. Returns the mean of
+// these numbers.
 double expect_even_subsets(const Fleet& fleet, const FleetShape& shape, const char* when) {
   const auto counts = fleet.subsets().gateways_per_endpoint();
   const double pairs = std::accumulate(counts.begin(), counts.end(), 0.0);
   const double mean = pairs / static_cast<double>(counts.size());
   std::printf(
-      "%d gateways, %d endpoints, %s: least %d, median %d, most %d gateways an endpoint, mean "
-      "%.2f\n",
+      "%d gateways, %d endpoints, %s: gateways per endpoint: minimum %d, median %d, maximum %d, "
+      "mean %.2f\n",
       shape.gateways, shape.endpoints, when, counts.front(), counts[counts.size() / 2],
       counts.back(), mean);
-  EXPECT_GE(counts.front(), std::floor(shape.least * mean)) << when;
-  EXPECT_LE(counts.back(), std::ceil(shape.most * mean)) << when;
+  EXPECT_GE(counts.front(), std::floor(shape.min_ratio * mean)) << when;
+  EXPECT_LE(counts.back(), std::ceil(shape.max_ratio * mean)) << when;
   return mean;
 }
 
-// The mean of the new pairs over 20 changes of one endpoint each.
+// Returns the mean number of new pairs over 20 changes of one endpoint each.
 double mean_new_pairs_by_endpoint(Fleet& fleet, const FleetShape& shape) {
   double mean = 0;
   const auto change = [&](const EndpointEntry& entry) {
@@ -179,24 +180,25 @@
   return mean;
 }
 
-TEST(SubsetPlacement, SubsetsLieEvenlyOverTheEndpointsAndMoveLittle) {
+TEST(SubsetPlacement, SubsetsAreEvenlySpreadAndChangeLittle) {
   for (const FleetShape& shape :
        {FleetShape{300, 200, 0.8, 1.2, 16, 0.01}, FleetShape{7'400, 20'000, 0.6, 1.4, 60, 0.01},
         FleetShape{7'400, 170'000, 0.6, 1.4, 25, 0.01}}) {
     Fleet fleet(shape.gateways, shape.endpoints);
-    const double mean = expect_even_subsets(fleet, shape, "at first");
-    // A tenth, or 600, are replaced, one by one: starts then lie anywhere within their slack.
+    const double mean = expect_even_subsets(fleet, shape, "at the start");
+    // Replaces a tenth of the endpoints, at most 600, one by one. The starts are then anywhere
+    // within their allowed distance of the even positions.
     for (int i = 0; i < std::min(shape.endpoints / 10, 600); ++i) {
       fleet.update(partial_update(
           {fleet_endpoint(i + 1'000'000), fleet_endpoint(i * 9 + 1, EndpointState::kRemoved)}));
     }
-    expect_even_subsets(fleet, shape, "after a tenth, or 600, were replaced");
+    expect_even_subsets(fleet, shape, "after replacing a tenth, at most 600");
     const double by_endpoint = mean_new_pairs_by_endpoint(fleet, shape);
     const FleetSubsets before = fleet.subsets();
     fleet.add_gateway();
     const std::size_t by_gateway = new_pairs(before, fleet.subsets());
-    expect_even_subsets(fleet, shape, "with a gateway more");
-    std::printf("  new pairs: %.1f for one endpoint more or less, %zu for one gateway more\n",
+    expect_even_subsets(fleet, shape, "with one more gateway");
+    std::printf("  new pairs: %.1f for one more or fewer endpoint, %zu for one more gateway\n",
                 by_endpoint, by_gateway);
     EXPECT_LE(by_endpoint, shape.new_pairs_by_endpoint * mean);
     EXPECT_LE(static_cast<double>(by_gateway), shape.new_pairs_by_gateway * mean * shape.endpoints);
@@ -213,8 +215,8 @@
   return positions;
 }
 
-// The subset must not stay as it was when the list changes under it.
-TEST(SubsetPlacement, ALoadBalancerUsesItsStretchOfTheRingAfterEachChange) {
+// Guards against a subset that is not recomputed when a change of the list affects it.
+TEST(SubsetPlacement, LoadBalancerUsesItsSegmentOfTheRingAfterEachChange) {
   for (const auto& [gateway_count, endpoint_count] :
        {std::pair{300, 200}, std::pair{60, 2'000}, std::pair{5, 40}}) {
     Fleet fleet(gateway_count, endpoint_count);
@@ -255,7 +257,7 @@
   }
 }
 
-TEST(SubsetPlacement, EndpointsThatAreLostAreReplacedInTheSameBatch) {
+TEST(SubsetPlacement, LostEndpointsAreReplacedInTheSameBatch) {
   for (const int endpoint_count : {200, 20'000}) {
     const Settings settings = fleet_settings(7'400);
     LoadBalancer load_balancer(settings, 1);
@@ -285,7 +287,7 @@
   }
 }
 
-TEST(SubsetPlacement, AnEjectedEndpointIsMadeUpForAtOnce) {
+TEST(SubsetPlacement, EjectedEndpointIsReplacedImmediately) {
   for (const int endpoint_count : {200, 20'000}) {
     const Settings settings = fleet_settings(7'400);
     LoadBalancer load_balancer(settings, 1);
--- a/tests/support/endpoint_lists.hpp
+++ b/tests/support/endpoint_lists.hpp
@@ -1,4 +1,4 @@
-// Lists of many endpoints, and settings of a gateway in front of them. Used by the tests under
+// Lists of many endpoints, and settings for a gateway that uses them. Used by the tests under
 // tests/policy/endpoints/.
 #pragma once
 
@@ -8,19 +8,20 @@
 
 namespace quota_gateway::testing {
 
-// One of `gateway_count` gateways. Two classes: "read", which is idempotent, and "once", which is
-// streamed and is not; a plan "plan" without a quota. Endpoints warm up in 60 s from a fifth of
-// their capacity.
+// Returns the settings of one of `gateway_count` gateways. There are two request classes: "read",
+// which is idempotent, and "once", which is streamed and not idempotent. The plan "plan" has no
+// quota. Endpoints warm up in 60 s from a fifth of their capacity.
 Settings fleet_settings(int gateway_count, int gateway_index = 17);
 
-// Endpoint number `number`, in one of seven zones and fifty cells.
+// Returns the endpoint with this number. Endpoints are distributed over seven zones and fifty
+// cells.
 EndpointEntry fleet_endpoint(int number, EndpointState state = EndpointState::kUp);
 
-// Those from number `first` to before `last`.
+// Returns the endpoints with the numbers from `first` to `last` - 1.
 std::vector<EndpointEntry> fleet_endpoints(int first, int last,
                                            EndpointState state = EndpointState::kUp);
 
-// A whole list; endpoints that it does not name are removed.
+// Returns a complete list, which removes all endpoints that it does not contain.
 EndpointListUpdate complete_list(std::vector<EndpointEntry> endpoints);
 
 }  // namespace quota_gateway::testing
--- a/tests/support/gateway_fleet.cpp
+++ b/tests/support/gateway_fleet.cpp
@@ -22,7 +22,7 @@
   used_endpoints_.resize(gateways_.size());
 }
 
-void GatewayFleet::round(Micros now, const OutcomeOf& outcome_of) {
+void GatewayFleet::run_round(Micros now, const OutcomeOf& outcome_of) {
   // 10 to 30 ms, the same for all gateways in one round.
   const Micros duration = (10 + now / kMillisecond * 7 % 21) * kMillisecond;
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
@@ -35,13 +35,13 @@
   }
 }
 
-void GatewayFleet::rounds(int first, int last, Micros interval, const OutcomeOf& outcome_of) {
+void GatewayFleet::run_rounds(int first, int last, Micros interval, const OutcomeOf& outcome_of) {
   for (int i = first; i <= last; ++i) {
-    round(i * interval, outcome_of);
+    run_round(i * interval, outcome_of);
   }
 }
 
-void GatewayFleet::handle_everywhere(Micros now, const Event& event) {
+void GatewayFleet::broadcast(Micros now, const Event& event) {
   for (GatewayHarness& gateway : gateways_) {
     gateway.handle(now, {event});
   }
--- a/tests/support/gateway_fleet.hpp
+++ b/tests/support/gateway_fleet.hpp
@@ -1,5 +1,5 @@
-// Many gateways that see the same endpoints and meet requests at the same pace. Used by the tests
-// of the endpoint subset and of slow start, where only the fleet as a whole shows the behaviour.
+// Many gateways with the same endpoints and the same request rate. Used by the tests of the
+// endpoint subset and of slow start, which check properties of the fleet as a whole.
 #pragma once
 
 #include <cstddef>
@@ -13,36 +13,36 @@
 
 namespace quota_gateway::testing {
 
-// The outcome of an attempt at an endpoint.
+// A function that returns the outcome of an attempt at an endpoint.
 using OutcomeOf = std::function<Outcome(const std::string& endpoint)>;
 
-// Every endpoint serves.
+// An OutcomeOf for endpoints that answer every attempt successfully.
 Outcome always_ok(const std::string& endpoint);
 
 class GatewayFleet {
  public:
-  // Endpoints are named s0, s1 ...; quotas are not reached.
+  // The endpoints are named s0, s1, ... The quota is too high to be reached.
   GatewayFleet(int gateway_count, int endpoint_count, Settings settings = basic_settings());
 
-  // One request at each gateway, whose attempts end as `outcome_of` says.
-  void round(Micros now, const OutcomeOf& outcome_of);
+  // Sends one request to each gateway. `outcome_of` determines the outcome of its attempts.
+  void run_round(Micros now, const OutcomeOf& outcome_of);
 
-  // Rounds `first` to `last`, both included; round number i is at i * `interval`.
-  void rounds(int first, int last, Micros interval, const OutcomeOf& outcome_of);
+  // Runs the rounds `first` to `last`, inclusive. Round number i takes place at i * `interval`.
+  void run_rounds(int first, int last, Micros interval, const OutcomeOf& outcome_of);
 
-  // Hands an event to every gateway.
-  void handle_everywhere(Micros now, const Event& event);
+  // Delivers an event to every gateway.
+  void broadcast(Micros now, const Event& event);
 
-  // Forgets which endpoints were used so far, and how often.
+  // Clears the record of used endpoints and the counts of attempts.
   void reset_usage();
 
   GatewayHarness& gateway(std::size_t index) { return gateways_[index]; }
   const std::vector<std::string>& endpoints() const { return endpoints_; }
 
-  // By gateway: the endpoints that it has sent attempts to.
+  // For each gateway, the endpoints that it has sent attempts to.
   const std::vector<std::set<std::string>>& used_endpoints() const { return used_endpoints_; }
 
-  // Attempts that all gateways together have sent to an endpoint.
+  // Number of attempts that all gateways together have sent to an endpoint.
   int attempts_at(const std::string& endpoint) const;
 
  private:
