--- a/src/settings/json_fields.hpp
+++ b/src/settings/json_fields.hpp
@@ -1,5 +1,5 @@
-// Reading fields of JSON objects whose shape other programs decide: a field may be missing or null,
-// and fields that nobody knows are skipped.
+// Helpers to read fields of JSON objects that other programs write. A field may be missing or null;
+// unknown fields are ignored.
 #pragma once
 
 #include <initializer_list>
@@ -11,14 +11,14 @@
 
 namespace quota_gateway {
 
-// A JSON value that doesn't have the shape that its page gives it.
+// Thrown when a JSON value does not have the documented structure.
 class JsonShapeError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Returns the field's value, or nothing if it is missing or null.
-// Throws nlohmann::json::type_error if it is of another type.
+// Returns the value of the field, or nullopt if the field is missing or null.
+// Throws nlohmann::json::type_error if the value cannot be converted to T.
 template <typename T>
 std::optional<T> find_field(const nlohmann::json& object, const char* key) {
   const auto field = object.find(key);
@@ -28,32 +28,35 @@
   return field->get<T>();
 }
 
+// Returns the value of the field, or `fallback` if the field is missing or null.
+// Throws nlohmann::json::type_error if the value cannot be converted to T.
 template <typename T>
 T field_or(const nlohmann::json& object, const char* key, T fallback) {
   auto value = find_field<T>(object, key);
   return value ? std::move(*value) : std::move(fallback);
 }
 
-// Throws JsonShapeError if the field is missing or null.
+// Returns the value of the field. Throws JsonShapeError if the field is missing or null, and
+// nlohmann::json::type_error if the value cannot be converted to T.
 template <typename T>
 T required_field(const nlohmann::json& object, const char* key) {
   auto value = find_field<T>(object, key);
   if (!value) {
-    throw JsonShapeError(std::string("missing field ") + key);
+    throw JsonShapeError(std::string("required field is missing or null: ") + key);
   }
   return std::move(*value);
 }
 
-// Returns the object or array under `key`, or an empty object if it is missing or null.
-// The reference is good as long as `object` is.
+// Returns the object or array under `key`, or an empty object if the key is missing or null.
+// Does not check the type of the value. The reference is valid as long as `object` is.
 const nlohmann::json& section_or_empty(const nlohmann::json& object, const char* key);
 
-// Translates a word of the wire to its value; `fallback` for one that is not listed.
+// Returns the value that `values_by_name` lists for `text`, or `fallback` for an unlisted text.
 template <typename T>
-T value_of_word(const std::string& word,
-                std::initializer_list<std::pair<const char*, T>> known_words, T fallback) {
-  for (const auto& [known, value] : known_words) {
-    if (word == known) {
+T enum_from_string(const std::string& text,
+                   std::initializer_list<std::pair<const char*, T>> values_by_name, T fallback) {
+  for (const auto& [name, value] : values_by_name) {
+    if (text == name) {
       return value;
     }
   }
--- a/src/settings/settings_parser.cpp
+++ b/src/settings/settings_parser.cpp
@@ -16,11 +16,11 @@
   settings.deadline = field_or(json, "GiveUpUs", settings.deadline);
   settings.priority_weight = field_or(json, "Importance", settings.priority_weight);
   settings.late_value_fraction = field_or(json, "LateValue", settings.late_value_fraction);
-  settings.idempotency = value_of_word<Idempotency>(
+  settings.idempotency = enum_from_string<Idempotency>(
       field_or<std::string>(json, "Repeat", ""),
       {{"safe", Idempotency::kIdempotent}, {"keyed", Idempotency::kIdempotencyKey}},
       Idempotency::kNonIdempotent);
-  settings.dedup_scope = value_of_word<DedupScope>(
+  settings.dedup_scope = enum_from_string<DedupScope>(
       field_or<std::string>(json, "DedupScope", ""),
       {{"all", DedupScope::kAll}, {"zone", DedupScope::kZone}}, DedupScope::kCell);
   settings.dedup_window = field_or<Micros>(json, "WindowUs", 0);
@@ -43,7 +43,7 @@
   return settings;
 }
 
-void parse_quota_family(const Json& json, Settings& settings) {
+void parse_quota_extensions(const Json& json, Settings& settings) {
   settings.has_counter = field_or(json, "SharedCounter", false);
   settings.counter_timeout = field_or(json, "CounterTimeoutUs", settings.counter_timeout);
   settings.meter_period = field_or<Micros>(json, "MeteringUs", 0);
@@ -72,7 +72,7 @@
 
 Settings parse_settings(const Json& json) {
   if (!json.is_object()) {
-    throw JsonShapeError("Info is no object");
+    throw JsonShapeError("the settings are not a JSON object");
   }
   Settings settings;
   settings.zone = field_or<std::string>(json, "Az", "");
@@ -85,7 +85,7 @@
   settings.gateway_count = field_or(json, "ReplicasOfMe", 1);
   settings.gateway_index = field_or(json, "Position", 0);
   settings.clock_tick = field_or(json, "TickUs", settings.clock_tick);
-  parse_quota_family(section_or_empty(json, "Extra"), settings);
+  parse_quota_extensions(section_or_empty(json, "Extra"), settings);
   parse_limits(section_or_empty(json, "Limits"), settings);
   parse_obligations(section_or_empty(json, "Obligations"), settings);
   return settings;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -1,5 +1,6 @@
 // quota_gateway_simulator_adapter: runs the decision module under the operators' simulator.
-// One line of JSON in, one line out, until the input ends.
+// Reads one JSON message per line from standard input until its end, and writes the reply, if the
+// message has one, as one line to standard output. Exits with status 1 on a malformed message.
 #include <exception>
 #include <iostream>
 #include <string>
@@ -16,8 +17,8 @@
         std::cout << *reply << '\n' << std::flush;
       }
     }
-  } catch (const std::exception& e) {
-    std::cerr << "quota_gateway_simulator_adapter: " << e.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "quota_gateway_simulator_adapter: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/simulator/simulator_session.cpp
+++ b/src/simulator/simulator_session.cpp
@@ -14,7 +14,7 @@
 
 const Json& require_array(const Json& value, const char* name) {
   if (!value.is_array()) {
-    throw JsonShapeError(std::string(name) + " is no list");
+    throw JsonShapeError(std::string(name) + " is not an array");
   }
   return value;
 }
@@ -32,7 +32,7 @@
 std::optional<std::string> SimulatorSession::process_line(const std::string& line) {
   const Json batch = Json::parse(line);
   if (!batch.is_object()) {
-    throw JsonShapeError("a line holds no object");
+    throw JsonShapeError("the input line is not a JSON object");
   }
   if (field_or<std::string>(batch, "what", "") == "Pool") {
     store_endpoint_list(batch);
@@ -42,7 +42,8 @@
   Json reply = {{"parts", Json::array()}};
   for (const Json& part : require_array(batch.at("parts"), "parts")) {
     const auto name = required_field<std::string>(part, "Who");
-    const auto actions = process_instance(now, name, require_array(part.at("input"), "input"));
+    const auto actions =
+        process_instance_messages(now, name, require_array(part.at("input"), "input"));
     if (!actions.empty()) {
       reply["parts"].push_back({{"Who", name}, {"steps", write_actions(actions)}});
     }
@@ -51,29 +52,29 @@
 }
 
 void SimulatorSession::store_endpoint_list(const Json& message) {
-  lists_[required_field<std::int64_t>(message, "List")] =
+  endpoint_lists_[required_field<std::int64_t>(message, "List")] =
       parse_endpoint_entries(message.at("Entries"));
 }
 
-std::vector<Action> SimulatorSession::process_instance(Micros now, const std::string& name,
-                                                       const Json& messages) {
+std::vector<Action> SimulatorSession::process_instance_messages(Micros now, const std::string& name,
+                                                                const Json& messages) {
   std::vector<Event> events;
   for (const Json& message : messages) {
     if (!message.is_object()) {
-      throw JsonShapeError("an event is no object");
+      throw JsonShapeError("an element of 'input' is not a JSON object");
     }
-    const auto what = required_field<std::string>(message, "what");
-    if (what == "Pool") {
+    const auto message_type = required_field<std::string>(message, "what");
+    if (message_type == "Pool") {
       store_endpoint_list(message);
-    } else if (what == "Kill") {
+    } else if (message_type == "Kill") {
       events.clear();
       gateways_.erase(name);
-    } else if (what == "Enlist") {
+    } else if (message_type == "Enlist") {
       events.clear();
       Settings settings = parse_settings(message.at("Info"));
       const auto seed = required_field<std::uint64_t>(message, "Entropy");
       gateways_.insert_or_assign(name, Gateway(std::move(settings), seed));
-    } else if (auto event = parse_event(message, lists_)) {
+    } else if (auto event = parse_event(message, endpoint_lists_)) {
       events.push_back(std::move(*event));
     }
   }
--- a/src/simulator/wire_codec.cpp
+++ b/src/simulator/wire_codec.cpp
@@ -12,16 +12,16 @@
 
 using Json = nlohmann::json;
 
-Outcome parse_outcome(const std::string& word) {
+Outcome parse_outcome(const std::string& text) {
   static const std::map<std::string, Outcome> kOutcomes = {
       {"GOOD", Outcome::kOk},         {"BAD", Outcome::kError},
       {"FULL", Outcome::kOverloaded}, {"LATE", Outcome::kTimeout},
       {"RST", Outcome::kReset},       {"NOCONN", Outcome::kConnectFailed},
       {"NOP", Outcome::kNotSent},     {"CXL", Outcome::kCancelled},
   };
-  const auto found = kOutcomes.find(word);
+  const auto found = kOutcomes.find(text);
   if (found == kOutcomes.end()) {
-    throw JsonShapeError("unknown outcome " + word);
+    throw JsonShapeError("field 'Disposition' has an unknown value: " + text);
   }
   return found->second;
 }
@@ -29,7 +29,7 @@
 LoadReport parse_load_report(const Json& message) {
   const Json& values = section_or_empty(message, "Feedback");
   if (!values.is_object()) {
-    throw JsonShapeError("Feedback is no object");
+    throw JsonShapeError("field 'Feedback' is not an object");
   }
   LoadReport report;
   report.in_flight = find_field<double>(values, "active");
@@ -41,7 +41,8 @@
   return report;
 }
 
-// On the wire 1 + percent; 0 or absent where there is none.
+// The wire value is 1 + the percentage of the quota that is used. It is 0 or missing if the server
+// reported no usage.
 std::optional<int> parse_quota_usage(const Json& message) {
   const int usage = field_or(message, "Usage", 0);
   if (usage <= 0) {
@@ -83,18 +84,19 @@
   event.name = required_field<std::int64_t>(message, "Cname");
   event.total = field_or(message, "Total", 0.0);
   event.duration = field_or<Micros>(message, "DurationUs", 0);
-  event.outcome = value_of_word<CounterOutcome>(required_field<std::string>(message, "Disposition"),
-                                                {{"GOOD", CounterOutcome::kOk},
-                                                 {"FULL", CounterOutcome::kNotAdded},
-                                                 {"NOCONN", CounterOutcome::kNotAdded}},
-                                                CounterOutcome::kUnknown);
+  event.outcome =
+      enum_from_string<CounterOutcome>(required_field<std::string>(message, "Disposition"),
+                                       {{"GOOD", CounterOutcome::kOk},
+                                        {"FULL", CounterOutcome::kNotAdded},
+                                        {"NOCONN", CounterOutcome::kNotAdded}},
+                                       CounterOutcome::kUnknown);
   return event;
 }
 
 EndpointListUpdate parse_endpoint_list_update(const Json& message, const EndpointLists& lists) {
   using Kind = EndpointListUpdate::Kind;
   EndpointListUpdate event;
-  event.kind = value_of_word<Kind>(
+  event.kind = enum_from_string<Kind>(
       required_field<std::string>(message, "Kind"),
       {{"Partial", Kind::kPartial}, {"Complete", Kind::kComplete}, {"Persisted", Kind::kPersisted}},
       Kind::kError);
@@ -103,7 +105,7 @@
   }
   const auto list = lists.find(required_field<std::int64_t>(message, "List"));
   if (list == lists.end()) {
-    throw JsonShapeError("list update names an unknown list");
+    throw JsonShapeError("field 'List' of a DirectoryUpdate refers to an unknown endpoint list");
   }
   event.entries = list->second;
   return event;
@@ -123,6 +125,7 @@
           field_or<std::string>(message, "Server", "")};
 }
 
+// Visitor that converts each type of action to its message.
 struct ActionWriter {
   Json operator()(const SendAttempt& action) const {
     return {{"what", "Send"},
@@ -162,7 +165,7 @@
 
 std::vector<EndpointEntry> parse_endpoint_entries(const Json& entries) {
   if (!entries.is_array()) {
-    throw JsonShapeError("Entries is no list");
+    throw JsonShapeError("field 'Entries' is not an array");
   }
   std::vector<EndpointEntry> parsed;
   for (const Json& json : entries) {
@@ -171,7 +174,7 @@
     entry.zone = field_or<std::string>(json, "RackZone", "");
     entry.kind = field_or<std::string>(json, "GenerationHw", "");
     entry.cell = field_or<std::int64_t>(json, "Cohort", 0);
-    entry.state = value_of_word<EndpointState>(
+    entry.state = enum_from_string<EndpointState>(
         field_or<std::string>(json, "Mode", "up"),
         {{"draining", EndpointState::kDraining}, {"removed", EndpointState::kRemoved}},
         EndpointState::kUp);
@@ -183,29 +186,29 @@
 }
 
 std::optional<Event> parse_event(const Json& message, const EndpointLists& lists) {
-  const auto what = required_field<std::string>(message, "what");
-  if (what == "Knock") {
+  const auto message_type = required_field<std::string>(message, "what");
+  if (message_type == "Knock") {
     return parse_request(message);
   }
-  if (what == "Response") {
+  if (message_type == "Response") {
     return parse_attempt_completed(message);
   }
-  if (what == "Alarm") {
+  if (message_type == "Alarm") {
     return TimerFired{required_field<std::int64_t>(message, "Label")};
   }
-  if (what == "TimedOutClient") {
+  if (message_type == "TimedOutClient") {
     return ClientDisconnected{required_field<std::string>(message, "Id")};
   }
-  if (what == "CounterReply") {
+  if (message_type == "CounterReply") {
     return parse_counter_reply(message);
   }
-  if (what == "DirectoryUpdate") {
+  if (message_type == "DirectoryUpdate") {
     return parse_endpoint_list_update(message, lists);
   }
-  if (what == "Checked") {
+  if (message_type == "Checked") {
     return parse_health_check(message);
   }
-  if (what == "Begun") {
+  if (message_type == "Begun") {
     return parse_stream_started(message);
   }
   return std::nullopt;
--- a/src/simulator/wire_codec.hpp
+++ b/src/simulator/wire_codec.hpp
@@ -1,5 +1,7 @@
-// The simulator's wire format: JSON messages to the module's events, and its actions to JSON
-// messages. No state and no decisions; SimulatorSession is the caller.
+// Codec of the simulator's wire format: converts JSON messages to events of the decision module,
+// and its actions to JSON messages. Stateless; used by SimulatorSession.
+//
+// All functions throw JsonShapeError or nlohmann::json::exception on a malformed message.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +15,16 @@
 
 namespace quota_gateway::simulator {
 
-// Endpoint lists by their number; a DirectoryUpdate names one of them.
+// Endpoint lists by number. A DirectoryUpdate message refers to a list by its number.
 using EndpointLists = std::unordered_map<std::int64_t, std::vector<EndpointEntry>>;
 
-// All of these throw JsonShapeError or nlohmann::json::exception on a message of the wrong shape.
-
+// Parses the `Entries` of a message that defines an endpoint list.
 std::vector<EndpointEntry> parse_endpoint_entries(const nlohmann::json& entries);
 
-// Returns nothing for a message that means nothing to the module.
+// Returns nullopt if the decision module has no event for this type of message.
 std::optional<Event> parse_event(const nlohmann::json& message, const EndpointLists& lists);
 
+// Returns the message that requests this action from the simulator.
 nlohmann::json write_action(const Action& action);
 
 }  // namespace quota_gateway::simulator
--- a/src/util/compact_string.hpp
+++ b/src/util/compact_string.hpp
@@ -1,4 +1,4 @@
-// A string that takes one pointer and its own bytes, for structures that hold a great many of them.
+// A string with an object size of one pointer, for data structures that hold very many strings.
 #pragma once
 
 #include <memory>
@@ -6,19 +6,20 @@
 
 namespace quota_gateway {
 
-// Any bytes, fewer than 2^32 of them. Never changes; a moved-from one may only be destroyed or
-// assigned to.
+// Holds fewer than 2^32 arbitrary bytes. The bytes cannot be modified. A moved-from object may only
+// be destroyed or assigned to.
 class CompactString {
  public:
   explicit CompactString(std::string_view text);
 
-  // Valid while this string lives; moving the string keeps it valid.
+  // The view is valid until the string is destroyed or assigned to. Moving the string to another
+  // object keeps the view valid.
   std::string_view view() const;
   operator std::string_view() const { return view(); }
 
  private:
-  // Its size in four bytes, then the text. A vector would take three pointers.
-  // NOLINTNEXTLINE(modernize-avoid-c-arrays): the length is known at run time only
+  // The size in four bytes, followed by the text. A std::vector would take three pointers.
+  // NOLINTNEXTLINE(modernize-avoid-c-arrays): the length is only known at run time
   std::unique_ptr<char[]> bytes_;
 };
 
--- a/src/util/decaying_mean.cpp
+++ b/src/util/decaying_mean.cpp
@@ -9,9 +9,9 @@
 }
 
 void DecayingMean::add(Micros now, Micros time_constant, double sample) {
-  const double kept = decay_factor(now - updated_at_, time_constant);
-  weighted_sum_ = weighted_sum_ * kept + sample;
-  weight_ = weight_ * kept + 1;
+  const double decay = decay_factor(now - updated_at_, time_constant);
+  weighted_sum_ = weighted_sum_ * decay + sample;
+  weight_ = weight_ * decay + 1;
   updated_at_ = now;
 }
 
@@ -19,8 +19,8 @@
   if (weight_ <= 0) {
     return 1;
   }
-  const double kept = decay_factor(now - updated_at_, time_constant);
-  return (weighted_sum_ * kept + prior_samples) / (weight_ * kept + prior_samples);
+  const double decay = decay_factor(now - updated_at_, time_constant);
+  return (weighted_sum_ * decay + prior_samples) / (weight_ * decay + prior_samples);
 }
 
 }  // namespace quota_gateway
--- a/src/util/order_statistic_ring.hpp
+++ b/src/util/order_statistic_ring.hpp
@@ -1,5 +1,5 @@
-// Items on a ring of 2^64 positions, some of them counted, that can be found by rank among the
-// counted ones.
+// Sorted container of items on a ring of 2^64 positions. Some of the items are counted; the rank of
+// a position is the number of counted items before it, and a counted item can be found by its rank.
 #pragma once
 
 #include <algorithm>
@@ -13,19 +13,21 @@
 
 namespace quota_gateway {
 
-// Ordered by position, and by name where several items share one. `Item` has a unique `name`, which
-// converts to std::string_view, and a bool `counted`, which only the ring changes once the item is
-// inserted.
+// Items are ordered by position, and items at the same position by name. `Item` has a unique
+// `name`, which converts to std::string_view, and a bool `counted`, which only the ring may change
+// after the item was inserted.
 //
-// The items lie in sorted blocks of bounded size: a search, an insertion and an erasure cost a
-// binary search over the blocks and a shift within one of them, however many items there are.
+// The items are stored in sorted blocks of bounded size. A search costs a binary search over the
+// blocks and a scan of one block. An insertion or erasure also shifts items within one block, which
+// costs the same however many items there are. Adding or removing a block shifts the arrays that
+// have one element per block.
 //
-// Items move in memory at each insertion and erasure, which invalidate every Slot and reference to
-// an item.
+// Each insertion and erasure moves items in memory and invalidates all Slots and all references to
+// items.
 template <typename Item>
 class OrderStatisticRing {
  public:
-  // Where an item is stored.
+  // Storage location of an item.
   struct Slot {
     std::size_t block = 0;
     std::size_t index = 0;
@@ -39,63 +41,74 @@
   std::size_t size() const { return size_; }
   std::size_t counted_size() const { return counted_size_; }
 
-  // `slot` is that of an item.
+  // `slot` must be the slot of an item.
   Item& at(Slot slot) { return blocks_[slot.block]->items[slot.index]; }
   std::uint64_t ring_position(Slot slot) const {
     return blocks_[slot.block]->positions[slot.index];
   }
 
+  // Finds the item with this position and name, or the slot where it would be inserted.
   FindResult find(std::uint64_t position, std::string_view name) const;
 
-  // Inserts at a slot that `find` gave for this position and name. Returns the slot of the item.
+  // Inserts an item at the slot that `find` returned for its position and name. Returns the slot of
+  // the item, which may differ from `slot`.
   Slot insert(Slot slot, std::uint64_t position, Item item);
 
   void erase(Slot slot);
 
   void set_counted(Slot slot, bool counted);
 
-  // The position of the counted item that has `rank` counted ones before it; `rank` is less than
-  // counted_size().
+  // Returns the position of the counted item that has `rank` counted items before it; `rank` must
+  // be less than counted_size(). The cost is linear in the number of blocks.
   std::uint64_t position_of_rank(std::size_t rank) const;
 
-  // Calls `visit(position, item)` for the counted items from a position on, once round the ring at
-  // the most, until it returns false. It may neither insert, erase nor count.
+  // Calls `visit(position, item)` for each counted item, from `position` on and once around the
+  // ring, until `visit` returns false. `visit` must not insert or erase items or change their
+  // `counted`.
   template <typename Visit>
   void visit_counted_from(std::uint64_t position, Visit visit);
 
-  // Calls `visit(slot)` for all items. It may neither insert nor erase.
+  // Calls `visit(slot)` for each item, in order. `visit` must not insert or erase items.
   template <typename Visit>
   void for_each(Visit visit);
 
-  // Erases the items of which `predicate(item)` is true.
+  // Erases the items for which `predicate(item)` is true.
   template <typename Predicate>
   void erase_if(Predicate predicate);
 
  private:
-  static constexpr std::size_t kBlockCapacity = 64;  // an insertion moves a third of it on average
-  static constexpr std::size_t kMergeBelow = kBlockCapacity / 4;
-  static constexpr std::size_t kMergedAtMost = kBlockCapacity / 4 * 3;  // leaves space to insert
+  static constexpr std::size_t kBlockCapacity = 64;  // an insertion shifts a third of it on average
+  // A block with fewer items is merged with the next one, if the result does not exceed
+  // kMaxMergedSize.
+  static constexpr std::size_t kMergeThreshold = kBlockCapacity / 4;
+  // Less than the capacity, to leave space for insertions.
+  static constexpr std::size_t kMaxMergedSize = kBlockCapacity / 4 * 3;
 
   struct Block {
-    // Of the items. Apart from them and inside the block, so that a search waits for memory once.
+    // Positions of `items`. They are stored in the block itself and apart from the items, so that a
+    // search of the block waits for memory only once.
     std::array<std::uint64_t, kBlockCapacity> positions;
     std::vector<Item> items;
   };
 
   static std::ptrdiff_t offset(std::size_t index) { return static_cast<std::ptrdiff_t>(index); }
 
+  // Returns the last block that starts at or before the position, or 0 if there is none.
   std::size_t block_containing(std::uint64_t position) const;
+  // Returns the index of the first item of the block that is at or after the position, or the
+  // number of its items if there is none.
   static std::size_t first_index_at(const Block& block, std::uint64_t position);
   Slot split(Slot slot);
   void merge_with_next(std::size_t block);
   void insert_block(std::size_t block, std::uint64_t first_position);
   void erase_block(std::size_t block);
 
-  std::vector<std::unique_ptr<Block>>
-      blocks_;  // none is empty; pointers, as a split moves all behind it
-  std::vector<std::uint64_t> first_positions_;  // by block
-  std::vector<std::uint32_t>
-      counted_in_block_;  // apart from the blocks, so that a rank is found fast
+  // No block is empty. Stored as pointers because a split shifts all later elements.
+  std::vector<std::unique_ptr<Block>> blocks_;
+  std::vector<std::uint64_t> first_positions_;  // position of the first item of each block
+  // Number of counted items in each block. Stored apart from the blocks, so that the search for a
+  // rank reads contiguous memory.
+  std::vector<std::uint32_t> counted_in_block_;
   std::size_t size_ = 0;
   std::size_t counted_size_ = 0;
 };
@@ -111,7 +124,7 @@
   };
   Slot slot;
   slot.block = block_containing(position);
-  // Items of one position may begin in an earlier block.
+  // The items at this position may begin in an earlier block.
   while (slot.block > 0 && first_positions_[slot.block] == position &&
          name < name_at(*blocks_[slot.block], 0)) {
     --slot.block;
@@ -142,10 +155,10 @@
     ++counted_in_block_[slot.block];
     ++counted_size_;
   }
-  const auto spot = block.positions.begin() + offset(slot.index);
+  const auto position_entry = block.positions.begin() + offset(slot.index);
   const auto end = block.positions.begin() + offset(block.items.size());
-  std::copy_backward(spot, end, end + 1);
-  *spot = position;
+  std::copy_backward(position_entry, end, end + 1);
+  *position_entry = position;
   block.items.insert(block.items.begin() + offset(slot.index), std::move(item));
   first_positions_[slot.block] = block.positions.front();
   ++size_;
@@ -156,8 +169,9 @@
 void OrderStatisticRing<Item>::erase(Slot slot) {
   set_counted(slot, false);
   Block& block = *blocks_[slot.block];
-  const auto spot = block.positions.begin() + offset(slot.index);
-  std::copy(spot + 1, block.positions.begin() + offset(block.items.size()), spot);
+  const auto position_entry = block.positions.begin() + offset(slot.index);
+  std::copy(position_entry + 1, block.positions.begin() + offset(block.items.size()),
+            position_entry);
   block.items.erase(block.items.begin() + offset(slot.index));
   --size_;
   if (block.items.empty()) {
@@ -167,9 +181,9 @@
   first_positions_[slot.block] = block.positions.front();
   const std::size_t remaining = block.items.size();
   const std::size_t next = slot.block + 1;
-  // The size of the next block is read last: it is elsewhere in memory and rarely needed.
-  if (remaining < kMergeBelow && next < blocks_.size() &&
-      remaining + blocks_[next]->items.size() <= kMergedAtMost) {
+  // The size of the next block is read last, because it is elsewhere in memory and rarely needed.
+  if (remaining < kMergeThreshold && next < blocks_.size() &&
+      remaining + blocks_[next]->items.size() <= kMaxMergedSize) {
     merge_with_next(slot.block);
   }
 }
@@ -192,12 +206,12 @@
 
 template <typename Item>
 std::uint64_t OrderStatisticRing<Item>::position_of_rank(std::size_t rank) const {
-  std::size_t number = 0;
-  while (rank >= counted_in_block_[number]) {
-    rank -= counted_in_block_[number];
-    ++number;
+  std::size_t block_index = 0;
+  while (rank >= counted_in_block_[block_index]) {
+    rank -= counted_in_block_[block_index];
+    ++block_index;
   }
-  const Block& block = *blocks_[number];
+  const Block& block = *blocks_[block_index];
   std::size_t index = 0;
   while (!block.items[index].counted || rank > 0) {
     if (block.items[index].counted) {
@@ -216,7 +230,7 @@
   }
   const std::size_t first_block = block_containing(position);
   const std::size_t start = first_index_at(*blocks_[first_block], position);
-  // The first block comes twice: from `start` on, and at the end up to it.
+  // The first block is visited twice: first from `start` to its end, and last up to `start`.
   for (std::size_t i = 0; i <= blocks_.size(); ++i) {
     Block& block = *blocks_[(first_block + i) % blocks_.size()];
     const std::size_t begin = i == 0 ? start : 0;
@@ -243,7 +257,7 @@
 template <typename Item>
 template <typename Predicate>
 void OrderStatisticRing<Item>::erase_if(Predicate predicate) {
-  // From the end, since an erasure moves only what lies behind it.
+  // Iterates backwards, because an erasure moves only the items after the erased one.
   for (std::size_t block = blocks_.size(); block-- > 0;) {
     for (std::size_t index = blocks_[block]->items.size(); index-- > 0;) {
       if (predicate(blocks_[block]->items[index])) {
@@ -271,7 +285,7 @@
   return before;
 }
 
-// Moves the upper half of a full block into a new one. Returns where `slot` is now.
+// Moves the upper half of a full block to a new block. Returns the new location of `slot`.
 template <typename Item>
 typename OrderStatisticRing<Item>::Slot OrderStatisticRing<Item>::split(Slot slot) {
   constexpr std::size_t kHalf = kBlockCapacity / 2;
--- a/src/util/random.cpp
+++ b/src/util/random.cpp
@@ -6,7 +6,7 @@
 
 double uniform(std::uint64_t& state) {
   state = mix(state);
-  return static_cast<double>(state >> 11) * 0x1p-53;  // the 53 bits that a double holds
+  return static_cast<double>(state >> 11) * 0x1p-53;  // a double has 53 bits of precision
 }
 
 }  // namespace quota_gateway
--- a/src/util/rank_cursor.hpp
+++ b/src/util/rank_cursor.hpp
@@ -1,5 +1,5 @@
-// A position on an OrderStatisticRing that stays while items come and go, with its rank kept up to
-// date.
+// A fixed position on an OrderStatisticRing, with a rank that is kept up to date while items are
+// inserted and erased and while their `counted` flag changes.
 #pragma once
 
 #include <cstddef>
@@ -7,25 +7,27 @@
 
 namespace quota_gateway {
 
-// How a change of an item altered whether it is counted.
+// How a change to an item affected whether the item is counted.
 enum class CountChange { kUnchanged, kBecameCounted, kNoLongerCounted };
 
+// Starts at position 0 with rank 0.
 class RankCursor {
  public:
   std::uint64_t ring_position() const { return position_; }
 
-  // How many counted items lie before the position.
+  // Number of counted items before the position.
   double rank() const { return static_cast<double>(rank_); }
 
-  // Moves to the counted item that has `rank` counted ones before it; `rank` is less than
-  // ring.counted_size().
+  // Moves to the position of the counted item that has `rank` counted items before it; `rank` must
+  // be less than ring.counted_size().
   template <typename Ring>
   void move_to_rank(const Ring& ring, std::size_t rank) {
     position_ = ring.position_of_rank(rank);
     rank_ = static_cast<std::int64_t>(rank);
   }
 
-  // Must be called for each change of the ring.
+  // Updates the rank after an item at `changed_position` has changed. Must be called for every
+  // change to the ring.
   void on_change(std::uint64_t changed_position, CountChange change);
 
  private:
--- a/src/util/sliding_window_sum.hpp
+++ b/src/util/sliding_window_sum.hpp
@@ -1,4 +1,4 @@
-// The sum of the amounts that were added within a recent span of time.
+// The sum of the amounts that were added within a time window that ends now.
 #pragma once
 
 #include <vector>
@@ -7,15 +7,16 @@
 
 namespace quota_gateway {
 
+// The times passed to one object must not decrease.
 class SlidingWindowSum {
  public:
-  // Instants must not go backwards.
   void add(Micros now, double amount);
 
-  // True if every amount was forgotten by `sum_within`, or none was added.
+  // True if no amount was added, or if `sum_within` has removed all of them.
   bool empty() const { return entries_.empty(); }
 
-  // The sum of the amounts that are younger than `span` (us); forgets the others for good.
+  // Returns the sum of the amounts that are younger than `span` microseconds, and removes the
+  // others permanently.
   double sum_within(Micros now, double span);
 
  private:
--- a/src/util/string_concat.hpp
+++ b/src/util/string_concat.hpp
@@ -1,4 +1,4 @@
-// Text of values one after another, as a log line needs it.
+// Concatenation of values of any printable types to one string, for log lines.
 #pragma once
 
 #include <sstream>
@@ -6,7 +6,7 @@
 
 namespace quota_gateway {
 
-// Each part as operator<< writes it, with nothing between.
+// Formats each part with operator<< and concatenates the results without a separator.
 template <typename... Parts>
 std::string concat(const Parts&... parts) {
   std::ostringstream text;
--- a/src/util/string_interner.cpp
+++ b/src/util/string_interner.cpp
@@ -15,14 +15,14 @@
     }
     entries_[id].text = text;
   }
-  ++entries_[id].holders;
+  ++entries_[id].reference_count;
   return id;
 }
 
 void StringInterner::release(std::uint32_t id) {
   Entry& entry = entries_[id];
-  --entry.holders;
-  if (entry.holders > 0) {
+  --entry.reference_count;
+  if (entry.reference_count > 0) {
     return;
   }
   ids_.erase(entry.text);
--- a/src/util/string_interner.hpp
+++ b/src/util/string_interner.hpp
@@ -1,4 +1,4 @@
-// Strings that many hold, each stored once and known by a small number.
+// Interned strings: each distinct string is stored once and identified by a small integer.
 #pragma once
 
 #include <cstddef>
@@ -11,30 +11,30 @@
 
 namespace quota_gateway {
 
-// Counts the holders of each string and forgets it with the last of them; its id may then be used
-// for another.
+// Counts the references to each string. When the last reference is released, the string is removed
+// and its id may be reused for another string.
 class StringInterner {
  public:
-  // Adds a holder. Returns the id of the string, which stays until it is released as often as it
-  // was acquired.
+  // Adds a reference to the string. Returns the id of the string, which is valid until `release`
+  // has been called as often as `acquire`.
   std::uint32_t acquire(const std::string& text);
 
-  // Removes a holder of an id that is held.
+  // Removes a reference. The id must be valid.
   void release(std::uint32_t id);
 
-  // The id of a string that is held. Adds no holder.
+  // Returns the id of the string, or nullopt if it has no references. Adds no reference.
   std::optional<std::uint32_t> find(const std::string& text) const;
 
-  // The string of an id that is held. The reference is valid while it is.
+  // Returns the string of a valid id. The returned reference is valid as long as the id.
   const std::string& operator[](std::uint32_t id) const { return entries_[id].text; }
 
-  // How many different strings are held.
+  // Number of distinct strings that have references.
   std::size_t size() const { return ids_.size(); }
 
  private:
   struct Entry {
     std::string text;
-    std::size_t holders = 0;
+    std::size_t reference_count = 0;
   };
 
   std::deque<Entry> entries_;  // by id
--- a/src/util/weighted_sample.hpp
+++ b/src/util/weighted_sample.hpp
@@ -1,4 +1,4 @@
-// Draws a few candidates by random keys and picks the one of the least cost among them.
+// Draws a few candidates by random keys and selects the one with the lowest cost among them.
 #pragma once
 
 #include <algorithm>
@@ -7,9 +7,10 @@
 
 namespace quota_gateway {
 
-// With keys that are exponentially distributed, at a rate that is the item's weight, the items of
-// the least keys are a weighted sample without replacement. Keeps pointers alone; its memory is
-// used again after `clear`.
+// If each key is drawn from an exponential distribution with the weight of the item as the rate,
+// the items with the lowest keys are a weighted random sample without replacement.
+//
+// Stores only pointers to the items. `clear` keeps the allocated memory for reuse.
 template <typename Item>
 class WeightedSample {
  public:
@@ -17,8 +18,9 @@
   bool empty() const { return candidates_.empty(); }
   void add(double key, double cost, Item* item) { candidates_.push_back({key, cost, item}); }
 
-  // Among the `sample_size` (at least 1) candidates with the least keys, the one of the least cost,
-  // and of equal costs the one of the least key. Null if there are no candidates. Reorders them.
+  // Returns the item with the lowest cost among the `sample_size` candidates with the lowest keys;
+  // if costs are equal, the one with the lowest key. Returns null if there are no candidates.
+  // `sample_size` must be at least 1. Reorders the candidates.
   Item* cheapest_of(std::size_t sample_size) {
     if (candidates_.empty()) {
       return nullptr;
--- a/tests/settings/settings_parser_test.cpp
+++ b/tests/settings/settings_parser_test.cpp
@@ -5,7 +5,7 @@
 namespace quota_gateway {
 namespace {
 
-TEST(SettingsParser, ReadsKnownFieldsAndSkipsUnknownOnes) {
+TEST(SettingsParser, ParsesKnownFieldsAndIgnoresUnknownOnes) {
   const Settings settings = parse_settings(
       nlohmann::json::parse(R"({"Az":"z","New":{"x":[1]},"ReplicasOfMe":3,"Position":2,
     "Classes":[{"Name":"c","ObjectiveUs":5,"GiveUpUs":9,"Repeat":"keyed","DedupScope":"zone","WindowUs":7}],
--- a/tests/simulator/simulator_session_test.cpp
+++ b/tests/simulator/simulator_session_test.cpp
@@ -10,7 +10,7 @@
   EXPECT_EQ(session.process_line(R"({"ClockUs":1,"parts":[]})"), R"({"parts":[]})");
 }
 
-TEST(SimulatorSession, ThrowsOnMessagesOfTheWrongShape) {
+TEST(SimulatorSession, ThrowsOnMalformedMessages) {
   SimulatorSession session;
   EXPECT_ANY_THROW(session.process_line("[]"));
   EXPECT_ANY_THROW(session.process_line("{"));
@@ -20,7 +20,7 @@
       R"({"ClockUs":1,"parts":[{"Who":"g","input":[{"what":"Response","Id":"t/a","Go":0,"Disposition":"?"}]}]})"));
 }
 
-TEST(SimulatorSession, ResolvesListsInOrderAndForgetsAKilledInstance) {
+TEST(SimulatorSession, ResolvesListReferencesAndRemovesAKilledInstance) {
   SimulatorSession session;
   EXPECT_FALSE(
       session.process_line(R"({"what":"Pool","List":0,"Entries":[{"Server":"s1"}]})").has_value());
--- a/tests/simulator/wire_codec_test.cpp
+++ b/tests/simulator/wire_codec_test.cpp
@@ -10,7 +10,7 @@
 
 using Json = nlohmann::json;
 
-TEST(WireCodec, ReadsEventsAndSkipsUnknownMessages) {
+TEST(WireCodec, ParsesEventsAndIgnoresUnknownMessages) {
   const auto event = parse_event(
       Json::parse(
           R"({"what":"Response","Id":"t/a","Billed":null,"DurationUs":18500,"Over":true,"Usage":86,
@@ -19,7 +19,7 @@
   const auto& completed = std::get<AttemptCompleted>(event.value());
   EXPECT_EQ(completed.attempt, 1);
   EXPECT_EQ(completed.outcome, Outcome::kReset);
-  EXPECT_EQ(completed.quota_usage_percent, 85);  // 1 + percent on the wire
+  EXPECT_EQ(completed.quota_usage_percent, 85);  // the wire value is 1 + percent
   EXPECT_EQ(completed.load.in_flight, 7.0);
   EXPECT_EQ(completed.load.queued, std::nullopt);
   EXPECT_FALSE(
--- a/tests/util/compact_string_test.cpp
+++ b/tests/util/compact_string_test.cpp
@@ -8,7 +8,7 @@
 namespace quota_gateway {
 namespace {
 
-TEST(CompactString, HoldsAnyBytes) {
+TEST(CompactString, StoresArbitraryBytes) {
   for (const std::string& text : {std::string(), std::string("a\0b", 3), std::string(300, 'x')}) {
     EXPECT_EQ(std::string_view(CompactString(text)), text);
   }
--- a/tests/util/order_statistic_ring_test.cpp
+++ b/tests/util/order_statistic_ring_test.cpp
@@ -1,4 +1,4 @@
-// OrderStatisticRing against a sorted map that does the same.
+// Compares OrderStatisticRing with a sorted map on which the same operations are performed.
 #include "util/order_statistic_ring.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 using Key = std::pair<std::uint64_t, std::string>;  // ring position and name
 using Model = std::map<Key, bool>;                  // whether the item is counted
 
-// 4,096 positions, so that several names share one.
+// Returns one of 4,096 positions, so that several names share a position.
 std::uint64_t position_of(const std::string& name) {
   return hash_text(name) >> 52 << 52;
 }
@@ -61,13 +61,14 @@
   }
 }
 
-// Items could be lost where blocks split and merge, and where several names share a position.
-TEST(OrderStatisticRing, MatchesASortedMapThroughAnyChanges) {
+// Guards against the loss of items when blocks are split or merged, or when several names share a
+// position.
+TEST(OrderStatisticRing, MatchesASortedMapAfterRandomOperations) {
   std::uint64_t random = 5;
   Ring ring;
   Model model;
   for (int i = 0; i < 40'000; ++i) {
-    // It grows to some thousands, shrinks to a few, and grows again.
+    // The ring alternately grows for 10,000 steps and shrinks for 10,000 steps.
     const bool grows = (i / 10'000) % 2 == 0;
     const std::string name = std::to_string(static_cast<std::uint64_t>(uniform(random) * 8'000));
     const std::uint64_t position = position_of(name);
--- a/tests/util/string_interner_test.cpp
+++ b/tests/util/string_interner_test.cpp
@@ -7,7 +7,7 @@
 namespace quota_gateway {
 namespace {
 
-TEST(StringInterner, StoresEachTextOnceAndOnlyWhileItIsHeld) {
+TEST(StringInterner, StoresEachStringOnceUntilItsLastRelease) {
   StringInterner interner;
   const auto first = interner.acquire("a");
   const auto second = interner.acquire("b");
@@ -20,10 +20,10 @@
   for (int i = 0; i < 100; ++i) {
     interner.release(interner.acquire("passing"));
   }
-  EXPECT_EQ(interner.acquire("c"), second);  // ids are used again
+  EXPECT_EQ(interner.acquire("c"), second);  // the id of the released string is reused
 }
 
-TEST(StringInterner, FindsOnlyWhatIsHeldAndHoldsNothing) {
+TEST(StringInterner, FindsOnlyAcquiredStringsAndAddsNoReference) {
   StringInterner interner;
   EXPECT_EQ(interner.find("a"), std::nullopt);
   const auto id = interner.acquire("a");
