--- a/src/net/config/config_loader.cpp
+++ b/src/net/config/config_loader.cpp
@@ -10,17 +10,17 @@
 
 constexpr std::size_t kChunkSize = 32 << 10;
 
-EndpointListParser::Retain members_to_keep(ConfigLoader::KnownMembers known_members) {
-  return known_members == ConfigLoader::KnownMembers::kKeep
+EndpointListParser::Retain parser_retention(ConfigLoader::EndpointRetention endpoint_retention) {
+  return endpoint_retention == ConfigLoader::EndpointRetention::kKeep
              ? EndpointListParser::Retain::kEndpointsAndSamples
              : EndpointListParser::Retain::kSamplesOnly;
 }
 
 }  // namespace
 
-ConfigLoader::ConfigLoader(std::istream& file, KnownMembers known_members)
+ConfigLoader::ConfigLoader(std::istream& file, EndpointRetention endpoint_retention)
     : file_(file),
-      parser_({"known", "members"}, {}, members_to_keep(known_members)),
+      parser_({"known", "members"}, {}, parser_retention(endpoint_retention)),
       chunk_(kChunkSize, '\0') {}
 
 bool ConfigLoader::parse_chunk() {
@@ -40,7 +40,7 @@
   ConfigFile file;
   file.tree = parser_.surrounding_json();
   if (file.tree.contains("known") && !file.tree["known"].is_null()) {
-    file.known = parser_.take_list(file.tree["known"]);
+    file.known_endpoints = parser_.take_list(file.tree["known"]);
   }
   return file;
 }
--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -19,18 +19,18 @@
   // and the kinds of their values. So check_keys_kept() can compare two files.
   nlohmann::json tree;
   // The file's list of endpoints under `known`. Without members if they were only checked.
-  EndpointList known;
+  EndpointList known_endpoints;
 };
 
 class ConfigLoader {
  public:
-  enum class KnownMembers {
+  enum class EndpointRetention {
     kKeep,
     kCheckOnly,  // for a file whose endpoints are not used, as at SIGHUP
   };
 
   // `file` must outlive the loader.
-  ConfigLoader(std::istream& file, KnownMembers known_members);
+  ConfigLoader(std::istream& file, EndpointRetention endpoint_retention);
 
   // Reads and parses the next chunk, which takes about a millisecond. False: the end of the file
   // was reached before. Throws ConfigError or another std::exception with a message of one line.
--- a/src/net/config/gateway_config.hpp
+++ b/src/net/config/gateway_config.hpp
@@ -29,7 +29,7 @@
   std::size_t memory_limit_mb = 192;
   // The directory in which the two processes of a hot restart find each other. Empty: no hot
   // restart.
-  std::string shared_directory;
+  std::string hot_restart_directory;
   Settings settings;
   // A server closes a connection that has been idle for this long.
   Micros connection_idle_timeout = 15'000'000;
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -52,7 +52,7 @@
 
 // Another agent may not know our revision, and what changed in between would be missed. So it is
 // asked for the complete list.
-void DiscoveryClient::move_to(tcp::endpoint agent) {
+void DiscoveryClient::switch_agent(tcp::endpoint agent) {
   agent_ = std::move(agent);
   request_complete_list_ = true;
   agent_changed_ = true;
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -54,7 +54,7 @@
   void start();
   // Watches another agent from now on. The list in force stays until the new agent has sent one.
   // Must not be called from within a callback.
-  void move_to(boost::asio::ip::tcp::endpoint agent);
+  void switch_agent(boost::asio::ip::tcp::endpoint agent);
 
  private:
   // Counts connections and disconnections; handlers of earlier generations do nothing.
--- a/src/net/server/config_reloader.cpp
+++ b/src/net/server/config_reloader.cpp
@@ -21,7 +21,7 @@
   run_step([this] {
     loader_.reset();
     file_ = open_config_file();
-    loader_.emplace(file_, ConfigLoader::KnownMembers::kCheckOnly);
+    loader_.emplace(file_, ConfigLoader::EndpointRetention::kCheckOnly);
     if (!chunk_posted_) {
       post_next_chunk();
     }
--- a/src/net/server/config_source.cpp
+++ b/src/net/server/config_source.cpp
@@ -33,7 +33,7 @@
 
 ConfigFile read_config_file() {
   auto file = open_config_file();
-  ConfigLoader loader(file, ConfigLoader::KnownMembers::kKeep);
+  ConfigLoader loader(file, ConfigLoader::EndpointRetention::kKeep);
   while (loader.parse_chunk()) {
   }
   return loader.finish();
@@ -41,7 +41,7 @@
 
 GatewayConfig make_config(const nlohmann::json& tree) {
   GatewayConfig config = parse_config(tree);
-  config.shared_directory = environment_variable("TMPDIR");
+  config.hot_restart_directory = environment_variable("TMPDIR");
   const std::string admin_address = environment_variable("RELAY_MGMT");
   if (!config.admin_address && !admin_address.empty()) {
     config.admin_address = parse_socket_address(admin_address);
--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -149,7 +149,7 @@
   events_.push(SettingsChanged{settings_});
   if (config.discovery_address != discovery_address_) {
     discovery_address_ = config.discovery_address;
-    discovery_.move_to(config.discovery_address);
+    discovery_.switch_agent(config.discovery_address);
   }
   if (config.counter_address != counter_address_) {
     use_counter(config.counter_address);
--- a/src/net/server/handover_coordinator.cpp
+++ b/src/net/server/handover_coordinator.cpp
@@ -13,7 +13,7 @@
       endpoint_lists_(collaborators.endpoint_lists),
       listen_address_(config.listen_address),
       max_connections_(max_connections),
-      hot_restart_(loop.io, loop.timers, config.shared_directory, config.name,
+      hot_restart_(loop.io, loop.timers, config.hot_restart_directory, config.name,
                    config.listen_address, [this] { on_processes_changed(); }) {}
 
 void HandoverCoordinator::start() {
--- a/src/net/server/main.cpp
+++ b/src/net/server/main.cpp
@@ -30,7 +30,7 @@
 void serve() {
   ConfigFile file = read_config_file();
   GatewayConfig config = make_config(file.tree);
-  config.persisted_endpoints = std::move(file.known);
+  config.persisted_endpoints = std::move(file.known_endpoints);
   const std::string name = config.name;
   boost::asio::io_context io(1);
   // Before the server: until then a SIGHUP would end the process.
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -14,11 +14,11 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-using KnownMembers = ConfigLoader::KnownMembers;
+using EndpointRetention = ConfigLoader::EndpointRetention;
 
-ConfigFile load(const std::string& text, KnownMembers known = KnownMembers::kKeep) {
+ConfigFile load(const std::string& text, EndpointRetention retention = EndpointRetention::kKeep) {
   std::istringstream file(text);
-  ConfigLoader loader(file, known);
+  ConfigLoader loader(file, retention);
   while (loader.parse_chunk()) {
   }
   return loader.finish();
@@ -31,16 +31,16 @@
 
 TEST(ConfigLoader, KeepsTheMembersAndOneOfEachShapeInTheTree) {
   const ConfigFile loaded = load(file(fleet(1000)));
-  EXPECT_EQ(loaded.known.revision, 41);
-  EXPECT_TRUE(loaded.known.complete);
-  EXPECT_EQ(loaded.known.endpoints.size(), 1000U);
+  EXPECT_EQ(loaded.known_endpoints.revision, 41);
+  EXPECT_TRUE(loaded.known_endpoints.complete);
+  EXPECT_EQ(loaded.known_endpoints.endpoints.size(), 1000U);
   EXPECT_EQ(loaded.tree["known"]["members"].size(), 1U);
   EXPECT_EQ(loaded.tree["settings"]["members"].size(), 1U);
-  const auto checked = load(file(fleet(1000)), KnownMembers::kCheckOnly);
+  const auto checked = load(file(fleet(1000)), EndpointRetention::kCheckOnly);
   EXPECT_EQ(checked.tree, loaded.tree);
-  EXPECT_TRUE(checked.known.endpoints.empty());
+  EXPECT_TRUE(checked.known_endpoints.endpoints.empty());
   for (const char* without_list : {R"({"name":"n0"})", R"({"known":null})"}) {
-    EXPECT_EQ(load(without_list).known.revision, 0);
+    EXPECT_EQ(load(without_list).known_endpoints.revision, 0);
   }
 }
 
@@ -55,8 +55,9 @@
         complete.substr(0, complete.size() / 2), edited(R"("phase":"up")", R"("phase":"odd")"),
         edited(R"("phase":"up",)", ""), edited(":8081", ""), edited(R"("revision":41,)", ""),
         edited(R"("size":1.0)", R"("size":)")}) {
-    for (const KnownMembers known : {KnownMembers::kKeep, KnownMembers::kCheckOnly}) {
-      EXPECT_ANY_THROW(load(text, known));
+    for (const EndpointRetention retention :
+         {EndpointRetention::kKeep, EndpointRetention::kCheckOnly}) {
+      EXPECT_ANY_THROW(load(text, retention));
     }
   }
 }
@@ -71,7 +72,8 @@
   const std::string with_number =
       R"({"id":"d","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0,"x":1})";
   const auto check = [](const std::string& previous, const std::string& current) {
-    check_keys_kept(load(file(previous)).tree, load(file(current), KnownMembers::kCheckOnly).tree);
+    check_keys_kept(load(file(previous)).tree,
+                    load(file(current), EndpointRetention::kCheckOnly).tree);
   };
   const auto many = [](const std::string& member, const std::string& last) {
     std::string members;
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -113,7 +113,7 @@
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   FakeDiscovery other(io);
   other.first = list_json(7, true, entry_json("s2", "127.0.0.1:9"));
-  discovery.move_to(other.address());
+  discovery.switch_agent(other.address());
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
   EXPECT_EQ(other.requests.at(0), "/catalog/members?watch=1");
   EXPECT_TRUE(run_until(io, [&] { return fake.peers[0]->closed; }));
