--- a/src/net/server/gateway_server.cpp
+++ b/src/net/server/gateway_server.cpp
@@ -24,7 +24,7 @@
 
 ConnectionPoolLimits pool_limits(const GatewayConfig& config) {
   ConnectionPoolLimits limits;
-  limits.server_idle_limit = config.connection_idle_timeout;
+  limits.server_idle_timeout = config.connection_idle_timeout;
   limits.connect_timeout = config.connect_timeout;
   limits.max_connections = max_connections(config);
   return limits;
@@ -93,7 +93,7 @@
     dispatcher_.on_attempt_complete(key, std::move(result));
   };
   events.on_request_written = [this](AttemptKey key) { dispatcher_.on_attempt_written(key); };
-  events.on_body_wanted = [this](AttemptKey key) { streamer_.on_body_piece_written(key); };
+  events.on_body_piece_needed = [this](AttemptKey key) { streamer_.on_body_piece_written(key); };
   events.on_response_started = [this](AttemptKey key, const AttemptResult& result,
                                       std::optional<std::uint64_t> length) {
     streamer_.on_response_started(key, result, length);
--- a/src/net/upstream/attempt.hpp
+++ b/src/net/upstream/attempt.hpp
@@ -48,7 +48,7 @@
   std::function<void(AttemptKey)> on_request_written = [](AttemptKey) {};
   // What there was of the request's body was written; more of it is awaited, see
   // ConnectionPool::send_body_piece().
-  std::function<void(AttemptKey)> on_body_wanted = [](AttemptKey) {};
+  std::function<void(AttemptKey)> on_body_piece_needed = [](AttemptKey) {};
   // A long response has begun; the last argument is its length in bytes, where that is known. Its
   // pieces follow one by one, each requested by resume(), and at last `on_complete`: kOk if it was
   // complete.
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -152,7 +152,7 @@
   }
   asio::post(io_, [this, connection, key = connection->attempt] {
     if (connection->state == State::kWriting && connection->attempt == key) {
-      attempt_events_.on_body_wanted(key);
+      attempt_events_.on_body_piece_needed(key);
     }
   });
 }
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -23,7 +23,7 @@
       timers_(timers),
       clock_(clock),
       limits_(limits),
-      idle_reuse_(limits.server_idle_limit),
+      idle_reuse_(limits.server_idle_timeout),
       attempts_(io, timers, clock, std::move(events), connection_events()) {
   close_expired();
 }
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -24,7 +24,7 @@
 
 struct ConnectionPoolLimits {
   // us after which servers close an idle connection.
-  Micros server_idle_limit = 15'000'000;
+  Micros server_idle_timeout = 15'000'000;
   // us
   Micros connect_timeout = 250'000;
   // Open connections to all servers, in use or idle.
@@ -55,7 +55,7 @@
   // within this call. `deadline` is an instant of the clock; the server is told the time left.
   void send(AttemptKey key, const std::string& server, const ForwardedRequest& request,
             Micros deadline);
-  // Sends the next piece of a request's body, after AttemptEvents::on_body_wanted.
+  // Sends the next piece of a request's body, after AttemptEvents::on_body_piece_needed.
   void send_body_piece(AttemptKey key, const std::string& piece, bool is_last);
   // The piece of the response that was delivered last has been passed on; reads the next.
   void resume(AttemptKey key);
--- a/src/net/upstream/idle_reuse_estimator.cpp
+++ b/src/net/upstream/idle_reuse_estimator.cpp
@@ -16,8 +16,8 @@
 
 }  // namespace
 
-IdleReuseEstimator::IdleReuseEstimator(Micros server_idle_limit)
-    : upper_bound_(kIdleLimitFraction * double(server_idle_limit)),
+IdleReuseEstimator::IdleReuseEstimator(Micros server_idle_timeout)
+    : upper_bound_(kIdleLimitFraction * double(server_idle_timeout)),
       max_idle_(Micros(upper_bound_)) {}
 
 void IdleReuseEstimator::on_response(Micros idle_time) {
--- a/src/net/upstream/idle_reuse_estimator.hpp
+++ b/src/net/upstream/idle_reuse_estimator.hpp
@@ -10,8 +10,8 @@
 
 class IdleReuseEstimator {
  public:
-  // `server_idle_limit`: us after which servers close an idle connection.
-  explicit IdleReuseEstimator(Micros server_idle_limit);
+  // `server_idle_timeout`: us after which servers close an idle connection.
+  explicit IdleReuseEstimator(Micros server_idle_timeout);
 
   // Connections that have been idle for this many us, or longer, must not be reused.
   Micros max_idle() const { return max_idle_; }
--- a/tests/net/upstream/connection_reuse_test.cpp
+++ b/tests/net/upstream/connection_reuse_test.cpp
@@ -42,7 +42,7 @@
 
 TEST_F(ConnectionReuseTest, ClosesIdleConnectionsBeforeTheServersLimit) {
   ConnectionPoolLimits limits = immediate_reuse();
-  limits.server_idle_limit = 500'000;
+  limits.server_idle_timeout = 500'000;
   make_pool(limits);
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
   EXPECT_TRUE(is_closed(0));
