--- a/include/quota_gateway/actions.hpp
+++ b/include/quota_gateway/actions.hpp
@@ -1,4 +1,5 @@
-// What the decision module asks its caller to do, at once and in order. Plain values.
+// Actions that the decision module returns. The caller performs them immediately and in order.
+// Plain values.
 #pragma once
 
 #include <cstdint>
@@ -10,52 +11,53 @@
 
 namespace quota_gateway {
 
-// Forward the request. Attempts of a request are numbered from 0 in the order of these actions;
-// each ends in one AttemptCompleted.
+// Forwards the request to a server. The attempts of a request are numbered from 0 in the order of
+// these actions. Each attempt ends in one AttemptCompleted.
 struct SendAttempt {
   std::string id;
   std::string server;
-  // How long to wait for the response; 0: until the client's deadline.
+  // How long to wait for the response, us; 0: until the client's deadline.
   Micros timeout = 0;
 };
 
-// Cancel an attempt in flight; its AttemptCompleted follows.
+// Cancels an attempt in flight. Its AttemptCompleted follows.
 struct CancelAttempt {
   std::string id;
   int attempt = 0;
 };
 
-// Answer the client that its request was rejected and had no effect.
+// Tells the client that its request was rejected and had no effect.
 struct Reject {
   std::string id;
-  // When the client should come back, from now; empty: no advice.
+  // How long the client should wait before a retry, us; empty: no advice.
   std::optional<Micros> retry_after;
 };
 
-// Answer the client that its request failed; it may have had an effect.
+// Tells the client that its request failed. The request may have had an effect.
 struct Fail {
   std::string id;
 };
 
-// Send TimerFired with this token at this instant. Timers are never cancelled.
+// Requests a TimerFired with this token at this instant. Timers are never cancelled.
 struct SetTimer {
   Micros at = 0;
   std::int64_t token = 0;
 };
 
+// Probes a server. A HealthCheckCompleted follows.
 struct SendHealthCheck {
   std::string server;
 };
 
-// Add to the shared counter and return its total, see CounterReply.
+// Adds `amount` to a key of the shared counter. A CounterReply with the key's total follows.
 struct AddToCounter {
   std::int64_t key = 0;
   double amount = 0;
-  // The counter may drop the name this long after the last call.
+  // The counter may delete the key this long after the last call for it, us.
   Micros time_to_live = 0;
 };
 
-// A line for the log, without its end.
+// A line for the log, without a line terminator.
 struct LogLine {
   std::string text;
 };
--- a/include/quota_gateway/gateway.hpp
+++ b/include/quota_gateway/gateway.hpp
@@ -1,6 +1,6 @@
-// The decision module: events in, actions out. No I/O, no clock, no threads; every decision of the
-// gateway is made behind this interface. The simulator adapter and the gateway program are its two
-// callers.
+// Interface of the decision module, which turns events into actions and makes every decision of the
+// gateway. It uses no I/O, clock or threads. Its two callers are the simulator adapter and the
+// gateway program.
 #pragma once
 
 #include <cstdint>
@@ -14,24 +14,24 @@
 
 namespace quota_gateway {
 
-// One gateway. Deterministic: the same settings, seed, times and events give the same actions.
-// Not thread-safe; instances share nothing.
+// One gateway. Deterministic: the same settings, seed, times and events produce the same actions.
+// Not thread-safe; instances share no state.
 class Gateway {
  public:
-  // `seed`: draws what gateways must not do in step. Differs between the gateways of a fleet.
+  // `seed` must differ between the gateways of a fleet: its random numbers keep the gateways from
+  // acting in lockstep.
   Gateway(Settings settings, std::uint64_t seed);
   ~Gateway();
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  // Processes events that happened up to `now`, in order, and appends what is to be done at once,
-  // in order. `now` never goes back between calls. Events about requests that have ended are
-  // ignored. Must not be called from within itself, that is while the actions are carried out by a
-  // callback of this call. Throws only std::bad_alloc.
+  // Processes events that happened up to `now`, in order, and appends the actions that the caller
+  // must perform immediately, in order. `now` must not decrease between calls. Events about
+  // requests that have ended are ignored. Not reentrant. Throws only std::bad_alloc.
   void handle(Micros now, const std::vector<Event>& events, std::vector<Action>& actions);
 
-  // Number of listed endpoints that get no requests: draining ones, and those that failed and have
-  // not responded since.
+  // Returns the number of listed endpoints that receive no requests: draining ones, and those that
+  // failed and have not responded since.
   int unavailable_endpoints() const;
 
  private:
--- a/include/quota_gateway/time.hpp
+++ b/include/quota_gateway/time.hpp
@@ -5,8 +5,8 @@
 
 namespace quota_gateway {
 
-// Microseconds. Instants count from one clock that all gateways share; durations are plain
-// differences.
+// Microseconds. Instants are times on one clock that all gateways share. Durations are differences
+// between instants.
 using Micros = std::int64_t;
 
 }  // namespace quota_gateway
--- a/src/policy/quota/counter_rate_limiter.cpp
+++ b/src/policy/quota/counter_rate_limiter.cpp
@@ -9,30 +9,34 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Calls of all gateways together that are made at once, and a second, before the limit is known.
+// Initial limit of all gateways together, until replies adjust it: calls per second, and calls in
+// the bucket.
 constexpr double kInitialCalls = 200;
-// The least of these for each gateway.
-constexpr double kLeastInitialCalls = 2;
+// Minimum initial limit of one gateway.
+constexpr double kMinInitialCalls = 2;
 
-// Calls a second, at the least; fewer would not notice that the counter is back.
-constexpr double kLeastCallsPerSecond = 1;
+// A lower rate would not notice soon enough that the counter has recovered.
+constexpr double kMinCallsPerSecond = 1;
 
-// Congestion (fraction of the calls that fail or are slow) at which the rate is held.
+// Congestion, the weighted fraction of calls that fail or are slow, at which the rate stays
+// constant.
 constexpr double kTargetCongestion = 0.2;
-// Smoothing of the congestion, a reply.
+// Weight of one reply in the mean congestion.
 constexpr double kCongestionGain = 0.1;
-// The congestion also fades with time, in us. Without this, the few calls after an overload would
-// keep it alive.
-constexpr Micros kCongestionMemory = kUpdatePeriod;
-// A call without an answer counts as so many refused ones: all calls meet that queue.
+// Time constant of the congestion's decay, us. Without the decay, the measured congestion would
+// outlast an overload, since the reduced rate leaves few calls to correct it.
+constexpr Micros kCongestionDecayTime = kUpdatePeriod;
+// Congestion of a call without a reply, where a refused or slow call has 1: the queue that delayed
+// this call delays every call.
 constexpr double kUnansweredWeight = 5;
 
-// Most that the rate changes in a second, as a fraction of it.
+// Gain of the rate under congestion: the maximum increase in one second and the maximum decrease by
+// one reply, as fractions of the rate.
 constexpr double kRateGain = 0.5;
-// The rate after the counter was down, as a fraction of that before.
+// Minimum rate after an outage, as a fraction of the rate before the failures.
 constexpr double kRateAfterDown = 0.5;
 
-// Failed calls in a row after which the counter is taken as down.
+// Number of consecutive failed calls after which the counter is considered down.
 constexpr int kDownAfterFailures = 6;
 
 double congestion_sample(CounterOutcome outcome, bool is_slow) {
@@ -51,7 +55,7 @@
       rate_before_failures_(calls_per_second_) {}
 
 double CounterRateLimiter::initial_calls() const {
-  return std::max(kLeastInitialCalls, kInitialCalls / std::max(1, settings_.gateway_count));
+  return std::max(kMinInitialCalls, kInitialCalls / std::max(1, settings_.gateway_count));
 }
 
 double CounterRateLimiter::capacity() const {
@@ -77,34 +81,35 @@
 }
 
 bool CounterRateLimiter::is_counter_down() const {
-  return failures_in_a_row_ >= kDownAfterFailures;
+  return consecutive_failures_ >= kDownAfterFailures;
 }
 
-// A counter that is asked more than it can serve answers next to nobody. Every gateway sees that
-// alike and slows down alike.
+// An overloaded counter replies to almost no call in time. All gateways observe this in the same
+// way and reduce their rates in the same way.
 void CounterRateLimiter::on_reply(Micros now, const CounterReply& reply) {
-  congestion_ *= decay_factor(now - std::exchange(congestion_at_, now), kCongestionMemory);
+  congestion_ *= decay_factor(now - std::exchange(congestion_at_, now), kCongestionDecayTime);
   const bool is_ok = reply.outcome == CounterOutcome::kOk;
-  const bool is_back = is_ok && is_counter_down();
+  const bool has_recovered = is_ok && is_counter_down();
   const bool is_slow = 2 * reply.duration > settings_.counter_timeout;
   count_reply(reply.outcome, is_slow);
-  if (failures_in_a_row_ == 0) {
+  if (consecutive_failures_ == 0) {
     rate_before_failures_ = calls_per_second_;
   }
-  // Calls on a connection that went silent are all late, whatever the counter's load; so the rate
-  // doesn't have to be found anew.
-  if (is_back) {
+  // When a connection goes silent, all its calls time out regardless of the counter's load. The
+  // rate therefore resumes near its value before the failures.
+  if (has_recovered) {
     calls_per_second_ = std::max(calls_per_second_, kRateAfterDown * rate_before_failures_);
   }
-  failures_in_a_row_ = is_ok ? 0 : failures_in_a_row_ + 1;
+  consecutive_failures_ = is_ok ? 0 : consecutive_failures_ + 1;
 
-  // A call that is lost early, by a reset or a reply without a number, shows a fault of its
-  // connection and no load of the counter: the rate stays, until the counter is taken as down.
+  // A call that is lost early, by a connection reset or a reply without a number, indicates a fault
+  // of its connection and not load on the counter. Such calls do not change the rate until the
+  // counter is considered down.
   const bool is_lost_early = reply.outcome == CounterOutcome::kUnknown && !is_slow;
   if (is_lost_early && !is_counter_down()) {
     return;
   }
-  congestion_ = is_back
+  congestion_ = has_recovered
                     ? 0
                     : congestion_ + kCongestionGain *
                                         (congestion_sample(reply.outcome, is_slow) - congestion_);
@@ -112,14 +117,14 @@
 }
 
 void CounterRateLimiter::adjust_rate() {
-  // A rate that grew unused would say nothing of what the counter bears, and all gateways would use
-  // it at once.
+  // An unused rate must not grow: the replies would not show that the counter can serve it, and all
+  // gateways might start to use it at the same time.
   const bool is_used = 2 * available_calls_ < capacity();
   if (congestion_ > 0) {
     const double change =
         kRateGain / std::max(1.0, calls_per_second_) * (1 - congestion_ / kTargetCongestion);
     const double factor = 1 + std::clamp(change, -kRateGain, is_used ? kRateGain : 0);
-    calls_per_second_ = std::max(kLeastCallsPerSecond, calls_per_second_ * factor);
+    calls_per_second_ = std::max(kMinCallsPerSecond, calls_per_second_ * factor);
   } else if (is_used) {
     calls_per_second_ += 1;
   }
--- a/src/policy/quota/counter_sync.cpp
+++ b/src/policy/quota/counter_sync.cpp
@@ -7,30 +7,35 @@
 namespace quota_gateway::policy {
 namespace {
 
-// A customer's name at the counter serves so long, in us; with the next one a lost count is over.
-constexpr Micros kEpochLength = 16 * kUpdatePeriod;
-// The counter forgets a name that was not used for so long, in us.
-constexpr Micros kNameLifetime = 2 * kEpochLength;
+// How long a customer's counter key is in use, us. The next key starts a new count, which ends the
+// effect of a lost count.
+constexpr Micros kRotationWindowLength = 16 * kUpdatePeriod;
+// How long the counter keeps a key after its last use, us.
+constexpr Micros kKeyTimeToLive = 2 * kRotationWindowLength;
 
-// The least time between two calls for a customer that spends fast, in us. In a period, all
-// gateways may each spend the store that they see.
+// Minimum time between two calls for a customer that spends fast, us. Between two totals, each
+// gateway may spend the tokens that it sees, so with rare calls all gateways together could exceed
+// the quota.
 constexpr Micros kUrgentPeriod = kUpdatePeriod / 8;
 // Unreported units, as a fraction of the burst, that count as spending fast.
 constexpr double kUrgentBurstFraction = 0.1;
 
-// A request of a customer with a known total needs a call less than the first one: so much of it.
+// Weight of a request of a customer with a known total in the decision about a call; the requests
+// before the first total have a weight of 1.
 constexpr double kKnownCustomerWeight = 0.25;
 
-// Changes to the present epoch's name. What was asked before the epoch began is in no total of it.
-void start_epoch(Micros now, std::int64_t epoch, Micros phase, CounterTotal& total) {
-  total.rotation_window = epoch;
+// Switches to the counter key of the present rotation window. The totals of this key do not contain
+// demand from before the window began.
+void start_rotation_window(Micros now, std::int64_t rotation_window, Micros phase,
+                           CounterTotal& total) {
+  total.rotation_window = rotation_window;
   total.value = 0;
   total.own_additions = 0;
-  const Micros epoch_start = epoch * kEpochLength - phase;
-  if (epoch_start > total.read_at) {
-    total.assumed_others *= double(now - epoch_start) / double(now - total.read_at);
+  const Micros window_start = rotation_window * kRotationWindowLength - phase;
+  if (window_start > total.read_at) {
+    total.assumed_others *= double(now - window_start) / double(now - total.read_at);
   }
-  total.read_at = epoch_start;
+  total.read_at = window_start;
 }
 
 }  // namespace
@@ -53,8 +58,8 @@
   return !is_known && !limiter_.is_counter_down();
 }
 
-// The fewer calls are available, the more requests must one report. Without this, customers that
-// come now and then would use up what the counter bears.
+// The fewer calls are available, the more requests a call must report. Otherwise, customers with
+// occasional requests would use up the calls that the counter can serve.
 bool CounterSync::is_call_due(Micros now, const CustomerState& customer) const {
   const CounterTotal& total = customer.counter_total;
   const UnreportedDemand& unreported = customer.unreported;
@@ -75,14 +80,14 @@
 void CounterSync::send_call(Micros now, CustomerState& customer, std::vector<Action>& actions) {
   CounterTotal& total = customer.counter_total;
   UnreportedDemand& unreported = customer.unreported;
-  const Micros phase = window_phase(customer.key, kEpochLength);
-  const std::int64_t epoch = (now + phase) / kEpochLength;
-  if (epoch != total.rotation_window) {
-    start_epoch(now, epoch, phase, total);
+  const Micros phase = window_phase(customer.key, kRotationWindowLength);
+  const std::int64_t rotation_window = (now + phase) / kRotationWindowLength;
+  if (rotation_window != total.rotation_window) {
+    start_rotation_window(now, rotation_window, phase, total);
   }
-  const std::int64_t key = counter_key(customer.key, CounterSeries::kDemandTotal, epoch);
+  const std::int64_t key = counter_key(customer.key, CounterSeries::kDemandTotal, rotation_window);
   pending_[key] = {&customer, unreported.units};
-  actions.emplace_back(AddToCounter{key, unreported.units, kNameLifetime});
+  actions.emplace_back(AddToCounter{key, unreported.units, kKeyTimeToLive});
   unreported.units = 0;
   unreported.requests = 0;
   total.last_call_at = now;
--- a/src/policy/quota/counter_sync.hpp
+++ b/src/policy/quota/counter_sync.hpp
@@ -1,6 +1,6 @@
-// Reports customers' demand to the counter and reads the totals that all gateways report there.
-// QuotaAllocator owns it: report_demand() is called for each request and each period, on_reply()
-// for each reply of the counter.
+// Reports customers' demand to the counter and reads the totals over all gateways. QuotaAllocator
+// owns the object, calls report_demand() for each request and in each update period, and calls
+// on_reply() for each reply of the counter.
 #pragma once
 
 #include <cstdint>
@@ -13,19 +13,20 @@
 
 namespace quota_gateway::policy {
 
+// Sends the calls that report demand and applies their replies.
 class CounterSync {
  public:
-  // All of these must outlive this.
+  // All arguments must outlive this object.
   CounterSync(const Settings& settings, CounterRateLimiter& limiter, std::uint64_t& random)
       : settings_(settings), limiter_(limiter), total_estimator_(random) {}
 
   // Appends a call that reports the customer's unreported demand, if one is due. Returns whether
-  // the customer's first total is on its way and worth waiting for. The customer must stay where it
-  // is until the reply.
+  // the customer's first total has been requested and the request should wait for it. The
+  // customer's address must not change until the reply.
   bool report_demand(Micros now, CustomerState& customer, std::vector<Action>& actions);
 
-  // Learns from a reply. Returns the customer that it was about, or null if it answers no call made
-  // here. `gateway_started_at`: see CounterTotalEstimator::on_total.
+  // Applies a reply. Returns the customer of the reply's call, or null if this object did not make
+  // that call. `gateway_started_at`: see CounterTotalEstimator::on_total().
   CustomerState* on_reply(Micros now, Micros gateway_started_at, const CounterReply& reply);
 
  private:
@@ -40,7 +41,7 @@
   const Settings& settings_;
   CounterRateLimiter& limiter_;
   CounterTotalEstimator total_estimator_;
-  std::unordered_map<std::int64_t, PendingCall> pending_;  // by name; never iterated
+  std::unordered_map<std::int64_t, PendingCall> pending_;  // by counter key; never iterated
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/quota/counter_total_estimator.cpp
+++ b/src/policy/quota/counter_total_estimator.cpp
@@ -11,15 +11,16 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Fraction of the quota that others are assumed to ask before any total is known.
+// Others' assumed demand before the first total, as a fraction of the quota.
 constexpr double kUnknownOthersFraction = 0.5;
 
-// While first totals are below this fraction of whole quotas, the counter itself is taken as new.
+// While the first totals of keys are below this fraction of the full quotas, the counter is assumed
+// to have started recently, with empty counts.
 constexpr double kNewCounterFraction = 0.25;
-// Fraction of the evidence for that which each first total keeps.
+// Factor by which each first total decays the sums behind that assumption.
 constexpr double kNewCounterEvidenceKept = 0.95;
 
-// A total may fall short of the own additions by rounding alone.
+// Rounding alone may make an increase smaller than the own additions.
 constexpr double kRoundingTolerance = 0.999;
 
 }  // namespace
@@ -31,8 +32,8 @@
   const double increase = total - counter.value;
   const double seconds = observed_seconds(now, gateway_started_at, customer, increase);
 
-  // Less than this gateway added itself proves that the counter lost its counts. Then the estimates
-  // stay; only the base for the next total moves.
+  // An increase below this gateway's own additions proves that the counter lost its counts. In that
+  // case the estimates stay, and only the base of the next increase changes.
   if (increase >= counter.own_additions * kRoundingTolerance && seconds > 0) {
     apply(now, customer, increase, seconds, added);
   }
@@ -42,19 +43,19 @@
   counter.assumed_others = 0;
 }
 
-// Seconds in which the total grew by `increase`. A total of a counter that was just emptied is
-// younger than its name's epoch. One customer's total can't show that, those of all can: while they
-// are small, no total is taken as older than this gateway.
+// Returns the seconds in which the total grew by `increase`. If the counter lost all counts
+// recently, its totals cover less time than the rotation window. One customer's total cannot show
+// such a loss, but the first totals of all customers can: while they are small, no total is assumed
+// to cover more time than this gateway has run.
 double CounterTotalEstimator::observed_seconds(Micros now, Micros gateway_started_at,
                                                const CustomerState& customer, double increase) {
   const double seconds = double(now - customer.counter_total.read_at) / kMicrosPerSecond;
   if (customer.counter_total.value > 0) {
     return seconds;
   }
-  quotas_since_last_read_ =
-      kNewCounterEvidenceKept * quotas_since_last_read_ + customer.quota_rate * seconds;
-  first_totals_ = kNewCounterEvidenceKept * first_totals_ + increase;
-  if (first_totals_ < kNewCounterFraction * quotas_since_last_read_) {
+  full_quota_units_ = kNewCounterEvidenceKept * full_quota_units_ + customer.quota_rate * seconds;
+  first_total_units_ = kNewCounterEvidenceKept * first_total_units_ + increase;
+  if (first_total_units_ < kNewCounterFraction * full_quota_units_) {
     return std::min(seconds, double(now - gateway_started_at) / kMicrosPerSecond);
   }
   return seconds;
@@ -70,18 +71,19 @@
     demand.others = kUnknownOthersFraction * customer.quota_rate;
   }
 
-  // A smoothed rate shows a spike elsewhere when the store has long been spent there. So what was
-  // asked beyond the assumption leaves the store at once, and what was not asked returns to it; up
-  // to a second's debt, since others' calls are late too. Demand that others rejected is included.
-  const double asked_by_others = increase - customer.counter_total.own_additions;
+  // The smoothed rate reacts to a spike at other gateways only after they have spent the tokens.
+  // The difference between others' assumed and actual demand therefore changes the tokens
+  // immediately. It creates debt of at most one second of the quota, since others report late too.
+  // Others' demand includes requests that they rejected.
+  const double demand_of_others = increase - customer.counter_total.own_additions;
   if (!is_first) {
     const double lower_limit = std::min(budget.tokens, -customer.quota_rate);
     const double corrected =
-        budget.tokens + customer.counter_total.assumed_others - asked_by_others;
+        budget.tokens + customer.counter_total.assumed_others - demand_of_others;
     budget.tokens = std::min(token_capacity(customer), std::max(lower_limit, corrected));
   }
   demand.others += (1 - std::exp(-seconds / demand_smoothing_seconds(customer))) *
-                   (asked_by_others / seconds - demand.others);
+                   (demand_of_others / seconds - demand.others);
   if (is_first) {
     set_first_budget(customer, seconds, added);
   }
@@ -89,18 +91,19 @@
   customer.counter_total.trusted_at = now;
 }
 
-// The store starts as full as demand leaves it. With nothing left, a gateway's first request passes
-// as often as its slice says, in place of never.
+// Fills the bucket in proportion to the part of the quota that demand does not use. If demand uses
+// all of the quota, the bucket stays empty and a random slice credit admits the gateway's first
+// request with the probability quota / demand; without the credit, this request would never pass.
 void CounterTotalEstimator::set_first_budget(CustomerState& customer, double seconds,
                                              double added) {
   const double own_rate = added / std::max(seconds, demand_smoothing_seconds(customer));
-  const double asked_fraction = (customer.demand.others + own_rate) / customer.quota_rate;
+  const double demand_fraction = (customer.demand.others + own_rate) / customer.quota_rate;
   const double full_fraction =
-      std::clamp((1 - asked_fraction) / (1 - kUnknownOthersFraction), 0.0, 1.0);
+      std::clamp((1 - demand_fraction) / (1 - kUnknownOthersFraction), 0.0, 1.0);
   customer.budget.tokens = quota_burst(customer) * full_fraction;
   if (full_fraction <= 0) {
     customer.budget.slice_credit =
-        customer.unreported.last_request_units * (uniform(random_) + 1 / asked_fraction);
+        customer.unreported.last_request_units * (uniform(random_) + 1 / demand_fraction);
   }
 }
 
--- a/src/policy/quota/counter_total_estimator.hpp
+++ b/src/policy/quota/counter_total_estimator.hpp
@@ -1,5 +1,5 @@
-// Learns others' demand and the units that are left from the totals of the counter. CounterSync
-// owns it and calls it for each total that was read.
+// Estimates the other gateways' demand and a customer's remaining tokens from the counter's totals.
+// CounterSync owns the estimator and calls it for each total that it reads.
 #pragma once
 
 #include <cstdint>
@@ -8,13 +8,15 @@
 
 namespace quota_gateway::policy {
 
+// Updates customers' estimates from counter totals.
 class CounterTotalEstimator {
  public:
-  // `random` is the gateway's random state, shared with its other draws; it must outlive this.
+  // `random` is the state of the gateway's random generator, which other objects use too. It must
+  // outlive this object.
   explicit CounterTotalEstimator(std::uint64_t& random) : random_(random) {}
 
-  // The counter reads `total` units under the customer's current name, `added` of which the call
-  // itself brought. A total that is less than what this gateway added is not believed.
+  // The counter returned `total` units for the customer's present key, including the `added` units
+  // of the call itself. The estimates ignore a total that grew by less than this gateway added.
   // `gateway_started_at`: when this gateway, or its present set of processes, started.
   void on_total(Micros now, Micros gateway_started_at, CustomerState& customer, double total,
                 double added);
@@ -26,9 +28,9 @@
   void set_first_budget(CustomerState& customer, double seconds, double added);
 
   std::uint64_t& random_;
-  // Units, over the first totals of names of all customers; old evidence fades.
-  double quotas_since_last_read_ = 0;  // what whole quotas would have come to
-  double first_totals_ = 0;            // what was read
+  // Decaying sums, in units, over the first total of each key, for all customers.
+  double full_quota_units_ = 0;   // units that the full quotas allowed in the observed times
+  double first_total_units_ = 0;  // units of the totals
 };
 
 }  // namespace quota_gateway::policy
--- a/src/policy/quota/local_budget.cpp
+++ b/src/policy/quota/local_budget.cpp
@@ -7,33 +7,33 @@
 namespace quota_gateway::policy {
 namespace {
 
-constexpr double kRoundingUnits = 1e-9;  // sums of units may fall short by so much
-constexpr double kLeastFillRate = 1e-6;  // units a second; keeps divisions defined
-constexpr double kLeastDemand = 1e-9;    // units a second; keeps divisions defined
+constexpr double kRoundingUnits = 1e-9;  // tolerance for rounding in sums of units
+constexpr double kMinFillRate = 1e-6;    // units per second; avoids a division by zero
+constexpr double kMinDemand = 1e-9;      // units per second; avoids a division by zero
 
-// Units of the store that a request may spend now. Between two totals each gateway spends its own
-// allowance alone, or a spike would be admitted as often as there are gateways. But the last
-// request may go past it, since a small allowance holds none.
-double spendable_store(const CustomerState& customer) {
+// Returns the tokens that a request may spend now. Between two totals, each gateway spends its own
+// allowance only; otherwise each gateway would admit a spike in full. The last request may exceed
+// the allowance, since a small allowance is less than one request.
+double spendable_tokens(const CustomerState& customer) {
   const LocalBudget& budget = customer.budget;
   return budget.own_allowance > 0 ? budget.tokens : std::min(budget.tokens, 0.0);
 }
 
-// Units that must be there for a request of `units`.
-double needed_units(const CustomerState& customer, double units) {
+// Returns the tokens or slice credit that a request of `units` requires.
+double required_units(const CustomerState& customer, double units) {
   return std::min(units, token_capacity(customer)) - kRoundingUnits;
 }
 
 }  // namespace
 
 bool slice_covers(const CustomerState& customer, double units) {
-  const double spendable = std::max(spendable_store(customer), customer.budget.slice_credit);
-  return customer.quota_rate <= 0 || spendable >= needed_units(customer, units);
+  const double spendable = std::max(spendable_tokens(customer), customer.budget.slice_credit);
+  return customer.quota_rate <= 0 || spendable >= required_units(customer, units);
 }
 
 BudgetSource charge_slice(CustomerState& customer, double units) {
-  const bool is_in_store = spendable_store(customer) >= needed_units(customer, units);
-  const BudgetSource source = is_in_store ? BudgetSource::kTokens : BudgetSource::kSliceCredit;
+  const bool tokens_cover = spendable_tokens(customer) >= required_units(customer, units);
+  const BudgetSource source = tokens_cover ? BudgetSource::kTokens : BudgetSource::kSliceCredit;
   charge_to(customer, source, units);
   return source;
 }
@@ -64,8 +64,8 @@
   const Demand& demand = customer.demand;
   const LocalBudget& budget = customer.budget;
   const double quota = customer.quota_rate;
-  const double own_slice = quota * demand.own / (demand.own + demand.others + kLeastDemand);
-  const double fill_rate = std::max({quota - demand.others, own_slice, kLeastFillRate});
+  const double own_slice = quota * demand.own / (demand.own + demand.others + kMinDemand);
+  const double fill_rate = std::max({quota - demand.others, own_slice, kMinFillRate});
   const double missing = std::max(0.0, units - std::max(budget.tokens, budget.slice_credit));
   return missing / fill_rate;
 }
--- a/src/policy/quota/quota_allocator.cpp
+++ b/src/policy/quota/quota_allocator.cpp
@@ -12,18 +12,19 @@
 namespace quota_gateway::policy {
 namespace {
 
-// The longest Retry-After, as a fraction of the latency objective: a retry then still ends in time.
+// Maximum Retry-After, as a fraction of the latency objective, so that a retry can still meet the
+// objective.
 constexpr double kRetryAfterFraction = 0.33;
 
-// A customer without requests for longer is forgotten, in us. It is four times as long as the
-// counter uses one name for a customer (see counter_sync.cpp).
-constexpr Micros kForgetIdleAfter = 64 * kUpdatePeriod;
+// Time without requests after which a customer is evicted, us: four rotation windows of a counter
+// key (see counter_sync.cpp).
+constexpr Micros kIdleTimeout = 64 * kUpdatePeriod;
 
-// A total is recent for so long, in us.
+// Maximum age of a total that the stats count as recent, us.
 constexpr Micros kRecentTotal = 2 * kUpdatePeriod;
 
-bool can_forget(Micros now, const CustomerState& customer) {
-  return now - customer.last_request_at > kForgetIdleAfter && customer.attempts_in_progress == 0 &&
+bool can_evict(Micros now, const CustomerState& customer) {
+  return now - customer.last_request_at > kIdleTimeout && customer.attempts_in_progress == 0 &&
          customer.counter_total.calls_in_flight == 0 && !customer.ceiling_reservation.in_flight &&
          !customer.quota_reservation.in_flight;
 }
@@ -59,10 +60,10 @@
   customer.key = hash_text(name);
   customer.quota_rate = quota_rate(plan);
   customer.estimated_at = now;
-  // An earlier process may just have spent the share of the ceiling: it starts empty and fills from
-  // this gateway's start on.
+  // An earlier process may have spent the share of the ceiling just before this one started.
+  // Therefore the share starts empty and refills from this gateway's start on.
   customer.ceiling.units = 0;
-  customer.ceiling.filled_at = *started_at_;
+  customer.ceiling.refilled_at = *started_at_;
   customer.budget.tokens = token_capacity(customer);
   customer.budget.own_allowance = customer.budget.tokens;
   assume_even_demand(customer);
@@ -98,11 +99,11 @@
 }
 
 Micros QuotaAllocator::retry_after(const CustomerState& customer, double units,
-                                   Micros latency_objective, Micros least) const {
+                                   Micros latency_objective, Micros min_retry_after) const {
   const double until_covered = seconds_until_covered(customer, units) * kMicrosPerSecond;
-  const double most =
+  const double max_retry_after =
       std::min(double(settings_.max_retry_after), kRetryAfterFraction * double(latency_objective));
-  const double advice = std::min(most, std::max(until_covered, double(least)));
+  const double advice = std::min(max_retry_after, std::max(until_covered, double(min_retry_after)));
   return std::max(settings_.clock_tick, Micros(advice));
 }
 
@@ -110,7 +111,7 @@
   for (auto it = customers_.begin(); it != customers_.end();) {
     CustomerState& customer = it->second;
     advance_estimates(now, customer);
-    if (can_forget(now, customer)) {
+    if (can_evict(now, customer)) {
       it = customers_.erase(it);
     } else {
       report_demand(now, customer, actions);
@@ -126,8 +127,8 @@
 }
 
 void QuotaAllocator::set_process_count(Micros now, int process_count) {
-  // The share of a customer without requests until now was not filled by this process alone; it
-  // fills anew.
+  // For a customer that this process has not seen, the ceiling share since the start may have been
+  // spent by other processes. Such a share starts to refill only now.
   started_at_ = now;
   for (auto& [name, customer] : customers_) {
     customer.gateway_subset_size = customer.gateway_subset_size / process_count_ * process_count;
--- a/src/policy/quota/quota_allocator.hpp
+++ b/src/policy/quota/quota_allocator.hpp
@@ -1,7 +1,7 @@
-// Allocates customers' quotas: each gateway has a slice of a customer's quota, by its share of the
-// demand that is measured at all gateways, and spends it locally (see local_budget.hpp). The
-// gateway owns one allocator. Customers live here: they are made by the first request and forgotten
-// when idle; what is measured and spent is in their CustomerState.
+// Allocates customers' quotas. Each gateway has a slice of a customer's quota, in proportion to its
+// share of the demand measured at all gateways, and spends the slice locally (see
+// local_budget.hpp). The gateway owns one allocator. The allocator owns the CustomerState objects:
+// it creates one for a customer's first request and evicts it when the customer is idle.
 #pragma once
 
 #include <cstdint>
@@ -18,58 +18,62 @@
 
 namespace quota_gateway::policy {
 
+// The customers of one gateway and their shares of the quotas.
 class QuotaAllocator {
  public:
-  // `settings` must outlive this; after they changed, on_settings_changed() is to be called.
+  // `settings` must outlive this object. Call on_settings_changed() after they have changed.
   QuotaAllocator(const Settings& settings, std::uint64_t seed);
   QuotaAllocator(const QuotaAllocator&) = delete;
   QuotaAllocator& operator=(const QuotaAllocator&) = delete;
 
-  // The state of a request's customer, under the plan that the request names. The plan must stay
-  // where it is; it may change.
+  // Returns the state of a request's customer under the plan that the request names. The plan may
+  // change but its address must not.
   CustomerState& customer(Micros now, const RequestArrived& request, const PlanSettings& plan);
 
   // Appends a call to the counter for the customer's demand, if one is due. Returns whether the
   // request should wait for the customer's first total.
   bool report_demand(Micros now, CustomerState& customer, std::vector<Action>& actions);
 
-  // A reply of the counter. Returns the customer whose total it was, or null if it was none.
+  // Applies a reply of the counter. Returns the customer that the call reported demand for, or null
+  // if the reply is to another call.
   CustomerState* on_counter_reply(Micros now, const CounterReply& reply);
 
   // Whether the slice covers a sparse customer's request that has no reservation from the pool.
-  // Past the quota it covers none: together with what others reserve, twice the quota was admitted
-  // otherwise.
+  // When demand exceeds the quota, the slice covers no request: together with the units that others
+  // reserve, twice the quota was admitted. This rule does not apply before the first total or while
+  // the counter is down.
   bool covers_without_reservation(const CustomerState& customer, double units) const;
 
-  // Whether a sparse customer's request may reserve units from the shared pool. Past the quota only
-  // so many may that their units add up to a little more than the quota.
+  // Whether a sparse customer's request may reserve units from the shared pool. When demand exceeds
+  // the quota, only a fraction of the requests may, so that their units add up to a little more
+  // than the quota.
   bool should_reserve(CustomerState& customer);
 
-  // What a rejected client should wait, in us: until the slice will cover `units`, and at least
-  // `least`, but no longer than a retry may take to meet the latency objective; one that returns
-  // later earns nothing.
+  // Returns how long a rejected client should wait before a retry, us: until the slice will cover
+  // `units`, and at least `min_retry_after`, but no longer than a fraction of the latency
+  // objective, since a retry that misses the objective earns little or nothing.
   Micros retry_after(const CustomerState& customer, double units, Micros latency_objective,
-                     Micros least) const;
+                     Micros min_retry_after) const;
 
-  // Once a period: appends calls for demand that no request has reported, and forgets customers
-  // that are idle.
+  // Runs once per update period: appends calls for demand that no request has reported, and evicts
+  // idle customers.
   void on_period(Micros now, std::vector<Action>& actions);
 
-  // Fills the customers' shares of the ceiling up to now. To be called before the settings or the
-  // number of processes change.
+  // Refills the customers' shares of the ceiling up to `now`. Must be called before the settings or
+  // the number of processes change.
   void refill_ceilings(Micros now, const RateCeiling& ceiling);
 
-  // This gateway is so many processes now; each is one of a customer's gateways, whose number grows
-  // by that factor.
+  // This gateway consists of `process_count` processes from now on. Each process counts as one
+  // gateway, so the number of gateways of each customer scales by this factor.
   void set_process_count(Micros now, int process_count);
 
-  // To be called after the settings changed.
+  // Must be called after the settings have changed.
   void on_settings_changed(Micros now);
 
-  // The limit of all calls to the counter.
+  // The limiter of all calls to the counter.
   CounterRateLimiter& counter_limiter() { return counter_limiter_; }
 
-  // The present stats; counts start anew.
+  // Returns the present stats and resets their counts.
   QuotaStats take_stats(Micros now);
 
  private:
@@ -80,9 +84,10 @@
   std::uint64_t random_;
   CounterRateLimiter counter_limiter_;
   CounterSync counter_sync_;
-  std::optional<Micros> started_at_;  // when this gateway, or its present processes, started
+  std::optional<Micros> started_at_;  // when this gateway, or its present set of processes, started
   int process_count_ = 1;
-  // The order decides that of calls to the counter; it must be the same in each run.
+  // Ordered, since the iteration order determines the order of calls to the counter, which must be
+  // deterministic.
   std::map<std::string, CustomerState> customers_;
 };
 
--- a/src/policy/quota/quota_capacity.cpp
+++ b/src/policy/quota/quota_capacity.cpp
@@ -8,17 +8,18 @@
 namespace quota_gateway::policy {
 namespace {
 
-// The mean number of concurrent attempts stays so many standard deviations under the cap ...
+// The mean number of concurrent attempts stays this many standard deviations below the cap ...
 constexpr double kConcurrencyDeviations = 0.85;
-// ... but is at the least this fraction of it: small caps would be left unused otherwise.
-constexpr double kConcurrencyLeastFraction = 0.3;
-// Seconds of the rate under a concurrency cap that may be used at once.
+// ... but is at least this fraction of the cap, since small caps would remain unused otherwise.
+constexpr double kMinConcurrencyFraction = 0.3;
+// Burst under a concurrency cap, in seconds of the rate.
 constexpr double kConcurrencyBurstSeconds = 1;
 
-// An even share of the quota in a period, as a fraction of the largest request: less is sparse.
+// A customer is sparse if an even share of its quota in one update period is less than this
+// fraction of the largest request.
 constexpr double kSparseRequestFraction = 0.1;
 
-// Times the even share that a customer without a counter total may store.
+// Capacity of the token bucket before the first counter total, in even shares of the burst.
 constexpr double kUnknownTotalShares = 2.0;
 
 }  // namespace
@@ -26,7 +27,7 @@
 double quota_rate(const PlanSettings& plan) {
   const double cap = plan.max_concurrent_attempts;
   return plan.quota_rate > 0 ? plan.quota_rate
-                             : std::max(kConcurrencyLeastFraction * cap,
+                             : std::max(kMinConcurrencyFraction * cap,
                                         cap - kConcurrencyDeviations * std::sqrt(cap));
 }
 
--- a/src/policy/quota/quota_stats.hpp
+++ b/src/policy/quota/quota_stats.hpp
@@ -1,4 +1,4 @@
-// What an operator's log says of the quotas. Made by QuotaAllocator for the gateway's log.
+// Statistics of the quotas for the gateway's log. QuotaAllocator provides them.
 #pragma once
 
 #include <cstddef>
@@ -8,14 +8,15 @@
 
 namespace quota_gateway::policy {
 
+// Numbers of customers, and of calls to the counter.
 struct QuotaStats {
   std::size_t customers = 0;
   std::size_t customers_with_recent_total = 0;
-  CounterCallCounts counter_calls;      // since the stats before
+  CounterCallCounts counter_calls;      // since the previous stats
   double counter_calls_per_second = 0;  // the present limit
 };
 
-// The stats as a part of a log line.
+// Returns the stats as part of a log line.
 std::string format_quota_stats(const QuotaStats& stats);
 
 }  // namespace quota_gateway::policy
--- a/src/policy/quota/rate_ceiling.cpp
+++ b/src/policy/quota/rate_ceiling.cpp
@@ -18,9 +18,9 @@
   }
   CeilingShare& ceiling = customer.ceiling;
   const double filled =
-      share(customer) * plan.ceiling_rate * double(now - ceiling.filled_at) / kMicrosPerSecond;
+      share(customer) * plan.ceiling_rate * double(now - ceiling.refilled_at) / kMicrosPerSecond;
   ceiling.units = std::min(share(customer) * plan.ceiling_burst, ceiling.units + filled);
-  ceiling.filled_at = now;
+  ceiling.refilled_at = now;
 }
 
 bool RateCeiling::admits(Micros now, CustomerState& customer, double units) const {
--- a/src/policy/quota/shared_pool.cpp
+++ b/src/policy/quota/shared_pool.cpp
@@ -8,18 +8,18 @@
 namespace quota_gateway::policy {
 namespace {
 
-// Units in a window of a quota's pool, as a fraction of the burst.
+// Units per window of a quota's pool, as a fraction of the burst.
 constexpr double kQuotaPoolBurstFraction = 1;
 
-// The counter forgets a pool's name after so many windows, and not before a second has passed.
-constexpr Micros kNameLifetimeWindows = 2;
-constexpr Micros kLeastNameLifetime = 1'000'000;  // us
+// Time to live of a pool's counter key, in windows, and its minimum.
+constexpr Micros kKeyTimeToLiveWindows = 2;
+constexpr Micros kMinKeyTimeToLive = 1'000'000;  // us
 
 CounterSeries series_of(PoolKind kind) {
   return kind == PoolKind::kCeiling ? CounterSeries::kCeilingPool : CounterSeries::kQuotaPool;
 }
 
-// Us in which `rate` brings `units`, at least 1.
+// Returns the time in which `rate` (units per second) refills `units`, us; at least 1.
 Micros time_to_fill(double units, double rate) {
   return std::max<Micros>(1, Micros(units / rate * kMicrosPerSecond));
 }
@@ -31,7 +31,7 @@
 }
 
 std::int64_t SharedPool::window(Micros now, const CustomerState& customer) const {
-  // Counted from 1; the number is part of the name at the counter.
+  // Window numbers start at 1. The number is part of the counter key.
   return (now + window_phase(customer.key, window_length)) / window_length + 1;
 }
 
@@ -45,8 +45,9 @@
   return reservation.window == window(now, customer) && reservation.exhausted;
 }
 
-// A span of time t touches t / length + 2 windows. With half the burst over the rate as the length,
-// the windows' pools hold no more than the ceiling allows in t.
+// A period t overlaps at most t / window_length + 2 windows. With a window length of half the burst
+// divided by the rate, the pools of these windows hold no more than the pool's part of the ceiling
+// allows in t.
 SharedPool ceiling_pool(const PlanSettings& plan) {
   return {PoolKind::kCeiling, (1 - kCeilingEvenFraction) * plan.ceiling_burst / 2,
           time_to_fill(plan.ceiling_burst / 2, plan.ceiling_rate)};
@@ -75,9 +76,9 @@
   const std::int64_t key = counter_key(customer.key, series_of(pool.kind), window);
   pending_[key] = {&customer, pool, units};
   reservation.in_flight = true;
-  const Micros lifetime =
-      std::max<Micros>(kLeastNameLifetime, kNameLifetimeWindows * pool.window_length);
-  actions.emplace_back(AddToCounter{key, units, lifetime});
+  const Micros time_to_live =
+      std::max<Micros>(kMinKeyTimeToLive, kKeyTimeToLiveWindows * pool.window_length);
+  actions.emplace_back(AddToCounter{key, units, time_to_live});
   return true;
 }
 
--- a/src/policy/quota/shared_pool.hpp
+++ b/src/policy/quota/shared_pool.hpp
@@ -1,8 +1,8 @@
 // Pools of units that all gateways of a customer share through the counter: a part of its rate
-// ceiling, and the quota of a sparse customer. Under a name for the customer and the present window
-// each gateway adds what it wants; what lies within the window's pool is reserved for that gateway
-// until the window ends. The gateway decides who reserves how much; this keeps names, windows, and
-// units.
+// ceiling, and the quota of a sparse customer. To reserve units, a gateway adds them to the counter
+// key of the customer and the present window. The units within the window's pool are then reserved
+// for that gateway until the window ends. Callers decide which requests reserve how many units;
+// this module manages keys, windows and reserved units.
 #pragma once
 
 #include <cstdint>
@@ -15,56 +15,56 @@
 
 namespace quota_gateway::policy {
 
-// One customer's pool, as its plan defines it. Values, cheap to make.
+// A customer's pool as the plan defines it. A plain value, cheap to create.
 struct SharedPool {
   PoolKind kind = PoolKind::kQuota;
   double units_per_window = 0;
   Micros window_length = 1;
 
-  // Us since the present window began.
+  // Returns the time since the present window began, us.
   Micros elapsed(Micros now, const CustomerState& customer) const;
-  // The number of the present window; all gateways count alike.
+  // Returns the number of the present window, which is the same at all gateways.
   std::int64_t window(Micros now, const CustomerState& customer) const;
-  // Units that this gateway has left of its reservation in the present window.
+  // Returns the remaining units of this gateway's reservation in the present window.
   double reserved(Micros now, const CustomerState& customer) const;
-  // Whether the counter said that nothing is left in the present window.
+  // Whether the counter's total showed that the present window's pool has no units left.
   bool exhausted(Micros now, const CustomerState& customer) const;
 };
 
 // The fraction of a rate ceiling that is split evenly over the gateways; the rest is the shared
-// pool. The ceiling is a hard rule, and no total is young enough to show what others forward at
-// this moment. Even shares alone would reject a customer inside its quota that comes through one
-// gateway, or that is new to this one: a share starts empty, since an earlier process may have
-// spent it.
+// pool. The ceiling is not allocated by demand, since it is a hard limit and no total is recent
+// enough to show the units that others forward at this moment. With even shares alone, a customer
+// within its quota would be rejected if it uses only one gateway or is new to a gateway: a share
+// starts empty, since an earlier process may have spent it.
 constexpr double kCeilingEvenFraction = 0.5;
 
-// The pool of a plan with a rate ceiling.
+// Returns the pool of a plan with a rate ceiling.
 SharedPool ceiling_pool(const PlanSettings& plan);
-// The pool of a plan with a quota rate, for its sparse customers.
+// Returns the pool of a plan with a quota rate, for its sparse customers.
 SharedPool quota_pool(const PlanSettings& plan);
 
-// A reply of the counter about a reservation.
+// The counter's reply to a reservation.
 struct PoolReply {
   CustomerState* customer = nullptr;
   SharedPool pool;
-  // The reply is good and of the present window. Otherwise the units may or may not have been
-  // added, and the reservation is unchanged.
+  // Whether the call succeeded and the reply is for the present window. Otherwise the counter may
+  // or may not have added the units, and the reservation is unchanged.
   bool is_usable = false;
 };
 
-// The reservations that are on their way. The gateway owns one.
+// The reservations in flight. The gateway owns one PoolLedger.
 class PoolLedger {
  public:
-  // `limiter` must outlive this.
+  // `limiter` must outlive this object.
   explicit PoolLedger(CounterRateLimiter& limiter) : limiter_(limiter) {}
 
-  // Appends a call that reserves `units`, unless one is in flight already, the pool is exhausted or
-  // the limiter has no call within `overdraft_seconds`. Returns whether there is a reply to wait
-  // for. The customer must stay where it is until then.
+  // Appends a call that reserves `units`, unless one is already in flight, the pool is exhausted or
+  // the limiter has no call within `overdraft_seconds`. Returns whether a call is in flight. The
+  // customer's address must not change until its reply.
   bool reserve(Micros now, CustomerState& customer, const SharedPool& pool, double units,
                double overdraft_seconds, std::vector<Action>& actions);
 
-  // Adds what the reply reserved. None if it answers no reservation.
+  // Adds the units that the reply reserved. Returns none if the reply is not to a reservation.
   std::optional<PoolReply> on_reply(Micros now, const CounterReply& reply);
 
  private:
@@ -75,7 +75,7 @@
   };
 
   CounterRateLimiter& limiter_;
-  std::unordered_map<std::int64_t, PendingReservation> pending_;  // by name; never iterated
+  std::unordered_map<std::int64_t, PendingReservation> pending_;  // by counter key; never iterated
 };
 
 }  // namespace quota_gateway::policy
--- a/tests/policy/quota/ceiling_enforcement_test.cpp
+++ b/tests/policy/quota/ceiling_enforcement_test.cpp
@@ -1,5 +1,6 @@
-// The rate ceiling of a plan, over one gateway and over several that share a counter: no store of
-// the ceiling's size may ever be overdrawn by all of them together.
+// Tests of a plan's rate ceiling at one gateway and at several that share a counter: the units that
+// all gateways forward together must never overdraw a token bucket with the ceiling's rate and
+// burst.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +14,8 @@
 namespace quota_gateway::testing {
 namespace {
 
-// A ceiling of 20 units a second and 40 at once; half of it belongs to each of two gateways.
+// Sets a ceiling of 20 units per second with a burst of 40. Two gateways have an even share of
+// half.
 Settings with_ceiling(Settings settings) {
   set_ceiling(settings, 20, 40);
   return settings;
@@ -25,16 +27,16 @@
   return request;
 }
 
-TEST(RateCeiling, RestartedGatewayTakesItsShareForSpent) {
+TEST(RateCeiling, RestartedGatewayStartsWithAnEmptyShare) {
   GatewayHarness gateway(with_ceiling(basic_settings()));
   EXPECT_EQ(gateway.admitted(kMillisecond, 3), 0);
-  EXPECT_EQ(gateway.admitted(101 * kMillisecond, 3), 1);  // its share is ten units a second
+  EXPECT_EQ(gateway.admitted(101 * kMillisecond, 3), 1);  // the share refills ten units per second
 }
 
-TEST(RateCeiling, CustomerFirstSeenLaterFindsTheShareRefilledSinceTheStart) {
+TEST(RateCeiling, ShareOfANewCustomerIsRefilledSinceTheGatewayStarted) {
   GatewayHarness gateway(with_ceiling(basic_settings()));
   gateway.handle(kSecond, {request_of("c2", "other", kSecond)});
-  // The share has refilled by ten units a second since the start.
+  // The share has refilled by ten units per second since the start.
   EXPECT_EQ(gateway.admitted(1500 * kMillisecond, 10), 5);
   const auto third = gateway.handle(10 * kSecond, {request_of("c3", "third", 10 * kSecond)});
   EXPECT_EQ(attempts(third).size(), 1U);
@@ -43,7 +45,7 @@
 TEST(RateCeiling, RejectedClientIsToldToRetryWhenUnitsAreAvailable) {
   GatewayHarness gateway(with_ceiling(basic_settings()));
   const auto rejected = rejections(gateway.arrive(kMillisecond, "r"));
-  // The share, ten units a second, is empty at a start; the quota is not.
+  // At the start, the share of ten units per second is empty but the quota is not.
   ASSERT_EQ(rejected.size(), 1U);
   const Micros retry_after = rejected[0].retry_after.value();
   EXPECT_NEAR(double(retry_after), 100 * kMillisecond, 2 * kMillisecond);
@@ -62,28 +64,28 @@
   EXPECT_GE(forwarded, 40);
 }
 
-// What gateways that share a counter did to a customer's ceiling.
-struct CeilingUse {
-  double least_left = 40;  // units that a store of the ceiling's size held at the least
+// How gateways that share a counter used a customer's ceiling.
+struct CeilingUsage {
+  double min_tokens_left = 40;  // lowest level of a token bucket with the ceiling's rate and burst
   int forwarded = 0;
   int requested = 0;
 };
 
-// Every 50 ms for 12 s, gateway number i gets requests_at[i] requests of one customer, whose quota
-// is 1,000 units a second.
-CeilingUse use_ceiling(const std::vector<int>& requests_at,
-                       CounterOutcome counter_outcome = CounterOutcome::kOk) {
+// Every 50 ms for 12 s, gateway i receives requests_at[i] requests of one customer. The customer's
+// quota is 1,000 units per second.
+CeilingUsage use_ceiling(const std::vector<int>& requests_at,
+                         CounterOutcome counter_outcome = CounterOutcome::kOk) {
   Settings settings = with_ceiling(settings_with_counter());
   set_quota(settings, 1000, 2000);
   SharedCounterFleet fleet(settings, int(requests_at.size()));
-  CeilingUse use;
-  double left = 40;
+  CeilingUsage use;
+  double tokens_left = 40;
   Micros refilled_at = 0;
   fleet.counter_outcome = counter_outcome;
   fleet.on_forwarded = [&](Micros now) {
-    left = std::min(40.0, left + 20 * double(now - refilled_at) / kSecond) - 1;
+    tokens_left = std::min(40.0, tokens_left + 20 * double(now - refilled_at) / kSecond) - 1;
     refilled_at = now;
-    use.least_left = std::min(use.least_left, left);
+    use.min_tokens_left = std::min(use.min_tokens_left, tokens_left);
   };
   for (Micros now = 100 * kMillisecond; now < 12 * kSecond; now += 50 * kMillisecond) {
     for (std::size_t i = 0; i < requests_at.size(); ++i) {
@@ -95,32 +97,32 @@
   return use;
 }
 
-TEST(RateCeiling, AllGatewaysTogetherKeepIt) {
+TEST(RateCeiling, AllGatewaysTogetherStayUnderTheCeiling) {
   const std::vector<std::vector<int>> distributions{{4, 0, 0, 0}, {2, 2, 2, 2}, {1, 0, 3, 1}};
   for (const auto& requests_at : distributions) {
-    const CeilingUse use = use_ceiling(requests_at);
-    EXPECT_GE(use.least_left, 0);
+    const CeilingUsage use = use_ceiling(requests_at);
+    EXPECT_GE(use.min_tokens_left, 0);
     EXPECT_GE(use.forwarded, 20 * 12 / 2);
   }
 }
 
 TEST(SharedPool, CustomerOfOneGatewayGetsMoreThanItsEvenShareOfTheCeiling) {
-  // It requests twenty a second, all that the ceiling gives; an even share is five.
-  const CeilingUse use = use_ceiling({1, 0, 0, 0});
+  // The customer requests twenty units per second, the full ceiling. An even share is five.
+  const CeilingUsage use = use_ceiling({1, 0, 0, 0});
   EXPECT_GE(use.forwarded, use.requested / 2);
-  EXPECT_GE(use.least_left, 0);
+  EXPECT_GE(use.min_tokens_left, 0);
 }
 
-TEST(SharedPool, ReservationThatMayNotHaveBeenAddedIsNotUsed) {
-  const CeilingUse use = use_ceiling({4, 4}, CounterOutcome::kUnknown);
-  EXPECT_LE(use.forwarded, 0.5 * 20 * 12);  // the even shares alone, which start empty
+TEST(SharedPool, ReservationWithUnknownOutcomeIsNotUsed) {
+  const CeilingUsage use = use_ceiling({4, 4}, CounterOutcome::kUnknown);
+  EXPECT_LE(use.forwarded, 0.5 * 20 * 12);  // the even shares only, which start empty
   EXPECT_GT(use.forwarded, 0);
 }
 
-TEST(SharedPool, ReservationIsMadeBeforeATotalIsReadWhereCallsAreScarce) {
-  // Without this, reading a total could use up the last call: the request would be within its
-  // quota, have no share of the ceiling, and be rejected. Calls are scarce where many gateways
-  // share the counter.
+TEST(SharedPool, ReservationIsMadeBeforeATotalIsReadWhenCallsAreScarce) {
+  // Guards against using the last available call for a total. A request within its quota would then
+  // have no units of the ceiling and be rejected. Calls are scarce when many gateways share the
+  // counter.
   Settings settings = with_ceiling(settings_with_counter());
   settings.gateway_count = 100;
   GatewayHarness gateway(settings);
--- a/tests/policy/quota/counter_call_rate_test.cpp
+++ b/tests/policy/quota/counter_call_rate_test.cpp
@@ -1,6 +1,6 @@
-// How often gateways call the counter that they share: as often as it can answer all of them, less
-// when it is overloaded or silent, and soon as before when it is back.
-// counter_rate_limiter_test.cpp tests the class itself.
+// Tests of the rate at which gateways call the counter that they share: as high as the counter can
+// serve, lower while the counter is overloaded or silent, and quickly restored after an outage.
+// counter_rate_limiter_test.cpp tests CounterRateLimiter by itself.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,18 +18,19 @@
 namespace quota_gateway::testing {
 namespace {
 
-// A customer's first request, for which the gateway wants a total: its calls to the counter.
+// Sends the first request of a new customer, for which the gateway wants a total. Returns the
+// gateway's calls to the counter.
 std::vector<AddToCounter> calls_for_new_customer(GatewayHarness& gateway, Micros now, int number) {
   RequestArrived request = make_request(numbered("x", number), now);
   request.customer = numbered("c", number);
   return counter_calls(gateway.handle(now, {request}));
 }
 
-TEST(CounterRateLimiter, CounterThatNeverAnswersIsCalledLess) {
+TEST(CounterRateLimiter, CounterThatNeverRepliesIsCalledLess) {
   const std::size_t calls_unanswered =
-      run_quota_share_trial({.elsewhere_rate = 36, .counter_fault = CounterOutcome::kUnknown})
+      run_quota_share_trial({.others_rate = 36, .counter_fault = CounterOutcome::kUnknown})
           .counter_calls;
-  const std::size_t calls_answered = run_quota_share_trial({.elsewhere_rate = 36}).counter_calls;
+  const std::size_t calls_answered = run_quota_share_trial({.others_rate = 36}).counter_calls;
   EXPECT_LT(calls_unanswered, calls_answered * 2);
 
   GatewayHarness gateway(settings_with_counter());
@@ -42,13 +43,13 @@
       gateway.handle(now, {counter_unanswered(call, 0)});
     }
   }
-  EXPECT_GT(late_calls, 5U);  // it is still called, to notice its return
+  EXPECT_GT(late_calls, 5U);  // enough calls to detect that the counter has recovered
   EXPECT_LT(late_calls, 25U);
   EXPECT_GT(early_calls, late_calls);
 }
 
-// How many calls a gateway makes in 20 s when one in five gets no reply and is known to be lost
-// after `lost_after`.
+// Returns the number of calls that a gateway makes in 20 s when one call in five gets no reply and
+// fails after `lost_after`.
 std::size_t calls_with_losses(Micros lost_after) {
   GatewayHarness gateway(settings_with_counter());
   std::size_t calls = 0;
@@ -64,13 +65,13 @@
 }
 
 TEST(CounterRateLimiter, CallsLostWithTheirConnectionDoNotSlowTheOthers) {
-  // A connection reset under one call in five says nothing of the load on the counter; one call in
-  // five that times out does.
+  // A connection reset during one call in five does not indicate load on the counter; a timeout of
+  // one call in five does.
   EXPECT_GT(calls_with_losses(kMillisecond), 2000U);
   EXPECT_LT(calls_with_losses(settings_with_counter().counter_timeout), 400U);
 }
 
-// How many calls a gateway that has just started makes for its first twenty customers.
+// Returns the number of calls that a gateway makes for its first twenty customers after a start.
 std::size_t first_calls(int gateway_count) {
   Settings settings = settings_with_counter();
   settings.gateway_count = gateway_count;
@@ -87,8 +88,8 @@
 }
 
 TEST(CounterRateLimiter, LateRepliesAfterAStartDoNotLowerTheRateForLong) {
-  // Without this, gateways that overload the counter in their first second would call it once a
-  // second from then on.
+  // Guards against a rate that stays at the minimum of one call per second after gateways
+  // overloaded the counter in their first second.
   Settings settings = settings_with_counter();
   settings.gateway_count = 100;
   GatewayHarness gateway(settings);
@@ -108,8 +109,8 @@
   EXPECT_GE(calls, 15U);  // in 5 s
 }
 
-// Gateways that see 2,000 new customers a second together, and a counter that serves 400 calls a
-// second, one after another.
+// Gateways that together receive 2,000 new customers per second, and a counter that serves 400
+// calls per second, one at a time.
 class OverloadedCounter {
  public:
   struct Calls {
@@ -125,7 +126,7 @@
     }
   }
 
-  // The calls of the second half of 12 s.
+  // Runs 12 s and returns the calls of the second half.
   Calls run() {
     for (int i = 0; i < 24'000; ++i) {
       const Micros now = (i + 1) * 500;
@@ -164,21 +165,21 @@
 
   Settings settings_ = settings_with_counter();
   std::vector<GatewayHarness> gateways_;
-  std::multimap<Micros, std::pair<std::size_t, CounterReply>> replies_;  // by their instant
-  Micros idle_at_ = 0;  // when the counter will have served all calls
+  std::multimap<Micros, std::pair<std::size_t, CounterReply>> replies_;  // by delivery time
+  Micros idle_at_ = 0;  // when the counter will have served all present calls
   Calls calls_;
 };
 
 TEST(CounterRateLimiter, CallsOfAllGatewaysStayWithinTheCountersCapacity) {
   for (const int gateway_count : {4, 20, 100}) {
     const OverloadedCounter::Calls calls = OverloadedCounter(gateway_count).run();
-    EXPECT_GE(calls.total, 6 * 80) << gateway_count;  // it is used
+    EXPECT_GE(calls.total, 6 * 80) << gateway_count;  // the counter's capacity is used
     EXPECT_LE(calls.total, 6 * 420) << gateway_count;
     EXPECT_LE(calls.timed_out, calls.total / 2) << gateway_count;
   }
 }
 
-TEST(CounterRateLimiter, RateThatIsNotUsedDoesNotGrow) {
+TEST(CounterRateLimiter, UnusedRateDoesNotGrow) {
   GatewayHarness gateway(settings_with_counter());
   const auto calls_for = [&](Micros now, const std::string& customer) {
     RequestArrived request = make_request(std::string("r").append(customer), now);
@@ -195,12 +196,12 @@
   for (int i = 0; i < 1000; ++i) {
     calls += calls_for(61 * kSecond, numbered("crowd", i)).size();
   }
-  EXPECT_LE(calls, 100U);  // half of what all gateways may call at first; there are two
+  EXPECT_LE(calls, 100U);  // this gateway's half of the initial limit; there are two gateways
   EXPECT_GE(calls, 20U);
 }
 
-TEST(CounterRateLimiter, RateAfterASilenceIsNotThatOfAStart) {
-  // The connection goes silent under dozens of calls; then the counter replies as before.
+TEST(CounterRateLimiter, RateRecoversAfterAnOutage) {
+  // The counter does not reply to dozens of calls and then replies as before.
   enum Phase { kBefore, kSilent, kAfter, kPhases };
   const auto phase_of = [](int request) {
     if (request < 1200) {
--- a/tests/policy/quota/counter_rate_limiter_test.cpp
+++ b/tests/policy/quota/counter_rate_limiter_test.cpp
@@ -1,3 +1,4 @@
+// Unit tests of CounterRateLimiter. counter_call_rate_test.cpp tests the resulting call rates.
 #include "policy/quota/counter_rate_limiter.hpp"
 
 #include <gtest/gtest.h>
@@ -22,7 +23,7 @@
   return reply;
 }
 
-TEST(CounterRateLimiter, GatewaysShareTheFirstCallsEvenly) {
+TEST(CounterRateLimiter, GatewaysShareTheInitialCallsEvenly) {
   const Settings settings = settings_for(20);
   CounterRateLimiter limiter(settings);
   for (int i = 0; i < 10; ++i) {
@@ -33,7 +34,7 @@
   EXPECT_FALSE(limiter.try_acquire(kSecondUs / 10, 0));
 }
 
-TEST(CounterRateLimiter, AnOverdraftTakesCallsThatAreStillToCome) {
+TEST(CounterRateLimiter, OverdraftTakesFutureCalls) {
   const Settings settings = settings_for(20);
   CounterRateLimiter limiter(settings);
   for (int i = 0; i < 20; ++i) {
@@ -42,14 +43,14 @@
   EXPECT_FALSE(limiter.try_acquire(0, 1));
 }
 
-TEST(CounterRateLimiter, WithoutACounterThereAreNoCalls) {
+TEST(CounterRateLimiter, NoCallsAreAvailableWithoutACounter) {
   Settings settings = settings_for(1);
   settings.has_counter = false;
   CounterRateLimiter limiter(settings);
   EXPECT_FALSE(limiter.try_acquire(0, 1));
 }
 
-TEST(CounterRateLimiter, SixFailuresInARowMeanThatTheCounterIsDownUntilItAnswers) {
+TEST(CounterRateLimiter, CounterIsDownAfterSixConsecutiveFailuresUntilItReplies) {
   const Settings settings = settings_for(1);
   CounterRateLimiter limiter(settings);
   for (int i = 0; i < 5; ++i) {
@@ -63,7 +64,7 @@
   EXPECT_FALSE(limiter.is_counter_down());
 }
 
-TEST(CounterRateLimiter, OnceTheCounterIsBackTheRateIsAtLeastHalfOfThatBefore) {
+TEST(CounterRateLimiter, RateAfterAnOutageIsAtLeastHalfOfTheRateBefore) {
   const Settings settings = settings_for(1);
   CounterRateLimiter limiter(settings);
   for (int i = 0; i < 500; ++i) {
@@ -86,7 +87,7 @@
   EXPECT_EQ(lost.calls_per_second(), 200);
 }
 
-TEST(CounterRateLimiter, CallCountsStartAnewWhenTaken) {
+TEST(CounterRateLimiter, TakingTheCallCountsResetsThem) {
   const Settings settings = settings_for(1);
   CounterRateLimiter limiter(settings);
   limiter.on_reply(0, reply(CounterOutcome::kOk, 1'000));
--- a/tests/policy/quota/counter_totals_test.cpp
+++ b/tests/policy/quota/counter_totals_test.cpp
@@ -1,5 +1,5 @@
-// How a gateway keeps in step with the counter that all gateways share: when it calls, how it uses
-// a customer's total, and what it does without one.
+// Tests of a gateway's use of the shared counter: when the gateway calls the counter, how it uses a
+// customer's total, and how it acts without a total.
 #include <gtest/gtest.h>
 
 #include <vector>
@@ -10,44 +10,46 @@
 namespace quota_gateway::testing {
 namespace {
 
-double forwarded_share(const QuotaLoad& load) {
-  return run_quota_share_trial(load).forwarded_share;
+double forwarded_fraction(const QuotaLoad& load) {
+  return run_quota_share_trial(load).forwarded_fraction;
 }
 
 TEST(QuotaAllocator, QuotaIsSharedByDemandOnceTheTotalReachesIt) {
-  // A quarter of ten units a second, of twelve requested.
-  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36}), 10.0 / 48, 0.06);
-  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 0}), 10.0 / 12, 0.06);
+  // The share is a quarter of the quota of ten units per second; the gateway receives twelve.
+  EXPECT_NEAR(forwarded_fraction({.others_rate = 36}), 10.0 / 48, 0.06);
+  EXPECT_NEAR(forwarded_fraction({.others_rate = 0}), 10.0 / 12, 0.06);
 }
 
-TEST(QuotaAllocator, GatewayWithAHundredthOfTheQuotaForwardsThatAndNotNothing) {
-  // One request in five seconds here, of a customer that requests four times its quota through a
-  // hundred gateways.
-  EXPECT_NEAR(forwarded_share({.own_rate = 5, .elsewhere_rate = 40, .gateway_count = 100}),
+TEST(QuotaAllocator, OneOfAHundredGatewaysForwardsItsShareOfTheQuota) {
+  // The gateway receives five of the customer's 45 units per second, with a hundred gateways and a
+  // quota of ten.
+  EXPECT_NEAR(forwarded_fraction({.own_rate = 5, .others_rate = 40, .gateway_count = 100}),
               10.0 / 45, 0.08);
-  // And all of it while the customer is within its quota.
-  EXPECT_GT(forwarded_share({.own_rate = 2, .elsewhere_rate = 2, .gateway_count = 100}), 0.95);
+  // It forwards almost all requests while the customer is within its quota.
+  EXPECT_GT(forwarded_fraction({.own_rate = 2, .others_rate = 2, .gateway_count = 100}), 0.95);
 }
 
-TEST(CounterSync, LastTotalsHoldWhileTheCounterFails) {
+TEST(CounterSync, LastTotalsStayInUseWhileTheCounterFails) {
   for (const CounterOutcome fault : {CounterOutcome::kUnknown, CounterOutcome::kNotAdded}) {
-    EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36, .counter_fault = fault, .fault_from = 8}),
+    EXPECT_NEAR(forwarded_fraction({.others_rate = 36, .counter_fault = fault, .fault_from = 8}),
                 10.0 / 48, 0.08);
   }
 }
 
-TEST(CounterSync, WithNoTotalEverTheShareIsEven) {
-  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36, .counter_fault = CounterOutcome::kNotAdded}),
+TEST(CounterSync, ShareIsEvenWithoutAnyTotal) {
+  EXPECT_NEAR(forwarded_fraction({.others_rate = 36, .counter_fault = CounterOutcome::kNotAdded}),
               5.0 / 12, 0.1);
   EXPECT_LT(
-      forwarded_share(
-          {.elsewhere_rate = 36, .gateway_count = 100, .counter_fault = CounterOutcome::kNotAdded}),
+      forwarded_fraction(
+          {.others_rate = 36, .gateway_count = 100, .counter_fault = CounterOutcome::kNotAdded}),
       0.05);
 }
 
-TEST(CounterSync, TotalOfACounterThatForgotIsIgnored) {
-  // A total of less than was added here proves a loss; used, it would give us the whole quota.
-  EXPECT_NEAR(forwarded_share({.elsewhere_rate = 36, .counter_forgets = true}), 10.0 / 48, 0.08);
+TEST(CounterSync, TotalOfACounterThatLostItsCountsIsIgnored) {
+  // A total below the gateway's own additions proves that the counter lost counts. If the gateway
+  // used this total, it would take the full quota for itself.
+  EXPECT_NEAR(forwarded_fraction({.others_rate = 36, .counter_loses_totals = true}), 10.0 / 48,
+              0.08);
 }
 
 TEST(CounterSync, NoCallsAreMadeWithoutRequests) {
@@ -68,7 +70,7 @@
   EXPECT_EQ(attempts(gateway.run_timers(160 * kMillisecond)).size(), 1U);
 }
 
-TEST(CounterSync, GatewaysUseTheSameNames) {
+TEST(CounterSync, GatewaysUseTheSameKeys) {
   GatewayHarness one(settings_with_counter(), make_endpoints({"a"}), 1);
   GatewayHarness two(settings_with_counter(), make_endpoints({"a"}), 2);
   const auto calls_of_one = counter_calls(one.arrive(kSecond, "r"));
--- a/tests/policy/quota/local_budget_test.cpp
+++ b/tests/policy/quota/local_budget_test.cpp
@@ -1,3 +1,4 @@
+// Unit tests of the checks and charges of a LocalBudget.
 #include "policy/quota/local_budget.hpp"
 
 #include <gtest/gtest.h>
@@ -5,7 +6,7 @@
 namespace quota_gateway::policy {
 namespace {
 
-PlanSettings ten_a_second() {
+PlanSettings ten_units_per_second() {
   PlanSettings plan;
   plan.quota_rate = 10;
   plan.quota_burst = 20;
@@ -21,8 +22,8 @@
   return customer;
 }
 
-TEST(LocalBudget, UnitsAreRefundedWhereTheyWereCharged) {
-  const PlanSettings plan = ten_a_second();
+TEST(LocalBudget, UnitsAreRefundedToTheChargedSource) {
+  const PlanSettings plan = ten_units_per_second();
   CustomerState customer =
       customer_with(plan, {.tokens = 5, .own_allowance = 2, .slice_credit = 4});
 
@@ -40,8 +41,8 @@
   EXPECT_EQ(customer.budget.slice_credit, 4);
 }
 
-TEST(LocalBudget, APoolReservationIsChargedApartFromTheStore) {
-  const PlanSettings plan = ten_a_second();
+TEST(LocalBudget, PoolReservationIsChargedSeparatelyFromTheTokens) {
+  const PlanSettings plan = ten_units_per_second();
   CustomerState customer = customer_with(plan, {.tokens = 5, .own_allowance = 5});
   customer.quota_reservation.units = 4;
   charge_to(customer, BudgetSource::kPoolReservation, 3);
@@ -49,19 +50,19 @@
   EXPECT_EQ(customer.budget.tokens, 5);
 }
 
-TEST(LocalBudget, WithNoAllowanceLeftTheStoreCoversNothing) {
-  const PlanSettings plan = ten_a_second();
+TEST(LocalBudget, TokensCoverNothingWithoutAllowance) {
+  const PlanSettings plan = ten_units_per_second();
   EXPECT_TRUE(slice_covers(customer_with(plan, {.tokens = 5, .own_allowance = 0.1}), 5));
   EXPECT_FALSE(slice_covers(customer_with(plan, {.tokens = 5, .own_allowance = 0}), 5));
 }
 
-TEST(LocalBudget, ARequestLargerThanTheStorePassesWhenThatIsFull) {
-  const PlanSettings plan = ten_a_second();
+TEST(LocalBudget, RequestLargerThanTheBucketIsCoveredWhenTheBucketIsFull) {
+  const PlanSettings plan = ten_units_per_second();
   EXPECT_TRUE(slice_covers(customer_with(plan, {.tokens = 20, .own_allowance = 20}), 50));
   EXPECT_FALSE(slice_covers(customer_with(plan, {.tokens = 19, .own_allowance = 19}), 50));
 }
 
-TEST(LocalBudget, WithoutAQuotaAllIsCoveredAndNothingCharged) {
+TEST(LocalBudget, EveryRequestIsCoveredAndNotChargedWithoutAQuota) {
   const PlanSettings plan;
   CustomerState customer = customer_with(plan, {});
   EXPECT_TRUE(slice_covers(customer, 100));
@@ -70,8 +71,8 @@
   EXPECT_EQ(customer.budget.slice_credit, 0);
 }
 
-TEST(LocalBudget, TheWaitForMissingUnitsGoesByWhatOthersLeave) {
-  const PlanSettings plan = ten_a_second();
+TEST(LocalBudget, WaitForMissingUnitsDependsOnTheRateThatOthersDoNotUse) {
+  const PlanSettings plan = ten_units_per_second();
   CustomerState customer = customer_with(plan, {.tokens = 1, .own_allowance = 1});
   customer.demand.others = 8;
   EXPECT_DOUBLE_EQ(seconds_until_covered(customer, 5), 2);
--- a/tests/policy/quota/quota_enforcement_test.cpp
+++ b/tests/policy/quota/quota_enforcement_test.cpp
@@ -1,5 +1,5 @@
-// A customer's quota as one gateway enforces it: rejections beyond it, large requests, units billed
-// later, and bursts that reach other gateways at the same time.
+// Tests of the enforcement of a customer's quota at a gateway: rejections beyond the quota, large
+// requests, units billed after the response, and bursts through several gateways at the same time.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -13,8 +13,8 @@
 namespace quota_gateway::testing {
 namespace {
 
-TEST(QuotaAllocator, RejectsBeyondTheQuotaShareAtOnceWithAShortRetryAfter) {
-  // A burst of 20 over two gateways, with no counter: the gateway's even share and one more.
+TEST(QuotaAllocator, RejectsImmediatelyBeyondTheQuotaShareWithAShortRetryAfter) {
+  // Two gateways without a counter, a burst of 20: the gateway may admit twice its even share.
   GatewayHarness gateway;
   int forwarded = 0;
   int rejected = 0;
@@ -34,11 +34,12 @@
   EXPECT_EQ(rejected, 5);
 }
 
-TEST(QuotaAllocator, TotalThatShowsABurstElsewhereLowersTheStore) {
-  // Without this, as with a decaying mean of that total, the whole burst would be spent a second
-  // time here.
+TEST(QuotaAllocator, TotalThatShowsABurstElsewhereLowersTheTokens) {
+  // Guards against a burst that is spent at another gateway and once more here. A decaying mean of
+  // the totals alone would react too late.
   GatewayHarness gateway(settings_with_counter());
-  // Answers the first call of `actions`, if there is one: `elsewhere` units at other gateways.
+  // Replies to the first call of `actions`, if there is one, with `elsewhere` units added at other
+  // gateways. Returns whether there was a call.
   const auto reply_total = [&](Micros now, const std::vector<Action>& actions, double elsewhere) {
     const auto calls = counter_calls(actions);
     if (!calls.empty()) {
@@ -50,19 +51,19 @@
   ASSERT_TRUE(reply_total(start, gateway.arrive(start, "a"), 0));
   const Micros second_total = start + 1100 * kMillisecond;
   const auto second = gateway.arrive(second_total, "b");
-  // A whole burst, and twice what a second brings.
+  // A full burst, and two seconds of refill.
   ASSERT_TRUE(reply_total(second_total, second, 41));
   int forwarded = 0;
   for (int i = 0; i < 10; ++i) {
     forwarded +=
         int(attempts(gateway.arrive(start + 1101 * kMillisecond, numbered("c", i))).size());
   }
-  EXPECT_LE(forwarded, 5);  // this gateway's share of present demand
+  EXPECT_LE(forwarded, 5);  // this gateway's share of the present demand
 }
 
 TEST(QuotaAllocator, LargeRequestsGetNoMoreThanTheQuotaShare) {
-  // Eight units every two seconds here, 12 a second elsewhere: the share is a quarter of the quota,
-  // 5 of each 8.
+  // Eight units every two seconds here and twelve units per second at other gateways: the share is
+  // a quarter of the quota, five of every eight units.
   GatewayHarness gateway(settings_with_counter());
   struct Total {
     Micros started_at = 0;
@@ -90,15 +91,15 @@
   EXPECT_NEAR(forwarded, expected, 10);
 }
 
-TEST(QuotaAllocator, RequestLargerThanTheLocalStoreIsAdmittedIntoDebt) {
-  // Without this, such a request would be rejected for ever.
+TEST(QuotaAllocator, RequestLargerThanTheLocalBucketIsAdmittedIntoDebt) {
+  // Guards against rejecting such a request forever, since the bucket can never hold its units.
   Settings settings = basic_settings();
   set_quota(settings, 10, 10);
   settings.gateway_count = 10;
   GatewayHarness gateway(settings);
   RequestArrived large = make_request("r", kMillisecond, 9);
   large.gateway_subset_size = 10;
-  // An even share and one more hold two units.
+  // The bucket holds two even shares, two units.
   EXPECT_EQ(attempts(gateway.handle(kMillisecond, {large})).size(), 1U);
   RequestArrived small = make_request("s", kMillisecond, 1);
   small.gateway_subset_size = 10;
@@ -113,16 +114,16 @@
   AttemptCompleted completed = complete_attempt(sent.at(0), {.duration = 0});
   completed.billed_units = 11;  // estimated as one
   gateway.handle(2 * kMillisecond, {completed});
-  EXPECT_EQ(gateway.admitted(3 * kMillisecond, 12), 9);  // of the twenty
+  EXPECT_EQ(gateway.admitted(3 * kMillisecond, 12), 9);  // the rest of a burst of twenty
 }
 
-TEST(QuotaAllocator, BurstThroughAllGatewaysDoesNotSpendTheStoreOnceInEach) {
+TEST(QuotaAllocator, BurstThroughAllGatewaysDoesNotSpendTheTokensOncePerGateway) {
   Settings settings = settings_with_counter();
   set_quota(settings, 40, 80);
   SharedCounterFleet fleet(settings, 4);
   for (Micros now = 100 * kMillisecond; now < 3 * kSecond; now += 200 * kMillisecond) {
     for (std::size_t i = 0; i < 4; ++i) {
-      fleet.send_requests(i, now, 1);  // half of the quota, evenly
+      fleet.send_requests(i, now, 1);  // half of the quota, evenly distributed
     }
   }
   EXPECT_EQ(fleet.forwarded(), fleet.requested());
@@ -131,7 +132,7 @@
   for (std::size_t i = 0; i < 4; ++i) {
     fleet.send_requests(i, 3 * kSecond, 100);
   }
-  EXPECT_LE(fleet.forwarded() - before, 100);  // of eighty
+  EXPECT_LE(fleet.forwarded() - before, 100);  // the burst is eighty
   EXPECT_GE(fleet.forwarded() - before, 60);
 }
 
--- a/tests/policy/quota/quota_error_test.cpp
+++ b/tests/policy/quota/quota_error_test.cpp
@@ -1,4 +1,5 @@
-// How far many gateways together stray from their customers' quotas, as gateways are added.
+// Tests that the error of quota enforcement over all gateways does not grow with the number of
+// gateways.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,21 +17,22 @@
 namespace quota_gateway::testing {
 namespace {
 
-// Customers of one plan, each of which uses all gateways, and one counter. The counter serves calls
-// one after another at a fixed rate and replies half a millisecond later; a call that waited for
-// the timeout was added, but gets no reply. Requests are random in time, size and gateway. Servers
-// answer at once.
+// Simulates customers of one plan that use all gateways, and one counter. The counter serves calls
+// one at a time at a fixed rate and replies half a millisecond later. A call that takes longer than
+// the timeout is added but gets no reply. Requests are random in time, size and gateway. Servers
+// respond immediately.
 class QuotaErrorTrial {
  public:
   struct Result {
-    double beyond_quota = 0;     // units forwarded beyond the quotas, of those forwarded
-    double rejected_within = 0;  // units rejected within the quotas, of those requested
-    double used = 0;   // units forwarded within the quotas, of what they allow or was requested
-    double calls = 0;  // to the counter, a request
+    double beyond_quota = 0;     // units forwarded beyond the quotas / units forwarded
+    double rejected_within = 0;  // units rejected within the quotas / units requested
+    double used =
+        0;  // units forwarded within the quotas / the smaller of units allowed and requested
+    double calls = 0;  // calls to the counter per request
   };
 
-  // Each customer requests `load` times its quota; the counter serves `calls_per_request` for each
-  // request.
+  // Each customer requests `load` times its quota. The counter can serve `calls_per_request` calls
+  // for each request.
   QuotaErrorTrial(int gateway_count, double load, double calls_per_request)
       : request_interval_(kMeanUnits / (kRate * load * kCustomers)),
         service_time_(request_interval_ / calls_per_request) {
@@ -59,7 +61,7 @@
   }
 
  private:
-  static constexpr double kRate = 10;  // units a second
+  static constexpr double kRate = 10;  // units per second
   static constexpr double kBurst = 18;
   static constexpr double kMeanUnits = 2;  // of a request
   static constexpr int kCustomers = 60;
@@ -67,7 +69,7 @@
   static constexpr Micros kStart = 1000 * kSecond;
   static constexpr Micros kCounterTimeout = 30 * kMillisecond;
 
-  // A customer's quota as one gateway alone would keep it.
+  // A customer's quota as a single gateway would enforce it.
   struct ExactQuota {
     double units = 0;
     Micros refilled_at = 0;
@@ -91,7 +93,7 @@
     request.gateway_subset_size = int(gateways_.size());
     open_[request.id] = {std::size_t(customer), units};
     requested_units_ += units;
-    // A skewed choice: some gateways see several times the mean.
+    // Skewed: some gateways receive several times the mean number of requests.
     const auto gateway = std::size_t(std::pow(random_fraction(), 1.5) * double(gateways_.size()));
     perform(gateway, now, gateways_[gateway].run_timers(now));
     perform(gateway, now, gateways_[gateway].handle(now, {request}));
@@ -130,7 +132,7 @@
     replies_.emplace(now + reply.duration, std::pair(gateway, reply));
   }
 
-  // Compares what the gateway did with the customer's exact quota.
+  // Compares the gateway's decision with the customer's exact quota.
   void record(Micros now, const std::string& id, bool forwarded) {
     const OpenRequest& request = open_.at(id);
     ExactQuota& quota = quotas_[request.customer];
@@ -148,27 +150,27 @@
     }
   }
 
-  double request_interval_;  // s, the mean of all customers together
+  double request_interval_;  // s, mean over all customers
   double service_time_;      // s, of a call to the counter
   std::vector<GatewayHarness> gateways_;
   std::vector<ExactQuota> quotas_;  // by customer
   std::map<std::string, OpenRequest> open_;
-  std::map<std::int64_t, double> totals_;                                // by the counter's name
-  std::multimap<Micros, std::pair<std::size_t, CounterReply>> replies_;  // by their instant
+  std::map<std::int64_t, double> totals_;                                // by counter key
+  std::multimap<Micros, std::pair<std::size_t, CounterReply>> replies_;  // by delivery time
   std::uint64_t random_ = 1;
   double counter_idle_at_ = 0;  // us
   double requested_units_ = 0;
-  double within_quota_ = 0;  // units, as the two below
-  double beyond_quota_ = 0;
-  double rejected_within_ = 0;
+  double within_quota_ = 0;     // units forwarded within the quotas
+  double beyond_quota_ = 0;     // units forwarded beyond the quotas
+  double rejected_within_ = 0;  // units rejected within the quotas
   int requests_ = 0;
   int calls_ = 0;
 };
 
-TEST(QuotaAllocator, HundredsOfGatewaysDoNotRaiseTheErrorOfAQuota) {
+TEST(QuotaAllocator, EnforcementErrorDoesNotGrowWithHundredsOfGateways) {
   std::printf(
       "gateways  requested / quota  beyond / forwarded  rejected within / requested  "
-      "used / allowed  calls a request\n");
+      "used / allowed  calls / request\n");
   for (const double load : {0.7, 2.0, 4.0}) {
     double beyond_with_ten = 0;
     for (const int gateway_count : {3, 10, 30, 100, 300}) {
--- a/tests/policy/quota/rate_ceiling_test.cpp
+++ b/tests/policy/quota/rate_ceiling_test.cpp
@@ -1,3 +1,4 @@
+// Unit tests of RateCeiling. ceiling_enforcement_test.cpp tests the ceiling at complete gateways.
 #include "policy/quota/rate_ceiling.hpp"
 
 #include <gtest/gtest.h>
@@ -9,8 +10,8 @@
 
 constexpr Micros kSecondUs = 1'000'000;
 
-// A ceiling of 10 units a second and 20 at once, through two gateways; no key, so that windows
-// begin at multiples of their length, a second.
+// A ceiling of 10 units per second with a burst of 20, shared by two gateways. The customer key is
+// 0, so the windows of one second begin at multiples of their length.
 class RateCeilingTest : public testing::Test {
  protected:
   RateCeilingTest() {
@@ -26,7 +27,7 @@
   const RateCeiling ceiling{settings};
 };
 
-TEST_F(RateCeilingTest, WithoutACounterEachGatewayHasAnEvenShareOfTheWhole) {
+TEST_F(RateCeilingTest, EachGatewayHasAnEvenShareOfTheFullCeilingWithoutACounter) {
   EXPECT_FALSE(ceiling.admits(0, customer, 1));
   EXPECT_TRUE(ceiling.try_acquire(kSecondUs, customer, 5));
   EXPECT_FALSE(ceiling.try_acquire(kSecondUs, customer, 1));
@@ -34,7 +35,7 @@
   EXPECT_FALSE(ceiling.admits(100 * kSecondUs, customer, 11));
 }
 
-TEST_F(RateCeilingTest, WithACounterHalfIsSplitEvenlyAndReservedUnitsAreTakenFirst) {
+TEST_F(RateCeilingTest, HalfIsSplitEvenlyWithACounterAndReservedUnitsAreTakenFirst) {
   settings.has_counter = true;
   customer.ceiling_reservation.units = 3;
   customer.ceiling_reservation.window = ceiling_pool(plan).window(kSecondUs, customer);
@@ -44,7 +45,7 @@
   EXPECT_DOUBLE_EQ(customer.ceiling.units, 1.5);
 }
 
-TEST_F(RateCeilingTest, AWaitEndsWhenTheShareIsFilledOrANewWindowBegins) {
+TEST_F(RateCeilingTest, WaitEndsWhenTheShareIsRefilledOrANewWindowBegins) {
   settings.has_counter = true;
   const Micros now = 700'000;
   ceiling.refill(now, customer);
@@ -53,7 +54,7 @@
   EXPECT_EQ(ceiling.time_until_available(now, customer, 4.25), 300'000);
 }
 
-TEST_F(RateCeilingTest, APlanWithoutACeilingAdmitsAll) {
+TEST_F(RateCeilingTest, PlanWithoutACeilingAdmitsEveryRequest) {
   plan.ceiling_rate = 0;
   EXPECT_TRUE(ceiling.try_acquire(0, customer, 1'000));
   EXPECT_DOUBLE_EQ(customer.ceiling.units, 0);
--- a/tests/policy/quota/shared_pool_test.cpp
+++ b/tests/policy/quota/shared_pool_test.cpp
@@ -1,3 +1,4 @@
+// Unit tests of PoolLedger and of the pool of a quota.
 #include "policy/quota/shared_pool.hpp"
 
 #include <gtest/gtest.h>
@@ -7,7 +8,7 @@
 
 constexpr Micros kSecondUs = 1'000'000;
 
-// A quota of 2 units a second and 10 at once: its pool has 10 units in windows of 5 s.
+// A quota of 2 units per second with a burst of 10: the pool has 10 units in each window of 5 s.
 class PoolLedgerTest : public testing::Test {
  protected:
   PoolLedgerTest() {
@@ -36,7 +37,7 @@
   std::vector<Action> actions;
 };
 
-TEST_F(PoolLedgerTest, WhatLiesWithinThePoolIsReservedUntilItsWindowEnds) {
+TEST_F(PoolLedgerTest, UnitsWithinThePoolAreReservedUntilTheWindowEnds) {
   ASSERT_TRUE(reserve(0, 4));
   EXPECT_EQ(last_call().amount, 4);
   EXPECT_EQ(last_call().time_to_live, 10 * kSecondUs);
@@ -48,7 +49,7 @@
   EXPECT_EQ(pool.reserved(5 * kSecondUs, customer), 0);
 }
 
-TEST_F(PoolLedgerTest, UnitsPastThePoolAreNotReservedAndItIsExhaustedForTheWindow) {
+TEST_F(PoolLedgerTest, UnitsBeyondThePoolAreNotReservedAndThePoolIsExhaustedForTheWindow) {
   ASSERT_TRUE(reserve(0, 4));
   reply(1'000, 11);
   EXPECT_EQ(pool.reserved(1'000, customer), 3);
@@ -58,7 +59,7 @@
   EXPECT_TRUE(reserve(5 * kSecondUs, 1));
 }
 
-TEST_F(PoolLedgerTest, AReplyThatFailedOrIsOfAnEarlierWindowReservesNothing) {
+TEST_F(PoolLedgerTest, FailedReplyOrReplyOfAnEarlierWindowReservesNothing) {
   ASSERT_TRUE(reserve(0, 4));
   EXPECT_FALSE(reply(1'000, 4, CounterOutcome::kUnknown)->is_usable);
   EXPECT_EQ(pool.reserved(1'000, customer), 0);
@@ -72,16 +73,16 @@
   EXPECT_TRUE(reserve(0, 4));
   EXPECT_EQ(actions.size(), 1U);
   EXPECT_TRUE(reply(1'000, 4));
-  EXPECT_FALSE(reply(1'000, 4)) << "the reply was used already";
+  EXPECT_FALSE(reply(1'000, 4)) << "a second reply to the same call must be ignored";
 }
 
-TEST_F(PoolLedgerTest, PoolsOfOneCustomerHaveNamesOfTheirOwn) {
+TEST_F(PoolLedgerTest, PoolsOfOneCustomerHaveDifferentKeys) {
   plan.ceiling_rate = 2;
   plan.ceiling_burst = 20;
   ASSERT_TRUE(reserve(0, 1));
-  const std::int64_t quota_name = last_call().key;
+  const std::int64_t quota_key = last_call().key;
   ASSERT_TRUE(ledger.reserve(0, customer, ceiling_pool(plan), 1, 0, actions));
-  EXPECT_NE(last_call().key, quota_name);
+  EXPECT_NE(last_call().key, quota_key);
 }
 
 }  // namespace
--- a/tests/support/quota_share_trial.cpp
+++ b/tests/support/quota_share_trial.cpp
@@ -20,7 +20,7 @@
     int requested = 0;
     for (int i = 0; i < requests; ++i) {
       in_second_half_ = i >= requests / 2;
-      counter_has_forgotten_ = load_.counter_forgets && i > requests / 2;
+      counter_has_lost_totals_ = load_.counter_loses_totals && i > requests / 2;
       send_request(i);
       if (in_second_half_) {
         ++requested;
@@ -42,7 +42,7 @@
     request.gateway_subset_size = load_.gateway_count;
     auto actions = gateway_.handle(now, {request});
     append(actions, gateway_.run_timers(now + 1));
-    // Replies of the counter add further actions.
+    // Replies of the counter append further actions.
     for (std::size_t k = 0; k < actions.size(); ++k) {
       const Action action = actions[k];
       if (const auto* call = std::get_if<AddToCounter>(&action)) {
@@ -59,18 +59,18 @@
 
   CounterReply reply_to(const AddToCounter& call, Micros now) {
     ++calls_;
-    // Every total but the first counts from a second before its first call.
+    // Each key's total except the first starts one second before the key's first call.
     const Micros started_at = now - (started_at_.empty() ? 0 : kSecond);
     started_at_.try_emplace(call.key, started_at);
     double& added_here = added_here_[call.key];
     added_here += call.amount;
     const double elsewhere =
-        load_.elsewhere_rate * double(now - started_at_[call.key]) / double(kSecond);
+        load_.others_rate * double(now - started_at_[call.key]) / double(kSecond);
     CounterReply reply = counter_total(call, added_here + elsewhere);
     if (now >= kStart + load_.fault_from * kSecond) {
       reply.outcome = load_.counter_fault;
     }
-    if (counter_has_forgotten_) {
+    if (counter_has_lost_totals_) {
       reply.total = 0.5 * call.amount;
     }
     return reply;
@@ -78,11 +78,11 @@
 
   QuotaLoad load_;
   GatewayHarness gateway_;
-  std::map<std::int64_t, double> added_here_;  // both by the counter's name
+  std::map<std::int64_t, double> added_here_;  // both maps: by counter key
   std::map<std::int64_t, Micros> started_at_;
   bool in_second_half_ = false;
-  bool counter_has_forgotten_ = false;
-  int forwarded_ = 0;  // in the second half
+  bool counter_has_lost_totals_ = false;
+  int forwarded_ = 0;  // requests in the second half
   std::size_t calls_ = 0;
 };
 
