--- a/src/policy/quota/shared_pool.cpp
+++ b/src/policy/quota/shared_pool.cpp
@@ -76,9 +76,9 @@
   const std::int64_t key = counter_key(customer.key, series_of(pool.kind), window);
   pending_[key] = {&customer, pool, units};
   reservation.in_flight = true;
-  const Micros time_to_live =
+  const Micros key_time_to_live =
       std::max<Micros>(kMinKeyTimeToLive, kKeyTimeToLiveWindows * pool.window_length);
-  actions.emplace_back(AddToCounter{key, units, time_to_live});
+  actions.emplace_back(AddToCounter{key, units, key_time_to_live});
   return true;
 }
 
--- a/tests/policy/quota/quota_error_test.cpp
+++ b/tests/policy/quota/quota_error_test.cpp
@@ -26,8 +26,7 @@
   struct Result {
     double beyond_quota = 0;     // units forwarded beyond the quotas / units forwarded
     double rejected_within = 0;  // units rejected within the quotas / units requested
-    double used =
-        0;  // units forwarded within the quotas / the smaller of units allowed and requested
+    double used = 0;   // units forwarded within the quotas / min(units allowed, units requested)
     double calls = 0;  // calls to the counter per request
   };
 
