--- a/tests/policy/quota/ceiling_enforcement_test.cpp
+++ b/tests/policy/quota/ceiling_enforcement_test.cpp
@@ -14,8 +14,8 @@
 namespace quota_gateway::testing {
 namespace {
 
-// Sets a ceiling of 20 units per second with a burst of 40. Two gateways have an even share of
-// half.
+// Sets a ceiling of 20 units per second with a burst of 40. With two gateways and no counter, each
+// gateway's even share is half of the ceiling.
 Settings with_ceiling(Settings settings) {
   set_ceiling(settings, 20, 40);
   return settings;
--- a/tests/policy/quota/counter_totals_test.cpp
+++ b/tests/policy/quota/counter_totals_test.cpp
@@ -25,7 +25,7 @@
   // quota of ten.
   EXPECT_NEAR(forwarded_fraction({.own_rate = 5, .others_rate = 40, .gateway_count = 100}),
               10.0 / 45, 0.08);
-  // It forwards almost all requests while the customer is within its quota.
+  // The gateway forwards almost all requests while the customer is within its quota.
   EXPECT_GT(forwarded_fraction({.own_rate = 2, .others_rate = 2, .gateway_count = 100}), 0.95);
 }
 
