--- a/scale/counter_shard.hpp
+++ b/scale/counter_shard.hpp
@@ -20,7 +20,7 @@
 class FakeCounterConnection;
 
 struct CounterCall {
-  std::string name;
+  std::string key;
   double amount = 0;
   Micros lifetime = 0;
   std::weak_ptr<FakeCounterConnection> caller;
--- a/scale/day.cpp
+++ b/scale/disruptions.cpp
@@ -1,4 +1,4 @@
-#include "day.hpp"
+#include "disruptions.hpp"
 
 #include <algorithm>
 #include <cstddef>
@@ -42,20 +42,20 @@
          std::tie(right.at_s, right.cause, right.subject);
 }
 
-class DayGenerator {
+class DisruptionGenerator {
  public:
-  DayGenerator(const Layout& layout, const DayOptions& options)
+  DisruptionGenerator(const Layout& layout, const DisruptionOptions& options)
       : layout_(layout), options_(options), random_(options.seed), busy_until_s_(layout.servers) {}
 
-  std::vector<Disturbance> generate() {
+  std::vector<Disruption> generate() {
     draw_all_incidents();
     std::stable_sort(incidents_.begin(), incidents_.end(), is_earlier);
     for (const Incident& incident : incidents_) {
       apply(incident);
     }
-    std::stable_sort(
-        day_.begin(), day_.end(),
-        [](const Disturbance& left, const Disturbance& right) { return left.at < right.at; });
+    std::stable_sort(day_.begin(), day_.end(), [](const Disruption& left, const Disruption& right) {
+      return left.at < right.at;
+    });
     return std::move(day_);
   }
 
@@ -144,7 +144,7 @@
         continue;
       }
       add(incident, 0, Change::kDraining, server);
-      add(incident, kDrainS, Change::kGone, server);
+      add(incident, kDrainS, Change::kDown, server);
       add(incident, kDrainS + kRestartS, Change::kUp, server);
       busy_until_s_[server] = incident.at_s + kDrainS + kRestartS;
       return;
@@ -157,7 +157,7 @@
       if (!is_affected(server) || busy_until_s_[server] > incident.at_s) {
         continue;
       }
-      add(incident, 0, Change::kGone, server);
+      add(incident, 0, Change::kDown, server);
       add(incident, away_s, Change::kUp, server);
       busy_until_s_[server] = incident.at_s + away_s;
     }
@@ -170,23 +170,23 @@
   }
 
   const Layout& layout_;
-  const DayOptions& options_;
+  const DisruptionOptions& options_;
   std::mt19937_64 random_;
   // By server, seconds of the day: until then it is away or draining.
   std::vector<double> busy_until_s_;
   std::vector<Incident> incidents_;
-  std::vector<Disturbance> day_;
+  std::vector<Disruption> day_;
 };
 
 }  // namespace
 
-std::vector<Disturbance> draw_day(const Layout& layout, const DayOptions& options) {
+std::vector<Disruption> draw_disruptions(const Layout& layout, const DisruptionOptions& options) {
   const bool has_layout = layout.servers > 0 && layout.zones > 0 && layout.regions > 0;
   if (!has_layout || options.hours <= 0 || options.compression <= 0) {
     throw std::invalid_argument(
         "a day needs servers, zones, regions, hours and a compression above 0");
   }
-  return DayGenerator(layout, options).generate();
+  return DisruptionGenerator(layout, options).generate();
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/day.hpp
+++ b/scale/disruptions.hpp
@@ -17,14 +17,14 @@
 enum class Cause : std::uint8_t { kRestart, kMachine, kRack, kZone, kRegion, kConfiguration };
 enum class Change : std::uint8_t {
   kDraining,
-  kGone,
+  kDown,
   kUp,
   kRegionCut,
   kRegionRejoined,
   kSettingsChanged
 };
 
-struct Disturbance {
+struct Disruption {
   // Microseconds of the run's clock since the day's beginning.
   Micros at = 0;
   Cause cause = Cause::kRestart;
@@ -32,10 +32,10 @@
   // The server; of a region's change the region, of changed settings their number.
   std::uint32_t subject = 0;
 
-  bool operator==(const Disturbance&) const = default;
+  bool operator==(const Disruption&) const = default;
 };
 
-struct DayOptions {
+struct DisruptionOptions {
   std::uint64_t seed = 1;
   // That are drawn.
   double hours = 24;
@@ -50,6 +50,6 @@
 // changes fit together: one that is away or draining is taken by no other cause. All that begins
 // also ends, if need be after the last of the hours. Throws std::invalid_argument if the layout has
 // no servers, zones or regions, or the options no hours or no compression.
-std::vector<Disturbance> draw_day(const Layout& layout, const DayOptions& options);
+std::vector<Disruption> draw_disruptions(const Layout& layout, const DisruptionOptions& options);
 
 }  // namespace quota_gateway::scale
--- a/scale/events.cpp
+++ b/scale/events.cpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "day.hpp"
+#include "disruptions.hpp"
 #include "event_measurement.hpp"
 #include "fleet_scenario.hpp"
 #include "report.hpp"
@@ -30,11 +30,11 @@
 constexpr double kTenantsPerGateway = 100;
 
 std::size_t gateways_of(const Options& options) {
-  return Sizes{options}.gateways(7'400, 30);
+  return ScenarioSizes{options}.gateways(7'400, 30);
 }
 
 std::size_t servers_of(const Options& options) {
-  return Sizes{options}.servers(1'700, 700);
+  return ScenarioSizes{options}.servers(1'700, 700);
 }
 
 std::uint64_t memory_of(const Options& options) {
@@ -143,14 +143,14 @@
   return options.small ? 900 : 120;
 }
 
-std::vector<Disturbance> draw_region_hour(const Options& options, const Layout& layout) {
-  DayOptions day;
+std::vector<Disruption> draw_region_hour(const Options& options, const Layout& layout) {
+  DisruptionOptions day;
   day.seed = options.seed;
   day.hours = 1;
   // As many changes as the target has in an hour.
   day.target_rate_fraction = 1;
   day.compression = region_compression(options);
-  return draw_day(layout, day);
+  return draw_disruptions(layout, day);
 }
 
 // Ends the time for which an agent was away.
@@ -215,7 +215,7 @@
   const FleetUsage before = fleet.usage();
   fleet.with_agent(kLostAgent, [](FakeDiscovery& agent) { agent.stop(); });
   drain_servers(fleet, kDrainedServers);
-  sleep_for(Sizes{options}.window(10, 0.5));
+  sleep_for(ScenarioSizes{options}.window(10, 0.5));
   const FleetUsage lost = fleet.usage().since(before);
 
   EventMeasurement event(fleet, report, kControl, {{"history", double(has_history)}});
--- a/scale/fake_counter.cpp
+++ b/scale/fake_counter.cpp
@@ -59,7 +59,7 @@
     return std::nullopt;
   }
   CounterCall call;
-  call.name = name;
+  call.key = name;
   call.amount = *amount;
   call.lifetime =
       std::min(*lifetime_ms, CounterTotals::kMaxLifetime / kMicrosPerMilli) * kMicrosPerMilli;
@@ -165,7 +165,7 @@
     ++counts_.rejected;
     return "-BUSY not begun\r\n";
   }
-  CounterShard& shard = *shards_[std::hash<std::string>()(call.name) % shards_.size()];
+  CounterShard& shard = *shards_[std::hash<std::string>()(call.key) % shards_.size()];
   if (!shard.enqueue(std::move(call))) {
     ++counts_.rejected;
     return "-BUSY the line is long\r\n";
@@ -174,7 +174,7 @@
 }
 
 void FakeCounter::serve(const CounterCall& call) {
-  const double total = totals_.add(call.name, call.amount, call.lifetime, steady_now());
+  const double total = totals_.add(call.key, call.amount, call.lifetime, steady_now());
   if (const auto caller = call.caller.lock()) {
     caller->complete_reply(call.reply_slot, encode_total(total));
   }
@@ -205,7 +205,7 @@
 
 FakeCounter::Counts FakeCounter::counts() const {
   Counts counts = counts_;
-  counts.names = totals_.size();
+  counts.keys = totals_.size();
   return counts;
 }
 
--- a/scale/fake_counter.hpp
+++ b/scale/fake_counter.hpp
@@ -50,7 +50,7 @@
     // Accepted so far.
     std::uint64_t connections = 0;
     // Now, those that have ended but are not swept yet included.
-    std::size_t names = 0;
+    std::size_t keys = 0;
   };
 
   FakeCounter(boost::asio::io_context& io, const Options& options);
--- a/scale/fake_discovery.cpp
+++ b/scale/fake_discovery.cpp
@@ -114,7 +114,7 @@
       acceptor_(io),
       heartbeat_timer_(io),
       servers_(options_.servers),
-      history_(options_.revision, options_.history),
+      history_(options_.revision, options_.max_history_entries),
       revision_(options_.revision),
       heartbeat_(std::make_shared<const std::string>(encode_chunked("\n"))) {
   index_by_id_.reserve(servers_.size());
--- a/scale/fake_discovery.hpp
+++ b/scale/fake_discovery.hpp
@@ -33,7 +33,7 @@
     std::vector<ListedServer> servers = {};
     std::int64_t revision = 1;
     // Changed entries that it remembers, to send partial lists from.
-    std::size_t history = 100'000;
+    std::size_t max_history_entries = 100'000;
     // Between empty lines on a watch without updates.
     Micros heartbeat_interval = 2'000'000;
     // 0: any free port.
--- a/scale/fleet/change_rate_slope.cpp
+++ b/scale/fleet/change_rate_slope.cpp
@@ -1,11 +1,11 @@
 // How the cost of a fleet's watches grows with the changes in a second.
 #include <string>
 
-#include "day.hpp"
-#include "figure_recorder.hpp"
+#include "disruptions.hpp"
 #include "fleet/fleet_slopes.hpp"
 #include "fleet_scenario.hpp"
 #include "layout.hpp"
+#include "measurement_recorder.hpp"
 #include "test_fleet.hpp"
 
 namespace quota_gateway::scale {
@@ -21,15 +21,15 @@
 constexpr double kChangesPerFailure = 2;
 
 std::size_t gateway_count(const Options& options) {
-  return Sizes{options}.gateways(285, 10);
+  return ScenarioSizes{options}.gateways(285, 10);
 }
 
 std::size_t server_count(const Options& options) {
-  return Sizes{options}.servers(1'000, 200);
+  return ScenarioSizes{options}.servers(1'000, 200);
 }
 
-DayOptions day_options(const Options& options, double compression, Micros window) {
-  DayOptions day;
+DisruptionOptions day_options(const Options& options, double compression, Micros window) {
+  DisruptionOptions day;
   day.seed = options.seed;
   day.target_rate_fraction = 1;  // all of the operators' rates, on fewer servers
   day.compression = compression;
@@ -45,13 +45,13 @@
   return (restarts + failures) / kSecondsPerDay;
 }
 
-void measure_pace(const Options& options, const FigureRecorder& recorder, double compression) {
+void measure_pace(const Options& options, const MeasurementRecorder& recorder, double compression) {
   const std::size_t gateway_total = gateway_count(options);
   const auto gateways = double(gateway_total);
   TestFleet test_fleet(test_fleet_options(options, gateway_total, server_count(options)));
   start_and_converge(test_fleet);
-  const Micros window = Sizes{options}.window(12, 0.7);
-  const auto day = draw_day(test_fleet.layout(), day_options(options, compression, window));
+  const Micros window = ScenarioSizes{options}.window(12, 0.7);
+  const auto day = draw_disruptions(test_fleet.layout(), day_options(options, compression, window));
   const auto before = test_fleet.usage();
   const std::size_t changes = test_fleet.replay(day, window);
   const bool all_right = test_fleet.wait_until_converged(kConvergenceTimeout);
@@ -70,7 +70,7 @@
 }
 
 void run(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, kScenario);
+  const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   for (const double compression : {1.0, 8.0, 32.0, 128.0}) {
     if (deadline.expired(report, kScenario,
--- a/scale/fleet/complete_list_slope.cpp
+++ b/scale/fleet/complete_list_slope.cpp
@@ -3,10 +3,10 @@
 #include <string>
 
 #include "clocks.hpp"
-#include "figure_recorder.hpp"
 #include "fleet/fleet_slopes.hpp"
 #include "fleet_scenario.hpp"
 #include "fleet_usage.hpp"
+#include "measurement_recorder.hpp"
 #include "process_resources.hpp"
 #include "test_fleet.hpp"
 
@@ -18,17 +18,17 @@
 constexpr Micros kListTimeout = 20'000'000;  // us
 
 std::size_t gateway_count(const Options& options) {
-  return Sizes{options}.gateways(4, 4);
+  return ScenarioSizes{options}.gateways(4, 4);
 }
 
 std::size_t server_count(const Options& options) {
-  return Sizes{options}.servers(170'000, 1'700);
+  return ScenarioSizes{options}.servers(170'000, 1'700);
 }
 
 // A fleet from its start until each gateway has the whole list.
 class ListTrial {
  public:
-  ListTrial(const Options& options, std::size_t servers, const FigureRecorder& recorder)
+  ListTrial(const Options& options, std::size_t servers, const MeasurementRecorder& recorder)
       : recorder_(recorder),
         servers_(servers),
         sizes_({{"servers", double(servers)}}),
@@ -74,7 +74,7 @@
                    std::to_string(duration / 1'000'000) + " s; its bytes are those of this time");
   }
 
-  const FigureRecorder& recorder_;
+  const MeasurementRecorder& recorder_;
   const std::size_t servers_;
   const MeasuredSizes sizes_;
   const double gateways_;
@@ -84,7 +84,7 @@
 };
 
 void run(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, kScenario);
+  const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   for (const std::size_t divisor : {1000, 100, 10, 3, 1}) {
     const std::size_t servers = std::max<std::size_t>(1, server_count(options) / divisor);
--- a/scale/fleet/counter_call_slope.cpp
+++ b/scale/fleet/counter_call_slope.cpp
@@ -1,11 +1,11 @@
 // How calls to the counter and their cost grow with the requests in a second.
 #include <string>
 
-#include "figure_recorder.hpp"
 #include "fleet/fleet_slopes.hpp"
 #include "fleet_scenario.hpp"
 #include "fleet_state.hpp"
 #include "fleet_usage.hpp"
+#include "measurement_recorder.hpp"
 #include "test_fleet.hpp"
 
 namespace quota_gateway::scale {
@@ -16,11 +16,11 @@
 constexpr double kTenantsOfMemory = 600;  // for the estimate; about those that a gateway meets
 
 std::size_t gateway_count(const Options& options) {
-  return Sizes{options}.gateways(100, 10);
+  return ScenarioSizes{options}.gateways(100, 10);
 }
 
 std::size_t server_count(const Options& options) {
-  return Sizes{options}.servers(200, 50);
+  return ScenarioSizes{options}.servers(200, 50);
 }
 
 double target_requests_per_s() {
@@ -48,7 +48,7 @@
 CallWindow measure_window(const Options& options, TestFleet& test_fleet) {
   const auto usage_before = test_fleet.usage();
   const FleetState before = test_fleet.fleet().state();
-  sleep_for(Sizes{options}.window(8, 0.5));
+  sleep_for(ScenarioSizes{options}.window(8, 0.5));
   CallWindow window;
   window.usage = test_fleet.usage().since(usage_before);
   const FleetState after = test_fleet.fleet().state();
@@ -57,7 +57,7 @@
   return window;
 }
 
-void record(const FigureRecorder& recorder, double requests_per_s, double gateways,
+void record(const MeasurementRecorder& recorder, double requests_per_s, double gateways,
             const CallWindow& window) {
   const MeasuredSizes sizes = {{"requests_per_s", requests_per_s}};
   const double gateway_seconds = window.usage.seconds() * gateways;
@@ -78,7 +78,7 @@
 }
 
 void run(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, kScenario);
+  const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   TestFleet test_fleet(counter_fleet_options(options));
   start_and_converge(test_fleet);
@@ -88,7 +88,7 @@
       break;
     }
     test_fleet.fleet().set_request_rate(rate);
-    sleep_for(Sizes{options}.window(4, 0.2));
+    sleep_for(ScenarioSizes{options}.window(4, 0.2));
     const CallWindow window = measure_window(options, test_fleet);
     record(recorder, rate, double(gateway_count(options)), window);
   }
--- a/scale/fleet/counter_name_slope.cpp
+++ b/scale/fleet/counter_name_slope.cpp
@@ -3,10 +3,10 @@
 
 #include "event_loop_thread.hpp"
 #include "fake_counter.hpp"
-#include "figure_recorder.hpp"
 #include "fleet/counter_load.hpp"
 #include "fleet/fleet_slopes.hpp"
 #include "fleet_scenario.hpp"
+#include "measurement_recorder.hpp"
 #include "process_resources.hpp"
 
 namespace quota_gateway::scale {
@@ -26,7 +26,7 @@
 // A counter and its load, on a thread each.
 class NameTrial {
  public:
-  NameTrial(const FigureRecorder& recorder, const ScenarioDeadline& deadline)
+  NameTrial(const MeasurementRecorder& recorder, const ScenarioDeadline& deadline)
       : recorder_(recorder),
         deadline_(deadline),
         counter_(counter_thread_.emplace<FakeCounter>(FakeCounter::Options{})),
@@ -46,7 +46,7 @@
       return false;
     }
     const auto counts = counter_thread_.run([&] { return counter_.counts(); });
-    const MeasuredSizes sizes = {{"names", double(counts.names)}};
+    const MeasuredSizes sizes = {{"names", double(counts.keys)}};
     const auto cpu = double(counter_thread_.cpu_time() - cpu_before);
     recorder_.add("counter_cpu", sizes, cpu / double(end_name - first_name), "us/call");
     const auto allocated = double(allocated_bytes() - allocated_before_);
@@ -72,7 +72,7 @@
     return true;
   }
 
-  const FigureRecorder& recorder_;
+  const MeasurementRecorder& recorder_;
   const ScenarioDeadline& deadline_;
   EventLoopThread counter_thread_;
   EventLoopThread load_thread_;
@@ -82,7 +82,7 @@
 };
 
 void run(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, kScenario);
+  const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   NameTrial trial(recorder, deadline);
   trial.connect();
--- a/scale/fleet/tenant_slope.cpp
+++ b/scale/fleet/tenant_slope.cpp
@@ -2,11 +2,11 @@
 #include <stdexcept>
 #include <string>
 
-#include "figure_recorder.hpp"
 #include "fleet/fleet_slopes.hpp"
 #include "fleet_options.hpp"
 #include "fleet_scenario.hpp"
 #include "fleet_state.hpp"
+#include "measurement_recorder.hpp"
 #include "process_resources.hpp"
 #include "test_fleet.hpp"
 
@@ -26,7 +26,7 @@
 }
 
 std::size_t server_count(const Options& options) {
-  return Sizes{options}.servers(200, 50);
+  return ScenarioSizes{options}.servers(200, 50);
 }
 
 TestFleet::Options counter_fleet_options(const Options& options, std::size_t tenants) {
@@ -46,15 +46,16 @@
   }
 }
 
-void measure_tenants(const Options& options, const FigureRecorder& recorder, std::size_t tenants) {
+void measure_tenants(const Options& options, const MeasurementRecorder& recorder,
+                     std::size_t tenants) {
   TestFleet test_fleet(counter_fleet_options(options, tenants));
   start_and_converge(test_fleet);
   const std::uint64_t allocated_before = allocated_bytes();
   meet_tenants(test_fleet, tenants);
   test_fleet.fleet().set_request_rate(Target{}.requests_per_s / double(Target{}.gateways));
-  sleep_for(Sizes{options}.window(3, 0.3));  // until what the fast requests left is over
+  sleep_for(ScenarioSizes{options}.window(3, 0.3));  // until what the fast requests left is over
   const auto before = test_fleet.usage();
-  sleep_for(Sizes{options}.window(6, 0.5));
+  sleep_for(ScenarioSizes{options}.window(6, 0.5));
   const auto usage = test_fleet.usage().since(before);
   const auto allocated = double(allocated_bytes() - allocated_before);
   const double gateway_seconds = usage.seconds() * double(kGateways);
@@ -66,7 +67,7 @@
 }
 
 void run(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, kScenario);
+  const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   for (const std::size_t divisor : {64, 16, 4, 1}) {
     const std::size_t tenants = most_tenants(options) / divisor;
--- a/scale/fleet/watcher_slope.cpp
+++ b/scale/fleet/watcher_slope.cpp
@@ -5,11 +5,11 @@
 #include <vector>
 
 #include "clocks.hpp"
-#include "figure_recorder.hpp"
 #include "fleet/fleet_slopes.hpp"
 #include "fleet_scenario.hpp"
 #include "fleet_usage.hpp"
 #include "listed_server.hpp"
+#include "measurement_recorder.hpp"
 #include "process_resources.hpp"
 #include "test_fleet.hpp"
 
@@ -23,17 +23,17 @@
 constexpr double kMostTimesInForceTime = 4;  // that a change may take before the run fails
 
 std::size_t gateway_count(const Options& options) {
-  return Sizes{options}.gateways(7'400, 40);
+  return ScenarioSizes{options}.gateways(7'400, 40);
 }
 
 std::size_t server_count(const Options& options) {
-  return Sizes{options}.servers(200, 50);
+  return ScenarioSizes{options}.servers(200, 50);
 }
 
 // A fleet that has its list, and nothing to do but to watch.
 class WatcherTrial {
  public:
-  WatcherTrial(const Options& options, std::size_t gateways, const FigureRecorder& recorder)
+  WatcherTrial(const Options& options, std::size_t gateways, const MeasurementRecorder& recorder)
       : options_(options),
         recorder_(recorder),
         sizes_({{"watchers", double(gateways)}}),
@@ -56,7 +56,7 @@
   // What nothing but heartbeats costs.
   FleetUsage measure_heartbeats() {
     const FleetUsage before = test_fleet_.usage();
-    sleep_for(Sizes{options_}.window(8, 0.6));
+    sleep_for(ScenarioSizes{options_}.window(8, 0.6));
     FleetUsage quiet = test_fleet_.usage().since(before);
     const double seconds = quiet.seconds();
     const auto bytes = double(quiet.discovery.traffic.sent);
@@ -72,7 +72,7 @@
   void measure_changes(const FleetUsage& quiet) {
     std::vector<double> medians_ms;
     std::vector<double> lasts_ms;
-    const Micros pause_between = Sizes{options_}.window(0.2, 0.02);
+    const Micros pause_between = ScenarioSizes{options_}.window(0.2, 0.02);
     const FleetUsage before = test_fleet_.usage();
     for (std::size_t i = 0; i < kChanges; ++i) {
       const Delays delays = change_one(i);
@@ -90,9 +90,9 @@
     const ListedServer entry = test_fleet_.listed_server(server, Phase::kDraining);
     const Micros changed_at = steady_now();
     const std::int64_t revision = test_fleet_.publish({entry});
-    const auto timeout = Micros(Target{}.in_force_s * 1e6 * kMostTimesInForceTime);
+    const auto timeout = Micros(Target{}.max_propagation_s * 1e6 * kMostTimesInForceTime);
     const bool in_force = test_fleet_.fleet().wait_until(
-        [&](const FleetState& state) { return state.least_revision >= revision; }, timeout);
+        [&](const FleetState& state) { return state.min_revision >= revision; }, timeout);
     if (!in_force) {
       throw std::runtime_error("a change is not in force after four times the time allowed");
     }
@@ -112,7 +112,7 @@
   }
 
   const Options& options_;
-  const FigureRecorder& recorder_;
+  const MeasurementRecorder& recorder_;
   const MeasuredSizes sizes_;
   const double gateways_;
   const Micros heartbeat_;  // us between two of an agent
@@ -121,7 +121,7 @@
 };
 
 void run(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, kScenario);
+  const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   for (const std::size_t gateways : doubling_sizes(gateway_count(options))) {
     if (deadline.expired(report, kScenario, std::to_string(gateways) + " watchers")) {
--- a/scale/fleet_scenario.cpp
+++ b/scale/fleet_scenario.cpp
@@ -26,11 +26,11 @@
 
 }  // namespace
 
-Micros Sizes::window(double full_s, double small_s) const {
+Micros ScenarioSizes::window(double full_s, double small_s) const {
   return Micros((options.small ? small_s : full_s) * kMicrosPerSecond);
 }
 
-std::size_t Sizes::pick(std::size_t given, std::size_t full, std::size_t small) const {
+std::size_t ScenarioSizes::pick(std::size_t given, std::size_t full, std::size_t small) const {
   if (given > 0) {
     return given;
   }
--- a/scale/fleet_scenario.hpp
+++ b/scale/fleet_scenario.hpp
@@ -19,7 +19,7 @@
 constexpr Micros kConvergenceTimeout = 60'000'000;
 
 // The sizes of a scenario: as the options give them, else its own, full or small.
-struct Sizes {
+struct ScenarioSizes {
   const Options& options;
   std::size_t gateways(std::size_t full, std::size_t small) const {
     return pick(options.gateways, full, small);
--- a/scale/fleet_state.cpp
+++ b/scale/fleet_state.cpp
@@ -19,7 +19,7 @@
 
 void FleetState::add(const GatewayState& gateway) {
   *this += gateway.totals;
-  least_revision = gateways == 0 ? gateway.revision : std::min(least_revision, gateway.revision);
+  min_revision = gateways == 0 ? gateway.revision : std::min(min_revision, gateway.revision);
   ++gateways;
   with_list += gateway.has_list ? 1 : 0;
   lost_list += gateway.lost_list ? 1 : 0;
@@ -35,7 +35,7 @@
   gateways = 0;
   with_list = 0;
   converged = 0;
-  least_revision = 0;
+  min_revision = 0;
   last_converged_at = 0;
 }
 
--- a/scale/fleet_state.hpp
+++ b/scale/fleet_state.hpp
@@ -48,7 +48,7 @@
   std::size_t converged = 0;
   std::size_t lost_list = 0;
   // 0 while a gateway has no list.
-  std::int64_t least_revision = 0;
+  std::int64_t min_revision = 0;
   // 0: no gateway has had a list yet.
   Micros longest_time_to_first_list = 0;
   // By steady_now(); of the gateways that have converged.
--- a/scale/list_progress.cpp
+++ b/scale/list_progress.cpp
@@ -17,12 +17,12 @@
   }
 }
 
-void ListProgress::on_lists_in_force(std::size_t up_count, Micros now) {
+void ListProgress::on_lists_applied(std::size_t up_count, Micros now) {
   if (received_revision_ == revision_) {
     return;
   }
   revision_ = received_revision_;
-  in_force_at_ = now;
+  applied_at_ = now;
   if (up_count > 0 && !time_to_first_list_) {
     time_to_first_list_ = std::max<Micros>(1, now - started_at_);
   }
--- a/scale/list_progress.hpp
+++ b/scale/list_progress.hpp
@@ -24,13 +24,13 @@
   void on_list_received(std::int64_t revision) { received_revision_ = revision; }
   void on_entries(const std::vector<EndpointEntry>& entries);
   // The decision module has all that was received. `up_count`: servers that are up by it.
-  void on_lists_in_force(std::size_t up_count, Micros now);
+  void on_lists_applied(std::size_t up_count, Micros now);
   // converged_at() is told anew, from when just these servers are known to be up.
   void expect(std::shared_ptr<const UpServers> expected, Micros now);
 
   // Of the list in force; 0 before the first.
   std::int64_t revision() const { return revision_; }
-  Micros in_force_at() const { return in_force_at_; }
+  Micros applied_at() const { return applied_at_; }
   std::optional<Micros> time_to_first_list() const { return time_to_first_list_; }
   std::optional<Micros> converged_at() const { return converged_at_; }
   bool has_had_list() const { return time_to_first_list_.has_value(); }
@@ -46,7 +46,7 @@
   const Micros started_at_;
   std::int64_t received_revision_ = 0;
   std::int64_t revision_ = 0;
-  Micros in_force_at_ = 0;
+  Micros applied_at_ = 0;
   std::optional<Micros> time_to_first_list_;
   std::optional<Micros> converged_at_;
   bool lost_list_ = false;
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -43,7 +43,7 @@
   Options small_size;
   small_size.small = true;
   for (const Scenario& scenario : all_scenarios()) {
-    std::cout << scenario.name << ": " << scenario.what << " ("
+    std::cout << scenario.name << ": " << scenario.description << " ("
               << rounded_megabytes(scenario.memory(target_size)) << " MB; small "
               << rounded_megabytes(scenario.memory(small_size)) << " MB)\n";
   }
@@ -61,7 +61,7 @@
 bool run_scenario(const Scenario& scenario, const Options& options, Report& report) {
   const std::time_t started_at = std::time(nullptr);
   bool succeeded = true;
-  std::cerr << scenario.name << ": " << scenario.what << '\n';
+  std::cerr << scenario.name << ": " << scenario.description << '\n';
   try {
     scenario.run(options, report);
   } catch (const std::exception& e) {
--- a/scale/figure_recorder.hpp
+++ b/scale/measurement_recorder.hpp
@@ -10,9 +10,9 @@
 namespace quota_gateway::scale {
 
 // Cheap to copy. The report must outlive it.
-class FigureRecorder {
+class MeasurementRecorder {
  public:
-  FigureRecorder(Report& report, std::string scenario)
+  MeasurementRecorder(Report& report, std::string scenario)
       : report_(&report), scenario_(std::move(scenario)) {}
 
   void add(const std::string& name, const MeasuredSizes& sizes, double value,
--- a/scale/module/burst_cost.cpp
+++ b/scale/module/burst_cost.cpp
@@ -2,8 +2,8 @@
 #include <numeric>
 #include <vector>
 
-#include "figure_recorder.hpp"
 #include "measure.hpp"
+#include "measurement_recorder.hpp"
 #include "module/load_driver.hpp"
 #include "module/module_slopes.hpp"
 #include "slope_sizes.hpp"
@@ -22,7 +22,7 @@
       : servers_(servers),
         driver_(driver_with_servers(options.seed, servers, most_module_gateways(options))) {}
 
-  void measure(const FigureRecorder& recorder, const TimeBudget& budget) {
+  void measure(const MeasurementRecorder& recorder, const TimeBudget& budget) {
     change_zone(EndpointState::kRemoved, budget);
     change_zone(EndpointState::kUp, budget);
     record(recorder);
@@ -51,7 +51,7 @@
     driver_.run_until(driver_.now() + kSliceInterval);
   }
 
-  void record(const FigureRecorder& recorder) const {
+  void record(const MeasurementRecorder& recorder) const {
     const MeasuredSizes sizes = {{"servers", double(servers_)}};
     const double total_ms = std::accumulate(slices_ms_.begin(), slices_ms_.end(), 0.0);
     recorder.add("changed", sizes, double(changed_), "servers");
@@ -72,7 +72,7 @@
 
 void measure_module_bursts(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "module.burst");
+  const MeasurementRecorder recorder(report, "module.burst");
   for (const std::size_t servers : server_counts(options)) {
     BurstTrial(options, servers).measure(recorder, budget);
   }
--- a/scale/module/change_cost.cpp
+++ b/scale/module/change_cost.cpp
@@ -5,8 +5,8 @@
 #include <utility>
 #include <vector>
 
-#include "figure_recorder.hpp"
 #include "measure.hpp"
+#include "measurement_recorder.hpp"
 #include "module/load_driver.hpp"
 #include "module/module_slopes.hpp"
 #include "slope_sizes.hpp"
@@ -30,7 +30,7 @@
         random_(options.seed),
         driver_(driver_with_servers(options.seed, servers, most_module_gateways(options))) {}
 
-  void measure(const FigureRecorder& recorder, const TimeBudget& budget) {
+  void measure(const MeasurementRecorder& recorder, const TimeBudget& budget) {
     for (std::size_t i = 0; i < rounds_ && changes_us_ < kMostCpuUs; ++i) {
       if (budget.is_exhausted()) {
         break;
@@ -62,7 +62,7 @@
     samples_us_["request_after"].push_back(driver_.request(random_() % kTenantsPerGateway));
   }
 
-  void record(const FigureRecorder& recorder) {
+  void record(const MeasurementRecorder& recorder) {
     const MeasuredSizes sizes = {{"servers", double(servers_)}};
     for (const auto& [name, samples] : samples_us_) {
       recorder.add(name, sizes, median(samples), "us");
@@ -82,7 +82,7 @@
 
 void measure_module_changes(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "module.change");
+  const MeasurementRecorder recorder(report, "module.change");
   for (const std::size_t servers : server_counts(options)) {
     ChangeTrial(options, servers).measure(recorder, budget);
   }
--- a/scale/module/memory_cost.cpp
+++ b/scale/module/memory_cost.cpp
@@ -6,8 +6,8 @@
 #include <utility>
 #include <vector>
 
-#include "figure_recorder.hpp"
 #include "measure.hpp"
+#include "measurement_recorder.hpp"
 #include "module/load_driver.hpp"
 #include "module/median_time.hpp"
 #include "module/module_slopes.hpp"
@@ -22,7 +22,8 @@
 // Until all requests are answered and maintenance has come several times.
 constexpr Micros kAnswersTime = 4 * kSecond;
 
-void measure_list(const Options& options, const FigureRecorder& recorder, std::size_t servers) {
+void measure_list(const Options& options, const MeasurementRecorder& recorder,
+                  std::size_t servers) {
   const MeasuredSizes sizes = {{"servers", double(servers)}};
   const EndpointListUpdate list = complete_list(servers);
   const double heap_before = heap_in_use_mb();
@@ -50,7 +51,8 @@
   });
 }
 
-void measure_classes(const Options& options, const FigureRecorder& recorder, std::size_t classes) {
+void measure_classes(const Options& options, const MeasurementRecorder& recorder,
+                     std::size_t classes) {
   const MeasuredSizes sizes = {{"classes", double(classes)}};
   const double heap_before = heap_in_use_mb();
   LoadDriver driver(module_settings(most_module_gateways(options), classes), options.seed);
@@ -61,8 +63,8 @@
   recorder.add("memory_after", sizes, heap_in_use_mb() - heap_before, "MB");
 }
 
-void measure_tenants(const Options& options, const FigureRecorder& recorder, std::size_t tenants,
-                     const TimeBudget& budget) {
+void measure_tenants(const Options& options, const MeasurementRecorder& recorder,
+                     std::size_t tenants, const TimeBudget& budget) {
   const MeasuredSizes sizes = {{"tenants", double(tenants)}};
   LoadDriver driver = driver_with_servers(options.seed, kServers, most_module_gateways(options));
   const double heap_before = heap_in_use_mb();
@@ -83,7 +85,7 @@
 }  // namespace
 
 void measure_module_lists(const Options& options, Report& report) {
-  const FigureRecorder recorder(report, "module.list");
+  const MeasurementRecorder recorder(report, "module.list");
   for (const std::size_t servers : server_counts(options)) {
     measure_list(options, recorder, servers);
   }
@@ -94,7 +96,7 @@
 // A service's routes are classes of the settings.
 void measure_module_classes(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "module.classes");
+  const MeasurementRecorder recorder(report, "module.classes");
   for (const std::size_t classes : module_class_counts(options)) {
     if (!budget.is_exhausted()) {
       measure_classes(options, recorder, classes);
@@ -105,7 +107,7 @@
 
 void measure_module_tenants(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "module.tenants");
+  const MeasurementRecorder recorder(report, "module.tenants");
   for (const std::size_t tenants : module_tenant_counts(options)) {
     if (!budget.is_exhausted()) {
       measure_tenants(options, recorder, tenants, budget);
--- a/scale/module/request_cost.cpp
+++ b/scale/module/request_cost.cpp
@@ -3,8 +3,8 @@
 #include <random>
 #include <string>
 
-#include "figure_recorder.hpp"
 #include "measure.hpp"
+#include "measurement_recorder.hpp"
 #include "module/load_driver.hpp"
 #include "module/module_slopes.hpp"
 #include "slope_sizes.hpp"
@@ -53,7 +53,7 @@
         random_(options.seed),
         driver_(driver_with_servers(options.seed, point.servers, point.gateways)) {}
 
-  void measure(const FigureRecorder& recorder, const TimeBudget& budget) {
+  void measure(const MeasurementRecorder& recorder, const TimeBudget& budget) {
     for (std::size_t i = 0; i < kWarmupRequests; ++i) {
       next_request(std::nullopt);
     }
@@ -100,7 +100,7 @@
     }
   }
 
-  void record(const FigureRecorder& recorder) const {
+  void record(const MeasurementRecorder& recorder) const {
     const bool full = point_.load == ServerLoad::kFull;
     const MeasuredSizes sizes = {{"servers", double(point_.servers)},
                                  {"gateways", double(point_.gateways)},
@@ -118,7 +118,7 @@
     }
   }
 
-  void note_shortfall(const FigureRecorder& recorder) const {
+  void note_shortfall(const MeasurementRecorder& recorder) const {
     recorder.note("at " + std::to_string(point_.servers) + " servers, " +
                   std::to_string(point_.gateways) + " gateways, " +
                   (point_.load == ServerLoad::kFull ? "full" : "idle") +
@@ -143,14 +143,14 @@
   Report discarded(nullptr);
   const RequestPoint point = {server_counts(options).front(),
                               module_gateway_counts(options).front(), ServerLoad::kIdle};
-  RequestTrial(options, point).measure(FigureRecorder(discarded, ""), budget);
+  RequestTrial(options, point).measure(MeasurementRecorder(discarded, ""), budget);
 }
 
 }  // namespace
 
 void measure_module_requests(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "module.request");
+  const MeasurementRecorder recorder(report, "module.request");
   warm_up(options, budget);
   for (const std::size_t gateways : module_gateway_counts(options)) {
     for (const std::size_t servers : server_counts(options)) {
--- a/scale/process/class_count_slope.cpp
+++ b/scale/process/class_count_slope.cpp
@@ -1,5 +1,5 @@
 // How start, memory and SIGHUP of a gateway process grow with the classes of its settings.
-#include "figure_recorder.hpp"
+#include "measurement_recorder.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_measurements.hpp"
 #include "process/gateway_process.hpp"
@@ -13,7 +13,8 @@
 constexpr double kDefaultSeconds = 180;
 constexpr std::size_t kListedServers = 200;
 
-void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t classes) {
+void measure_point(const Options& options, const MeasurementRecorder& recorder,
+                   std::size_t classes) {
   const MeasuredSizes sizes = {{"classes", double(classes)}};
   const GatewayEnvironment environment(kListedServers);
   GatewayConfigOptions config =
@@ -28,7 +29,7 @@
 
 void measure_class_counts(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "process.settings");
+  const MeasurementRecorder recorder(report, "process.settings");
   for (const std::size_t classes : class_counts(options)) {
     if (!budget.is_exhausted()) {
       measure_point(options, recorder, classes);
--- a/scale/process/endless_list_slope.cpp
+++ b/scale/process/endless_list_slope.cpp
@@ -3,7 +3,7 @@
 #include <cmath>
 
 #include "event_loop_thread.hpp"
-#include "figure_recorder.hpp"
+#include "measurement_recorder.hpp"
 #include "process/endless_list_agent.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_process.hpp"
@@ -24,7 +24,7 @@
   double cpu_ms = 0;
 };
 
-void record_window(const FigureRecorder& recorder, const Usage& before, const Usage& after,
+void record_window(const MeasurementRecorder& recorder, const Usage& before, const Usage& after,
                    double duration_s) {
   const MeasuredSizes sizes = {{"from_s", before.at_s}, {"to_s", after.at_s}};
   recorder.add("drawn", sizes, (after.bytes_drawn - before.bytes_drawn) / duration_s, "bytes/s");
@@ -35,7 +35,7 @@
 
 void measure_endless_list(const Options& options, Report& report) {
   const TimeBudget budget(options, options.small ? 3 : 90);
-  const FigureRecorder recorder(report, "process.endless");
+  const MeasurementRecorder recorder(report, "process.endless");
   const GatewayEnvironment environment(kListedServers);
   EventLoopThread agent_thread;
   const EndlessListAgent& agent = agent_thread.emplace<EndlessListAgent>();
--- a/scale/process/gateway_measurements.cpp
+++ b/scale/process/gateway_measurements.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void record_start(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+void record_start(const MeasurementRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway) {
   gateway.wait_until_ready(kReadyTimeoutS);
   recorder.add("ready", sizes, wall_ms() - gateway.started_at_ms(), "ms");
@@ -22,7 +22,7 @@
   recorder.add("start_peak", sizes, gateway.peak_resident_mb(), "MB");
 }
 
-void record_reload(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+void record_reload(const MeasurementRecorder& recorder, const MeasuredSizes& sizes,
                    GatewayProcess& gateway, GatewayConfigOptions config) {
   gateway.reset_peak_resident();
   const double cpu_before = gateway.cpu_ms();
--- a/scale/process/gateway_measurements.hpp
+++ b/scale/process/gateway_measurements.hpp
@@ -1,7 +1,7 @@
 // Figures that several process slopes take of a gateway. Keeps no state.
 #pragma once
 
-#include "figure_recorder.hpp"
+#include "measurement_recorder.hpp"
 #include "process/gateway_config.hpp"
 #include "process/gateway_process.hpp"
 
@@ -14,12 +14,12 @@
 
 // Waits until the gateway is ready and idle, and adds what its start took. Throws
 // GatewayProcessError.
-void record_start(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+void record_start(const MeasurementRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway);
 
 // Has the gateway reload `config` with its last class changed, and adds what that took. Throws
 // GatewayProcessError.
-void record_reload(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+void record_reload(const MeasurementRecorder& recorder, const MeasuredSizes& sizes,
                    GatewayProcess& gateway, GatewayConfigOptions config);
 
 // Processor time in ms that it spends in a second without anything to do, watched for
--- a/scale/process/known_list_slope.cpp
+++ b/scale/process/known_list_slope.cpp
@@ -2,7 +2,7 @@
 // starts with.
 #include <algorithm>
 
-#include "figure_recorder.hpp"
+#include "measurement_recorder.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_measurements.hpp"
 #include "process/gateway_process.hpp"
@@ -31,7 +31,7 @@
   }
 }
 
-void record_changes(const Options& options, const FigureRecorder& recorder,
+void record_changes(const Options& options, const MeasurementRecorder& recorder,
                     GatewayEnvironment& environment, const GatewayProcess& gateway,
                     std::size_t listed) {
   const MeasuredSizes sizes = {{"servers", double(listed)}};
@@ -52,7 +52,8 @@
   recorder.add("change_bytes", sizes, bytes / double(changes), "bytes");
 }
 
-void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed) {
+void measure_point(const Options& options, const MeasurementRecorder& recorder,
+                   std::size_t listed) {
   const MeasuredSizes sizes = {{"servers", double(listed)}};
   GatewayEnvironment environment(listed);
   const GatewayConfigOptions config =
@@ -67,7 +68,7 @@
 
 void measure_known_lists(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "process.known");
+  const MeasurementRecorder recorder(report, "process.known");
   for (const std::size_t listed : server_counts(options)) {
     if (!budget.is_exhausted()) {
       measure_point(options, recorder, listed);
--- a/scale/process/pushed_list_slope.cpp
+++ b/scale/process/pushed_list_slope.cpp
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "fake_discovery.hpp"
-#include "figure_recorder.hpp"
+#include "measurement_recorder.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_process.hpp"
 #include "process/polling.hpp"
@@ -17,7 +17,7 @@
 constexpr double kDefaultSeconds = 180;
 constexpr double kListDoneTimeoutS = 5;
 
-void record_taken(const FigureRecorder& recorder, const MeasuredSizes& sizes,
+void record_taken(const MeasurementRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway, double ready_after_ms,
                   const FakeDiscovery::Counts& counts) {
   recorder.add("ready", sizes, ready_after_ms, "ms");
@@ -27,7 +27,8 @@
   recorder.add("peak", sizes, gateway.peak_resident_mb(), "MB");
 }
 
-void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed) {
+void measure_point(const Options& options, const MeasurementRecorder& recorder,
+                   std::size_t listed) {
   const MeasuredSizes sizes = {{"servers", double(listed)}};
   GatewayEnvironment environment(listed);
   const GatewayProcess gateway(options.gateway_program,
@@ -52,7 +53,7 @@
 
 void measure_pushed_lists(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "process.pushed");
+  const MeasurementRecorder recorder(report, "process.pushed");
   for (const std::size_t listed : server_counts(options)) {
     if (!budget.is_exhausted()) {
       measure_point(options, recorder, listed);
--- a/scale/process/request_slope.cpp
+++ b/scale/process/request_slope.cpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "event_loop_thread.hpp"
-#include "figure_recorder.hpp"
 #include "measure.hpp"
+#include "measurement_recorder.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_measurements.hpp"
 #include "process/gateway_process.hpp"
@@ -48,7 +48,7 @@
 // server's own time.
 class RequestTrial {
  public:
-  RequestTrial(FigureRecorder recorder, double duration_s)
+  RequestTrial(MeasurementRecorder recorder, double duration_s)
       : recorder_(std::move(recorder)),
         duration_s_(duration_s),
         requests_(std::size_t(kRequestsPerGatewayPerS * duration_s)) {}
@@ -85,7 +85,7 @@
     }
   }
 
-  FigureRecorder recorder_;
+  MeasurementRecorder recorder_;
   double duration_s_;
   std::size_t requests_;
 };
@@ -94,7 +94,7 @@
   return {{"servers", double(listed)}, {"gateway", gateways}, {"changes", changes}};
 }
 
-void measure_point(const Options& options, const FigureRecorder& recorder, std::size_t listed,
+void measure_point(const Options& options, const MeasurementRecorder& recorder, std::size_t listed,
                    double duration_s) {
   const auto nothing = [] {};
   const RequestTrial trial(recorder, duration_s);
@@ -123,7 +123,7 @@
 
 void measure_request_delays(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
-  const FigureRecorder recorder(report, "process.request");
+  const MeasurementRecorder recorder(report, "process.request");
   const double duration_s = options.small ? 0.4 : 6;
   for (const std::size_t listed : server_counts(options)) {
     if (!budget.is_exhausted()) {
--- a/scale/report.cpp
+++ b/scale/report.cpp
@@ -111,9 +111,9 @@
   out << '\n';
 }
 
-TableRow table_row(const Figure& figure) {
-  return {figure.scenario, figure.name, format_sizes(figure.at), format_number(figure.value),
-          figure.unit};
+TableRow table_row(const Measurement& measurement) {
+  return {measurement.scenario, measurement.name, format_sizes(measurement.at),
+          format_number(measurement.value), measurement.unit};
 }
 
 TableRow table_row(const Fit& fit) {
@@ -166,30 +166,31 @@
   *lines_ << text << '\n' << std::flush;
 }
 
-void Report::add(Figure figure) {
-  json out = json_line(figure.scenario, "name", figure.name, seed_);
-  out["at"] = figure.at;
-  out["value"] = figure.value;
-  out["unit"] = figure.unit;
+void Report::add(Measurement measurement) {
+  json out = json_line(measurement.scenario, "name", measurement.name, seed_);
+  out["at"] = measurement.at;
+  out["value"] = measurement.value;
+  out["unit"] = measurement.unit;
   write_line(out.dump());
-  figures_.push_back(std::move(figure));
+  measurements_.push_back(std::move(measurement));
 }
 
 void Report::fit(const std::string& scenario, const std::string& name, const std::string& size_name,
                  double target) {
   std::map<MeasuredSizes, std::vector<Point>> points_by_other_sizes;
   std::string unit;
-  for (const Figure& figure : figures_) {
-    if (figure.scenario != scenario || figure.name != name || !figure.at.contains(size_name)) {
+  for (const Measurement& measurement : measurements_) {
+    if (measurement.scenario != scenario || measurement.name != name ||
+        !measurement.at.contains(size_name)) {
       continue;
     }
-    MeasuredSizes other_sizes = figure.at;
+    MeasuredSizes other_sizes = measurement.at;
     other_sizes.erase(size_name);
-    points_by_other_sizes[other_sizes].push_back({figure.at.at(size_name), figure.value});
-    unit = figure.unit;
+    points_by_other_sizes[other_sizes].push_back({measurement.at.at(size_name), measurement.value});
+    unit = measurement.unit;
   }
   if (points_by_other_sizes.empty()) {
-    note(scenario, "no figures to fit " + name + " by " + size_name);
+    note(scenario, "no measurements to fit " + name + " by " + size_name);
   }
   for (const auto& [other_sizes, points] : points_by_other_sizes) {
     Fit fit = fit_line(points, target);
@@ -226,11 +227,11 @@
 }
 
 void Report::table(std::ostream& out) const {
-  std::vector<TableRow> figure_rows = {{"scenario", "figure", "at", "value", "unit"}};
-  for (const Figure& figure : figures_) {
-    figure_rows.push_back(table_row(figure));
+  std::vector<TableRow> measurement_rows = {{"scenario", "figure", "at", "value", "unit"}};
+  for (const Measurement& measurement : measurements_) {
+    measurement_rows.push_back(table_row(measurement));
   }
-  print_table(out, figure_rows);
+  print_table(out, measurement_rows);
   std::vector<TableRow> fit_rows = {{"scenario", "fitted", "at", "by", "fixed", "each", "target",
                                      "there", "unit", "extrapolated", "deviates", "of it"}};
   for (const Fit& fit : fits_) {
--- a/scale/report.hpp
+++ b/scale/report.hpp
@@ -15,7 +15,7 @@
 // The sizes at which something was measured, by name, such as {"servers": 20000, "gateways": 7400}.
 using MeasuredSizes = std::map<std::string, double>;
 
-struct Figure {
+struct Measurement {
   std::string scenario;
   std::string name;
   MeasuredSizes at;
@@ -53,24 +53,24 @@
 
 class Report {
  public:
-  // Each figure, fit and note is written to `lines` as one JSON object the moment it is known; with
-  // null it is not written. `lines` must outlive the report. `seed` repeats the run and is written
-  // with each.
+  // Each measurement, fit and note is written to `lines` as one JSON object the moment it is known;
+  // with null it is not written. `lines` must outlive the report. `seed` repeats the run and is
+  // written with each.
   explicit Report(std::ostream* lines, std::uint64_t seed = 1) : lines_(lines), seed_(seed) {}
 
-  void add(Figure figure);
+  void add(Measurement measurement);
   // Fits a line over at[size_name] through the figures of that name; reports the line, its value at
   // the target and how well it holds. Figures that differ in anything else of `at` have lines of
   // their own. Where there are no such figures, a note says so.
   void fit(const std::string& scenario, const std::string& name, const std::string& size_name,
            double target);
-  // A sentence about the run that is no figure, such as a deviation that was seen.
+  // A sentence about the run that is no measurement, such as a deviation that was seen.
   void note(const std::string& scenario, const std::string& text);
 
   // Writes all figures, fits and notes so far as aligned tables.
   void table(std::ostream& out) const;
 
-  const std::vector<Figure>& figures() const { return figures_; }
+  const std::vector<Measurement>& measurements() const { return measurements_; }
   const std::vector<Fit>& fits() const { return fits_; }
 
  private:
@@ -79,7 +79,7 @@
 
   std::ostream* lines_;
   std::uint64_t seed_;
-  std::vector<Figure> figures_;
+  std::vector<Measurement> measurements_;
   std::vector<Fit> fits_;
   std::vector<std::string> notes_;
 };
--- a/scale/scenario.hpp
+++ b/scale/scenario.hpp
@@ -27,13 +27,13 @@
   double failures_per_day = 660;
   double config_changes_per_day = 36'000;
   // In which a configuration change is in force everywhere.
-  double in_force_s = 7;
+  double max_propagation_s = 7;
   // What control may take at a gateway: the part of a core, megabytes and bytes per second.
-  double control_core = 0.016;
+  double control_cpu_cores = 0.016;
   double control_memory_mb = 256;
   double control_bytes_per_s = 2e3;
   // Milliseconds that a gateway may add, for 99 in 100 requests.
-  double added_ms = 4.5;
+  double max_added_latency_ms = 4.5;
 };
 
 struct Options {
@@ -53,7 +53,7 @@
 
 struct Scenario {
   std::string name;
-  std::string what;
+  std::string description;
   // Bytes that it needs at these options, of all processes together. Asked before anything starts.
   std::function<std::uint64_t(const Options&)> memory;
   // Adds its figures and notes to the report. Throws std::runtime_error if it cannot go on.
--- a/scale/scenario_selection.cpp
+++ b/scale/scenario_selection.cpp
@@ -18,19 +18,18 @@
 constexpr double kMemoryFraction = 0.5;  // of the machine's, that a scenario may take
 constexpr std::uint64_t kMegabyte = 1'000'000;
 
-bool is_meant_by(const Scenario& scenario, const std::string& name) {
+bool matches(const Scenario& scenario, const std::string& name) {
   return !name.empty() && scenario.name.starts_with(name);
 }
 
-bool is_meant_by_any(const Scenario& scenario, const std::vector<std::string>& names) {
+bool matches_any(const Scenario& scenario, const std::vector<std::string>& names) {
   return std::any_of(names.begin(), names.end(),
-                     [&](const std::string& name) { return is_meant_by(scenario, name); });
+                     [&](const std::string& name) { return matches(scenario, name); });
 }
 
 void check_name(const std::vector<Scenario>& scenarios, const std::string& name) {
-  const bool known = std::any_of(scenarios.begin(), scenarios.end(), [&](const Scenario& scenario) {
-    return is_meant_by(scenario, name);
-  });
+  const bool known = std::any_of(scenarios.begin(), scenarios.end(),
+                                 [&](const Scenario& scenario) { return matches(scenario, name); });
   if (!known) {
     throw UsageError("unknown scenario '" + name + "'; 'list' tells those there are");
   }
@@ -89,7 +88,7 @@
   }
   std::vector<Scenario> selected;
   for (const Scenario& scenario : scenarios) {
-    if (is_meant_by_any(scenario, names)) {
+    if (matches_any(scenario, names)) {
       selected.push_back(scenario);
     }
   }
--- a/scale/simulated_fleet.cpp
+++ b/scale/simulated_fleet.cpp
@@ -52,7 +52,7 @@
   for (const auto& gateway : gateways_) {
     const ListProgress& progress = gateway->list_progress();
     if (progress.revision() >= revision) {
-      delays.push_back(double(progress.in_force_at() - since));
+      delays.push_back(double(progress.applied_at() - since));
     }
   }
 }
--- a/scale/simulated_gateway.cpp
+++ b/scale/simulated_gateway.cpp
@@ -98,7 +98,7 @@
   progress_.on_entries(update.entries);
   is_applying_lists_ = !endpoint_table_.is_idle();
   if (update.entries.empty()) {
-    check_lists_in_force();
+    check_lists_applied();
   } else {
     push(std::move(update));
   }
@@ -107,9 +107,9 @@
   }
 }
 
-void SimulatedGateway::check_lists_in_force() {
+void SimulatedGateway::check_lists_applied() {
   if (!is_applying_lists_) {
-    progress_.on_lists_in_force(endpoint_table_.up_count(), steady_now());
+    progress_.on_lists_applied(endpoint_table_.up_count(), steady_now());
   }
 }
 
@@ -172,7 +172,7 @@
   const Micros cpu_time_before = thread_cpu_time();
   module_.handle(clock_.now(), events, actions);
   totals_.module_cpu_time += thread_cpu_time() - cpu_time_before;
-  check_lists_in_force();
+  check_lists_applied();
   for (const Action& action : actions) {
     std::visit([&](const auto& alternative) { perform(alternative); }, action);
   }
--- a/scale/simulated_gateway.hpp
+++ b/scale/simulated_gateway.hpp
@@ -50,7 +50,7 @@
   void use_persisted_list();
   void on_list(net::EndpointList list, EndpointListUpdate::Kind kind);
   void apply_next_slice(EndpointListUpdate::Kind kind);
-  void check_lists_in_force();
+  void check_lists_applied();
 
   void on_request_due();
   void end_attempt(const std::string& id, int attempt, const std::string& server, Outcome outcome,
--- a/scale/test_fleet.cpp
+++ b/scale/test_fleet.cpp
@@ -35,8 +35,8 @@
   }
 }
 
-bool changes_server(const Disturbance& disturbance) {
-  return disturbance.cause != Cause::kRegion && disturbance.cause != Cause::kConfiguration;
+bool changes_server(const Disruption& disruption) {
+  return disruption.cause != Cause::kRegion && disruption.cause != Cause::kConfiguration;
 }
 
 net::ListedEndpoint make_endpoint(const ListedServer& server) {
@@ -127,7 +127,7 @@
   return selected;
 }
 
-std::size_t TestFleet::replay(const std::vector<Disturbance>& day, Micros length,
+std::size_t TestFleet::replay(const std::vector<Disruption>& day, Micros length,
                               std::optional<Micros> step) {
   const auto started_at = std::chrono::steady_clock::now();
   std::size_t changes = 0;
--- a/scale/test_fleet.hpp
+++ b/scale/test_fleet.hpp
@@ -10,7 +10,7 @@
 #include <optional>
 #include <vector>
 
-#include "day.hpp"
+#include "disruptions.hpp"
 #include "event_loop_thread.hpp"
 #include "fake_counter.hpp"
 #include "fake_discovery.hpp"
@@ -70,7 +70,7 @@
   // Publishes what happens to servers in the first `length` microseconds of the day, each change at
   // its own time. With a step, all that falls into one step is one change at the step's end.
   // Returns how many servers changed.
-  std::size_t replay(const std::vector<Disturbance>& day, Micros length,
+  std::size_t replay(const std::vector<Disruption>& day, Micros length,
                      std::optional<Micros> step = std::nullopt);
   // Calls expect() and waits until all gateways have converged; false if they have not in time.
   bool wait_until_converged(Micros timeout);
--- a/tests/scale/day_test.cpp
+++ b/tests/scale/disruptions_test.cpp
@@ -1,5 +1,5 @@
 // The day that is drawn, and where servers are.
-#include "day.hpp"
+#include "disruptions.hpp"
 
 #include <gtest/gtest.h>
 
@@ -20,70 +20,70 @@
   return std::abs(double(count) - mean) < 5 * std::sqrt(mean);
 }
 
-bool changes_server(const Disturbance& disturbance) {
-  return disturbance.cause != Cause::kRegion && disturbance.cause != Cause::kConfiguration;
+bool changes_server(const Disruption& disruption) {
+  return disruption.cause != Cause::kRegion && disruption.cause != Cause::kConfiguration;
 }
 
 // What a server's change must follow.
-Change change_before(const Disturbance& disturbance) {
-  if (disturbance.change == Change::kUp) {
-    return Change::kGone;
+Change change_before(const Disruption& disruption) {
+  if (disruption.change == Change::kUp) {
+    return Change::kDown;
   }
-  if (disturbance.change == Change::kGone && disturbance.cause == Cause::kRestart) {
+  if (disruption.change == Change::kDown && disruption.cause == Cause::kRestart) {
     return Change::kDraining;
   }
   return Change::kUp;
 }
 
-TEST(DayTest, HasTheTargetsCountsInOrder) {
+TEST(DisruptionsTest, HasTheTargetsCountsInOrder) {
   const Target target;
   const Layout layout = Layout::with_zones_of(target, target.servers, target.gateways);
-  const auto day = draw_day(layout, {.seed = 3});
+  const auto day = draw_disruptions(layout, {.seed = 3});
   ASSERT_TRUE(std::is_sorted(
       day.begin(), day.end(),
-      [](const Disturbance& left, const Disturbance& right) { return left.at < right.at; }));
+      [](const Disruption& left, const Disruption& right) { return left.at < right.at; }));
   std::map<std::pair<Cause, Change>, std::size_t> counts;
-  for (const Disturbance& disturbance : day) {
-    ++counts[{disturbance.cause, disturbance.change}];
+  for (const Disruption& disruption : day) {
+    ++counts[{disruption.cause, disruption.change}];
   }
   const std::size_t restarts = counts[{Cause::kRestart, Change::kDraining}];
   EXPECT_TRUE(fits_mean(restarts, target.restarts_per_day));
-  EXPECT_EQ((counts[{Cause::kRestart, Change::kGone}]), restarts);
+  EXPECT_EQ((counts[{Cause::kRestart, Change::kDown}]), restarts);
   EXPECT_EQ((counts[{Cause::kRestart, Change::kUp}]), restarts);
   EXPECT_TRUE(fits_mean(counts[{Cause::kConfiguration, Change::kSettingsChanged}],
                         target.config_changes_per_day));
   // Machines hold several servers each, of which some may be away already.
-  const std::size_t lost_with_machine = counts[{Cause::kMachine, Change::kGone}];
+  const std::size_t lost_with_machine = counts[{Cause::kMachine, Change::kDown}];
   EXPECT_TRUE(fits_mean(lost_with_machine / kServersPerMachine, target.failures_per_day))
       << lost_with_machine;
   EXPECT_EQ(lost_with_machine, (counts[{Cause::kMachine, Change::kUp}]));
 }
 
-TEST(DayTest, DependsOnTheSeedAndScalesWithServersAndCompression) {
+TEST(DisruptionsTest, DependsOnTheSeedAndScalesWithServersAndCompression) {
   const Layout layout = Layout::with_zones_of(Target{}, 17'000, 740);
-  const auto day = draw_day(layout, {.seed = 3, .compression = 60});
-  EXPECT_EQ(day, draw_day(layout, {.seed = 3, .compression = 60}));
-  EXPECT_NE(day, draw_day(layout, {.seed = 4, .compression = 60}));
-  const auto restarts = std::count_if(day.begin(), day.end(), [](const Disturbance& disturbance) {
-    return disturbance.cause == Cause::kRestart && disturbance.change == Change::kUp;
+  const auto day = draw_disruptions(layout, {.seed = 3, .compression = 60});
+  EXPECT_EQ(day, draw_disruptions(layout, {.seed = 3, .compression = 60}));
+  EXPECT_NE(day, draw_disruptions(layout, {.seed = 4, .compression = 60}));
+  const auto restarts = std::count_if(day.begin(), day.end(), [](const Disruption& disruption) {
+    return disruption.cause == Cause::kRestart && disruption.change == Change::kUp;
   });
   // A tenth of the servers, all day long.
   EXPECT_NEAR(double(restarts), 1400, 5 * std::sqrt(1400.0));
   EXPECT_LT(day.back().at, Micros(30 * 3600e6 / 60));
 }
 
-TEST(DayTest, EachServersChangesFitTogether) {
+TEST(DisruptionsTest, EachServersChangesFitTogether) {
   const Layout layout = Layout::with_zones_of(Target{}, 2'000, 20);
   // Many times the target's rates, so that causes meet.
-  const auto day = draw_day(layout, {.seed = 5, .target_rate_fraction = 1});
+  const auto day = draw_disruptions(layout, {.seed = 5, .target_rate_fraction = 1});
   std::vector<Change> last_changes(layout.servers, Change::kUp);
-  for (const Disturbance& disturbance : day) {
-    if (!changes_server(disturbance)) {
+  for (const Disruption& disruption : day) {
+    if (!changes_server(disruption)) {
       continue;
     }
-    Change& last_change = last_changes.at(disturbance.subject);
-    EXPECT_EQ(last_change, change_before(disturbance));
-    last_change = disturbance.change;
+    Change& last_change = last_changes.at(disruption.subject);
+    EXPECT_EQ(last_change, change_before(disruption));
+    last_change = disruption.change;
   }
   EXPECT_TRUE(std::all_of(last_changes.begin(), last_changes.end(),
                           [](Change change) { return change == Change::kUp; }));
--- a/tests/scale/fake_counter_test.cpp
+++ b/tests/scale/fake_counter_test.cpp
@@ -73,11 +73,11 @@
   EXPECT_DOUBLE_EQ(add(9, 2.5).total, 2.5);
   EXPECT_DOUBLE_EQ(add(9, -1).total, 1.5);
   EXPECT_DOUBLE_EQ(add(8, 1e9).total, 1e9);
-  EXPECT_EQ(counter->counts().names, 2U);
+  EXPECT_EQ(counter->counts().keys, 2U);
   EXPECT_DOUBLE_EQ(add(7, 1, kShortLifetime).total, 1);
   ASSERT_TRUE(run_until(
-      io, [&] { return add(7, 1, kShortLifetime).total == 1 && counter->counts().names >= 3; }));
-  ASSERT_TRUE(run_until(io, [&] { return counter->counts().names == 0; }));
+      io, [&] { return add(7, 1, kShortLifetime).total == 1 && counter->counts().keys >= 3; }));
+  ASSERT_TRUE(run_until(io, [&] { return counter->counts().keys == 0; }));
 }
 
 TEST_F(FakeCounterTest, RejectsPastItsRateAndUntilItAcceptsCalls) {
--- a/tests/scale/fake_discovery_test.cpp
+++ b/tests/scale/fake_discovery_test.cpp
@@ -91,7 +91,7 @@
 }
 
 TEST_F(FakeDiscoveryTest, WatchGetsOnePartialListWhileHistoryReachesBack) {
-  start_discovery({.history = 3});
+  start_discovery({.max_history_entries = 3});
   discovery->publish({listed(1, Phase::kDraining)});
   discovery->publish({listed(1, Phase::kRemoved), listed(2, Phase::kDraining)});
   watch(41);
--- a/tests/scale/list_progress_test.cpp
+++ b/tests/scale/list_progress_test.cpp
@@ -29,7 +29,7 @@
              Micros now) {
     progress.on_list_received(revision);
     progress.on_entries(entries);
-    progress.on_lists_in_force(up_count, now);
+    progress.on_lists_applied(up_count, now);
   }
 
   ListProgress progress{2, kStart};
@@ -47,7 +47,7 @@
   EXPECT_FALSE(progress.has_had_list());
   apply(6, {entry(0, EndpointState::kUp)}, 1, kStart + 30);
   EXPECT_EQ(progress.time_to_first_list(), 30);
-  EXPECT_EQ(progress.in_force_at(), kStart + 30);
+  EXPECT_EQ(progress.applied_at(), kStart + 30);
   EXPECT_FALSE(progress.lost_list());
 }
 
--- a/tests/scale/report_test.cpp
+++ b/tests/scale/report_test.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-Figure figure(double servers, double value, double gateways = 300) {
+Measurement measurement(double servers, double value, double gateways = 300) {
   return {"module.list", "list", {{"servers", servers}, {"gateways", gateways}}, value, "ms"};
 }
 
@@ -54,7 +54,7 @@
 TEST(Report, EachFigureIsAJsonLineAtOnceWithTheSeed) {
   std::ostringstream lines;
   Report report(&lines, 42);
-  report.add(figure(200, 1.5));
+  report.add(measurement(200, 1.5));
   const auto out = parsed(lines.str());
   ASSERT_EQ(out.size(), 1U);
   EXPECT_EQ(
@@ -67,8 +67,8 @@
   std::ostringstream lines;
   Report report(&lines);
   for (double n : {200, 2'000, 20'000}) {
-    report.add(figure(n, n, 300));
-    report.add(figure(n, 2 * n, 7'400));
+    report.add(measurement(n, n, 300));
+    report.add(measurement(n, 2 * n, 7'400));
   }
   report.add({"module.list", "other", {{"servers", 9}}, 1e9, "ms"});
   report.add({"another", "list", {{"servers", 9}}, 1e9, "ms"});
@@ -90,13 +90,13 @@
   Report report(&lines);
   report.fit("module.list", "list", "servers", 170'000);
   EXPECT_TRUE(report.fits().empty());
-  EXPECT_NE(lines.str().find("no figures to fit"), std::string::npos);
+  EXPECT_NE(lines.str().find("no measurements to fit"), std::string::npos);
 }
 
 TEST(Report, TheTableIsAlignedAndHoldsFiguresFitsAndNotes) {
   Report report(nullptr);
-  report.add(figure(200, 1.5));
-  report.add(figure(20'000, 150));
+  report.add(measurement(200, 1.5));
+  report.add(measurement(20'000, 150));
   report.fit("module.list", "list", "servers", 170'000);
   report.note("module.list", "a deviation that was seen");
   std::ostringstream table;
@@ -117,9 +117,9 @@
 
 TEST(Report, NumbersOfTheTableHaveNoExponentFrom1On) {
   Report report(nullptr);
-  report.add(figure(200, 123'456.7));
-  report.add(figure(200, 0.000'012'34));
-  report.add(figure(200, 12.345'6));
+  report.add(measurement(200, 123'456.7));
+  report.add(measurement(200, 0.000'012'34));
+  report.add(measurement(200, 12.345'6));
   std::ostringstream table;
   report.table(table);
   EXPECT_NE(table.str().find(" 123457 "), std::string::npos) << table.str();
--- a/tests/scale/simulated_fleet_test.cpp
+++ b/tests/scale/simulated_fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 
 #include "clocks.hpp"
-#include "day.hpp"
+#include "disruptions.hpp"
 #include "event_loop_thread.hpp"
 #include "fake_counter.hpp"
 #include "fake_discovery.hpp"
@@ -62,7 +62,7 @@
   const auto revision = agent_thread.run([&] { return agent.publish({removed}); });
   fleet.expect(agent_thread.run([&] { return agent.servers(); }));
   ASSERT_TRUE(fleet.wait_until(
-      [&](const FleetState& state) { return state.least_revision >= revision; }, kTimeout));
+      [&](const FleetState& state) { return state.min_revision >= revision; }, kTimeout));
   EXPECT_EQ(fleet.state().converged, kGateways);
   const auto delays = fleet.delays(revision, since);
   ASSERT_EQ(delays.size(), kGateways);
@@ -91,7 +91,7 @@
   start_and_converge(fleet);
   // All started with the list.
   EXPECT_EQ(fleet.usage().discovery.full_lists, 0U);
-  const auto day = draw_day(
+  const auto day = draw_disruptions(
       fleet.layout(), {.seed = 2, .hours = 1, .compression = 3'600, .target_rate_fraction = 1});
   constexpr std::size_t kCutAgent = 1;
   for (const bool has_history : {true, false}) {
@@ -101,7 +101,7 @@
     const auto revision =
         fleet.with_agent(0, [](FakeDiscovery& agent) { return agent.revision(); });
     // Of the gateways that are cut off.
-    EXPECT_LT(fleet.fleet().state().least_revision, revision);
+    EXPECT_LT(fleet.fleet().state().min_revision, revision);
     fleet.with_agent(kCutAgent, [has_history](FakeDiscovery& agent) {
       if (!has_history) {
         agent.forget_history();
@@ -109,7 +109,7 @@
       agent.set_silent(false);
     });
     EXPECT_TRUE(fleet.fleet().wait_until(
-        [revision](const FleetState& state) { return state.least_revision >= revision; },
+        [revision](const FleetState& state) { return state.min_revision >= revision; },
         kConvergenceTimeout));
     EXPECT_TRUE(fleet.wait_until_converged(kConvergenceTimeout));
     EXPECT_EQ(fleet.usage().since(before).discovery.full_lists, has_history ? 0U : 4U);
