--- a/src/net/counter/counter_backoff.cpp
+++ b/src/net/counter/counter_backoff.cpp
@@ -5,21 +5,21 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Micros kMinWait = 50'000;   // us
+constexpr Micros kMinWait = 50'000;   // us; the first wait after the initial zero
 constexpr Micros kMaxWait = 500'000;  // us
 
 }  // namespace
 
-// Spread by the clock over 3/4 to 5/4 of the wait, so that gateways that lost the counter together
-// do not return together.
+// Jitter derived from the clock spreads the wait over 3/4 to 5/4 of its base, so that gateways that
+// lost the counter at the same time do not reconnect at the same time.
 Micros CounterBackoff::next(Micros now) {
-  const Micros spread = wait_ > 0 ? now % (wait_ / 2) : 0;
-  const Micros drawn = wait_ * 3 / 4 + spread;
+  const Micros jitter = wait_ > 0 ? now % (wait_ / 2) : 0;
+  const Micros jittered_wait = wait_ * 3 / 4 + jitter;
   wait_ = std::clamp(2 * wait_, kMinWait, kMaxWait);
-  return drawn;
+  return jittered_wait;
 }
 
-void CounterBackoff::set_longest() {
+void CounterBackoff::use_max_wait() {
   wait_ = kMaxWait;
 }
 
--- a/src/net/counter/counter_backoff.hpp
+++ b/src/net/counter/counter_backoff.hpp
@@ -1,22 +1,26 @@
-// How long CounterClient waits before it connects again. No clock, no random numbers.
+// Computes how long CounterClient waits before it reconnects. Reads no clock and uses no random
+// numbers.
 #pragma once
 
 #include "quota_gateway/gateway.hpp"
 
 namespace quota_gateway::net {
 
-// The first wait is zero; further ones grow up to half a second.
+// Exponential backoff with jitter. The first wait is zero; later waits double from 50 ms up to
+// 500 ms, before jitter.
 class CounterBackoff {
  public:
-  // The wait before the next attempt to connect, us. Each call lengthens the next wait.
+  // Returns the wait before the next attempt to connect, in microseconds, and increases the wait
+  // after that.
   Micros next(Micros now);
-  // The counter has responded.
+  // Makes the next wait zero. Called when the counter has responded.
   void reset() { wait_ = 0; }
-  // The counter may still hold a connection that we gave up: the next wait is the longest.
-  void set_longest();
+  // Makes the next wait the maximum. Called when the counter may still hold a connection that the
+  // client has closed.
+  void use_max_wait();
 
  private:
-  Micros wait_ = 0;
+  Micros wait_ = 0;  // next wait before jitter
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/counter/counter_call_queue.cpp
+++ b/src/net/counter/counter_call_queue.cpp
@@ -30,15 +30,16 @@
 }
 
 std::optional<UnansweredCall> CounterCallQueue::time_out(std::uint64_t number) {
-  const auto it = std::lower_bound(
-      calls_.begin(), calls_.end(), number,
-      [](const CounterCall& call, std::uint64_t wanted) { return call.number < wanted; });
+  const auto it = std::lower_bound(calls_.begin(), calls_.end(), number,
+                                   [](const CounterCall& call, std::uint64_t searched_number) {
+                                     return call.number < searched_number;
+                                   });
   if (it == calls_.end() || it->number != number || !it->needs_reply()) {
     return std::nullopt;
   }
   if (it->command.empty()) {
     UnansweredCall timed_out{*it, true};
-    it->answered = true;
+    it->outcome_reported = true;
     return timed_out;
   }
   UnansweredCall removed{std::move(*it), false};
@@ -53,21 +54,21 @@
     }
     write_buffer_ += call.command;
     call.command.clear();
-    call.end_offset = written_ + write_buffer_.size();
+    call.end_offset = bytes_written_ + write_buffer_.size();
   }
   return write_buffer_;
 }
 
 void CounterCallQueue::on_written(std::size_t size) {
-  written_ += size;
+  bytes_written_ += size;
   write_buffer_.clear();
 }
 
 std::vector<UnansweredCall> CounterCallQueue::end_connection() {
-  // How much of a pending write was sent is not known; all of it may have been.
-  const std::size_t possibly_sent_bytes = written_ + write_buffer_.size();
+  // It is not known how much of a write in progress was sent, so all of it counts as possibly sent.
+  const std::size_t possibly_sent_bytes = bytes_written_ + write_buffer_.size();
   write_buffer_.clear();
-  written_ = 0;
+  bytes_written_ = 0;
   std::vector<UnansweredCall> unanswered;
   for (CounterCall& call : calls_) {
     const bool possibly_sent = call.command.empty() && call.end_offset <= possibly_sent_bytes;
--- a/src/net/counter/counter_call_queue.hpp
+++ b/src/net/counter/counter_call_queue.hpp
@@ -1,5 +1,5 @@
-// The calls to the quota counter that await their reply, and the bytes of their commands. Owned by
-// CounterClient, which does the I/O; no I/O, no clock.
+// The queue of calls to the quota counter that are waiting for their replies, with the bytes of
+// their commands. Owned by CounterClient, which does the I/O; the queue reads no clock.
 #pragma once
 
 #include <cstddef>
@@ -13,71 +13,76 @@
 
 namespace quota_gateway::net {
 
+// A call to the counter: an addition, or a ping that keeps the connection open.
 struct CounterCall {
   enum class Kind { kAdd, kPing };
 
-  // Whether the owner still has to be given an outcome. Nobody waits for the reply to a ping.
-  bool needs_reply() const { return kind == Kind::kAdd && !answered; }
+  // Returns whether the outcome has yet to be reported to the owner of the client. The outcome of a
+  // ping is never reported.
+  bool needs_reply() const { return kind == Kind::kAdd && !outcome_reported; }
 
   Kind kind = Kind::kAdd;
-  // Only of kAdd.
-  std::int64_t counter_name = 0;
+  // Used for kAdd only.
+  std::int64_t counter_key = 0;
   Micros created_at = 0;
-  // Answered by our time-out; the counter's reply, which may come later, is dropped.
-  bool answered = false;
-  // Grows from call to call, over all connections. Set by CounterCallQueue.
+  // Set when the call times out after its command was handed to the socket. A later reply of the
+  // counter is then dropped.
+  bool outcome_reported = false;
+  // Increases with each call, across connections. Set by CounterCallQueue::push().
   std::uint64_t number = 0;
-  // The encoded command. Empty once handed to the socket.
+  // The encoded command. Empty after it was handed to the socket.
   std::string command;
-  // Once handed to the socket: the offset of the command's end in the connection's byte stream.
+  // End of the command in the connection's byte stream. Valid after it was handed to the socket.
   std::size_t end_offset = 0;
 };
 
-// A call that ends without the counter's reply.
+// A call that ended without a reply from the counter.
 struct UnansweredCall {
   CounterCall call;
-  // Whether the counter may have received the command.
+  // Whether the counter may have received the complete command.
   bool possibly_sent = false;
 };
 
-// In the order in which calls are sent, which is also the order of the counter's replies.
+// A FIFO queue: the counter replies to calls in the order in which they were sent.
 class CounterCallQueue {
  public:
   bool empty() const { return calls_.empty(); }
   std::size_t size() const { return calls_.size(); }
-  // None if there is no call.
+  // Returns when the oldest call was made. Empty if there is no call.
   std::optional<Micros> oldest_created_at() const;
-  // Whether a call in the queue still needs a reply.
+  // Returns whether the outcome of any call in the queue has yet to be reported.
   bool any_needs_reply() const;
 
-  // Appends a call, whose command must not be empty. Returns its number.
+  // Appends a call and returns its number. The call's command must not be empty.
   std::uint64_t push(CounterCall call);
-  // Removes the call that the counter's next reply belongs to. There must be one.
+  // Removes and returns the oldest call, to which the counter's next reply belongs. The queue must
+  // not be empty.
   CounterCall pop();
-  // Ends a call that has waited for too long. If it was never handed to the socket it is removed;
-  // else it stays in line for its reply, as one that is answered. None if the call has ended
-  // before.
+  // Ends a call that has timed out and returns it. A call whose command was not handed to the
+  // socket is removed. Any other call stays in the queue, so that a late reply is matched to it,
+  // and needs_reply() becomes false. Empty if the call has already ended.
   std::optional<UnansweredCall> time_out(std::uint64_t number);
 
-  // Whether bytes are being written.
+  // Returns whether a write is in progress.
   bool is_writing() const { return !write_buffer_.empty(); }
-  // Hands over all commands that were not handed over before. The bytes stay valid until
-  // on_written() or end_connection(). Empty: there are none. Must not be called while
-  // `is_writing()`.
+  // Returns the bytes of all commands that have not been handed to the socket yet; empty if there
+  // are none. The bytes stay valid until on_written() or end_connection(). Must not be called while
+  // a write is in progress.
   const std::string& begin_write();
-  // The write has ended after so many of the bytes.
+  // Reports that the write has ended after `size` bytes, which may be fewer than begin_write()
+  // returned.
   void on_written(std::size_t size);
 
-  // The connection has ended. Empties the queue.
+  // Reports that the connection has ended. Empties the queue and returns its calls.
   std::vector<UnansweredCall> end_connection();
 
  private:
   std::deque<CounterCall> calls_;
   std::uint64_t last_number_ = 0;
-  // Being written; empty: no write is pending.
+  // The bytes that are being written. Empty if no write is in progress.
   std::string write_buffer_;
-  // Bytes of the connection's byte stream before `write_buffer_`.
-  std::size_t written_ = 0;
+  // Number of bytes that were written to the connection before `write_buffer_`.
+  std::size_t bytes_written_ = 0;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/counter/counter_client.cpp
+++ b/src/net/counter/counter_client.cpp
@@ -20,7 +20,7 @@
 
 constexpr Micros kLivenessCheckInterval = 100'000;  // us
 constexpr std::size_t kMaxCallsInFlight = 4096;
-// Far above the size of any valid reply.
+// Valid replies are much shorter.
 constexpr std::size_t kMaxReplyBytes = 64 << 10;
 
 }  // namespace
@@ -42,8 +42,9 @@
   check_liveness();
 }
 
-// Calls in flight may have been added, and only their own connection can still say so; without
-// waiting for it, they would be lost or counted twice.
+// The counter may already have executed calls in flight, and only the current connection can
+// deliver their replies. If the connection were closed earlier, their amounts would be lost or
+// counted twice.
 void CounterClient::close_when_idle() {
   closing_ = true;
   if (state_ != State::kConnected) {
@@ -58,7 +59,7 @@
   }
 }
 
-// ---- The connection
+// Connection.
 
 void CounterClient::connect() {
   const Generation generation = ++connection_generation_;
@@ -116,11 +117,11 @@
                 });
 }
 
-// ---- Calls
+// Calls.
 
 void CounterClient::add(const AddToCounter& addition) {
   CounterCall call;
-  call.counter_name = addition.key;
+  call.counter_key = addition.key;
   call.created_at = clock_.now();
   const bool accepts_calls =
       !closing_ && state_ != State::kDisconnected && calls_.size() < kMaxCallsInFlight;
@@ -155,11 +156,11 @@
 
 void CounterClient::finish(const CounterCall& call, CounterOutcome outcome, double total) {
   if (call.needs_reply()) {
-    on_reply_({call.counter_name, total, outcome, clock_.now() - call.created_at});
+    on_reply_({call.counter_key, total, outcome, clock_.now() - call.created_at});
   }
 }
 
-// ---- Commands out, replies in
+// Writing commands and reading replies.
 
 void CounterClient::write_pending_commands() {
   if (state_ != State::kConnected || calls_.is_writing()) {
@@ -232,9 +233,9 @@
   }
 }
 
-// After a reply that belongs to no call, the amount may have been added, and whether the next reply
-// belongs to the next call can't be known. Without ending the connection there, a total could be
-// taken for that of another customer.
+// If a reply is not valid for its call, the amount may or may not have been added, and the
+// following replies may not belong to the following calls. The caller then ends the connection;
+// otherwise one customer's total could be attributed to another customer.
 bool CounterClient::dispatch(const CounterProtocolReply& reply) {
   using Kind = CounterProtocolReply::Kind;
   const CounterCall call = calls_.pop();
@@ -254,9 +255,10 @@
   }
 }
 
-// ---- Liveness
+// Liveness.
 
-// Keeps an idle connection open and detects one whose counter has vanished.
+// Pings the counter on an idle connection, and ends a connection on which the counter has stopped
+// responding.
 void CounterClient::check_liveness() {
   if (closing_ && state_ == State::kDisconnected) {
     return;
@@ -269,8 +271,9 @@
         send_ping();
         break;
       case CounterLiveness::kUnresponsive:
-        // The counter may still hold the connection that we close, and it holds at most 32.
-        backoff_.set_longest();
+        // The counter may keep holding the closed connection, and it holds at most 32 connections,
+        // so the client reconnects only after the maximum wait.
+        backoff_.use_max_wait();
         disconnect({Reason::kNoResponse});
         break;
     }
--- a/src/net/counter/counter_client.hpp
+++ b/src/net/counter/counter_client.hpp
@@ -1,9 +1,9 @@
-// The client of the quota counter: one connection over which calls are pipelined, each with a
-// time-out of ours. Reconnects by itself with a backoff that grows with each failure.
+// The client of the quota counter. It pipelines calls over one connection, limits the time of each
+// call, and reconnects automatically with a backoff that grows with each failure.
 //
-// GatewayServer owns one for as long as a counter is configured and forwards the decision module's
-// AddToCounter actions to it. All of it runs on the thread of the io_context. Pending handlers and
-// timers share ownership, so that its owner may release it while calls are in flight.
+// While a counter is configured, GatewayServer owns a client and forwards the decision module's
+// AddToCounter actions to it. The client runs on the thread of the io_context. Pending handlers and
+// timers share ownership of the client, so its owner may release it while calls are in flight.
 #pragma once
 
 #include <array>
@@ -25,29 +25,31 @@
 
 namespace quota_gateway::net {
 
+// Adds amounts to counters and reports the outcome of each addition.
 class CounterClient : public std::enable_shared_from_this<CounterClient> {
  public:
-  // May call add() and close_when_idle().
+  // Receives the outcome of each addition. It may call add() and close_when_idle().
   using ReplyHandler = std::function<void(CounterReply)>;
 
-  // `call_timeout` runs from add() to the reply, `connect_timeout` from the start of one attempt to
-  // connect, both in microseconds.
+  // `call_timeout` limits the time from add() to the reply, `connect_timeout` the time of one
+  // attempt to connect, both in microseconds.
   CounterClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
                 boost::asio::ip::tcp::endpoint address, Micros call_timeout, Micros connect_timeout,
                 ReplyHandler on_reply);
 
-  // Connects. Call it once, on an object that a shared_ptr owns.
+  // Starts connecting. Must be called once, on an object that is owned by a shared_ptr.
   void start();
-  // Adds to a counter. Exactly one reply follows, never from within this call: kOk with the new
-  // total, kNotAdded if the amount was certainly not added, else kUnknown.
+  // Adds an amount to a counter. The reply handler is called exactly once, but not from within this
+  // call, with kOk and the new total, with kNotAdded if the amount was certainly not added, or else
+  // with kUnknown.
   void add(const AddToCounter& addition);
-  // Rejects further calls and closes the connection once those in flight have their reply or timed
-  // out; never reconnects.
+  // Rejects further calls and closes the connection after all calls in flight have been answered or
+  // have timed out. The client does not reconnect after this.
   void close_when_idle();
 
  private:
   enum class State { kDisconnected, kConnecting, kConnected };
-  // Grows when a connection begins or ends. A handler of an earlier generation must do nothing.
+  // Increases when a connection begins or ends. A handler of an earlier generation must do nothing.
   using Generation = int;
 
   void connect();
@@ -60,13 +62,13 @@
   void read();
   void on_received(std::size_t size);
   void parse_replies(std::size_t received);
-  // Gives `reply` to the call that has waited longest. False: it is no reply to a call.
+  // Completes the oldest call with `reply`. Returns false if `reply` is not valid for that call.
   bool dispatch(const CounterProtocolReply& reply);
 
   void reject_call(const CounterCall& call);
   void on_call_timeout(std::uint64_t call_number);
   void finish(const UnansweredCall& unanswered);
-  // Reports the outcome of a call, unless nobody waits for it.
+  // Reports the outcome of a call unless it is a ping or was reported before.
   void finish(const CounterCall& call, CounterOutcome outcome, double total = 0);
 
   void check_liveness();
@@ -81,16 +83,16 @@
   ReplyHandler on_reply_;
 
   boost::asio::ip::tcp::socket socket_;
-  // Of the current connection.
+  // The parser of the current connection.
   std::optional<CounterReplyParser> parser_;
   std::array<char, 4096> read_buffer_;
   CounterCallQueue calls_;
 
   State state_ = State::kDisconnected;
-  // close_when_idle() was called.
+  // Whether close_when_idle() was called.
   bool closing_ = false;
   Generation connection_generation_ = 0;
-  // Or when connecting began or succeeded.
+  // Time at which bytes were last received, or at which connecting last started or succeeded.
   Micros last_received_at_ = 0;
   CounterBackoff backoff_;
   CounterOutageLog outage_log_;
--- a/src/net/counter/counter_liveness.cpp
+++ b/src/net/counter/counter_liveness.cpp
@@ -5,9 +5,9 @@
 namespace quota_gateway::net {
 namespace {
 
-// The counter closes connections that have been idle for 10 s or less.
+// The counter closes idle connections after at most 10 s.
 constexpr Micros kPingAfterIdle = 2'000'000;  // us
-// Without a response to a call in flight for this long, the connection counts as dead.
+// If no bytes arrive for this time while a call is in flight, the connection is considered dead.
 constexpr Micros kNoResponseTimeout = 1'500'000;  // us
 
 }  // namespace
--- a/src/net/counter/counter_liveness.hpp
+++ b/src/net/counter/counter_liveness.hpp
@@ -1,5 +1,5 @@
-// Decides whether the connection to the quota counter is still alive. Pure: CounterClient calls it
-// at each of its liveness checks and acts on the result.
+// Determines whether the connection to the quota counter is still alive. A pure function;
+// CounterClient calls it periodically and acts on the result.
 #pragma once
 
 #include <optional>
@@ -8,14 +8,16 @@
 
 namespace quota_gateway::net {
 
+// The state of an established connection to the counter.
 enum class CounterLiveness {
   kAlive,
-  kIdle,          // nothing is in flight, and a ping is due
-  kUnresponsive,  // a call in flight has had no response for too long
+  kIdle,          // no call is in flight, and a ping is due
+  kUnresponsive,  // a call is in flight, and no bytes have arrived for too long
 };
 
-// `oldest_call_at`: when the call that has waited longest was made; none if no call is in flight.
-// `last_received_at`: when bytes last came, or the connection was established.
+// Returns the state of the connection at the time `now`.
+// `oldest_call_at`: time at which the oldest call in flight was made; empty if none is in flight.
+// `last_received_at`: time at which bytes last arrived or the connection was established.
 CounterLiveness check_counter_liveness(Micros now, std::optional<Micros> oldest_call_at,
                                        Micros last_received_at);
 
--- a/src/net/counter/counter_outage_log.cpp
+++ b/src/net/counter/counter_outage_log.cpp
@@ -14,21 +14,21 @@
     case CounterDisconnectReason::kClosedByOwner:
       return "closed";
     case CounterDisconnectReason::kConnectTimeout:
-      return "connecting timed out";
+      return "connecting to the counter timed out";
     case CounterDisconnectReason::kSocketError:
       return cause.error.message();
     case CounterDisconnectReason::kReplyParserFailed:
-      return "reply parser failed";
+      return "the reply parser failed";
     case CounterDisconnectReason::kMalformedReply:
-      return "malformed reply";
+      return "the counter sent a malformed reply";
     case CounterDisconnectReason::kReplyWithoutCall:
-      return "a reply without a call";
+      return "the counter sent a reply without a pending call";
     case CounterDisconnectReason::kReplyWithoutTotal:
-      return "a reply without a total";
+      return "the counter sent a reply that does not match its call";
     case CounterDisconnectReason::kOversizedReply:
-      return "oversized reply";
+      return "the counter sent an oversized reply";
     case CounterDisconnectReason::kNoResponse:
-      return "no response";
+      return "the counter did not respond to a pending call in time";
   }
   return "unknown reason";
 }
@@ -38,7 +38,7 @@
     disconnected_since_ = now;
   }
   if (log_limit_.try_log(now)) {
-    std::cerr << "counter: " << describe(cause) << '\n';
+    std::cerr << "counter: no connection, retrying: " << describe(cause) << '\n';
   }
 }
 
--- a/src/net/counter/counter_outage_log.hpp
+++ b/src/net/counter/counter_outage_log.hpp
@@ -1,4 +1,5 @@
-// Why the connection to the quota counter ended, and the log lines about it. Used by CounterClient.
+// The reasons for which a connection to the quota counter ends, and the log of outages of the
+// counter. Used by CounterClient.
 #pragma once
 
 #include <boost/system/error_code.hpp>
@@ -10,6 +11,7 @@
 
 namespace quota_gateway::net {
 
+// Why a connection ended, or why an attempt to connect failed.
 enum class CounterDisconnectReason {
   kClosedByOwner,
   kConnectTimeout,
@@ -22,27 +24,28 @@
   kNoResponse,
 };
 
+// The end of a connection or a failed attempt to connect.
 struct CounterDisconnect {
   CounterDisconnectReason reason = CounterDisconnectReason::kClosedByOwner;
-  // Only of kSocketError.
+  // Used for kSocketError only.
   boost::system::error_code error = {};
 };
 
-// For the log.
+// Returns a description of the cause for the log.
 std::string describe(const CounterDisconnect& cause);
 
-// Writes the begin and the end of each time without the counter to the log, so that an incident can
-// be dated.
+// Logs the beginning and the end of each outage of the counter, so that operators can determine
+// when an incident took place.
 class CounterOutageLog {
  public:
-  // An attempt to connect has failed, or the connection has ended. A line is written at most every
-  // 10 s.
+  // Reports a failed attempt to connect or the end of a connection. Logs at most one line in 10 s.
   void on_disconnected(const CounterDisconnect& cause, Micros now);
+  // Reports an established connection. Logs the duration of the outage, if there was one.
   void on_connected(Micros now);
 
  private:
   LogRateLimit log_limit_;
-  // None: it is connected, or has not failed to yet.
+  // Start of the current outage. Empty while connected and before the first failure.
   std::optional<Micros> disconnected_since_;
 };
 
--- a/src/net/counter/counter_protocol.cpp
+++ b/src/net/counter/counter_protocol.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr Micros kMicrosPerMillisecond = 1000;
-constexpr Micros kMinLifetimeMs = 1;
-constexpr Micros kMaxLifetimeMs = 60'000;
-// The longest finite double in fixed notation has 309 digits before its point or 343 characters
-// behind it.
+constexpr Micros kMinTimeToLiveMs = 1;
+constexpr Micros kMaxTimeToLiveMs = 60'000;
+// In fixed notation, a finite double has at most 309 digits before the decimal point or at most 343
+// characters after it.
 constexpr std::size_t kMaxDecimalSize = 400;
 
 std::string encode_command(std::initializer_list<std::string_view> words) {
@@ -57,7 +57,8 @@
   return total;
 }
 
-bool says_rejected(std::string_view error) {
+// Returns whether the counter's error reply states that nothing was added.
+bool is_rejected_call(std::string_view error) {
   return error.substr(0, 4) == "BUSY" || error.substr(0, 3) == "ERR";
 }
 
@@ -67,7 +68,7 @@
   if (reply.type == REDIS_REPLY_STATUS) {
     return {Kind::kStatus, 0};
   }
-  if (reply.type == REDIS_REPLY_ERROR && says_rejected(text)) {
+  if (reply.type == REDIS_REPLY_ERROR && is_rejected_call(text)) {
     return {Kind::kRejected, 0};
   }
   if (reply.type == REDIS_REPLY_STRING) {
@@ -81,10 +82,10 @@
 }  // namespace
 
 std::string encode_add_command(const AddToCounter& addition) {
-  const Micros lifetime_ms = std::clamp<Micros>(addition.time_to_live / kMicrosPerMillisecond,
-                                                kMinLifetimeMs, kMaxLifetimeMs);
+  const Micros time_to_live_ms = std::clamp<Micros>(addition.time_to_live / kMicrosPerMillisecond,
+                                                    kMinTimeToLiveMs, kMaxTimeToLiveMs);
   return encode_command({"CNT.ADD", std::to_string(addition.key), to_decimal(addition.amount),
-                         std::to_string(lifetime_ms)});
+                         std::to_string(time_to_live_ms)});
 }
 
 std::string encode_ping_command() {
@@ -95,8 +96,8 @@
   if (!reader_) {
     throw std::bad_alloc();
   }
-  // Without this, a reply that claims to be a list of billions would have the reader allocate it.
-  // No call has a list for a reply.
+  // Rejects array replies, which are not valid for any call. The default function would allocate an
+  // array of the stated size, which can be billions of elements.
   reply_functions_ = *reader_->fn;
   reply_functions_.createArray = [](const redisReadTask*, int) -> void* { return nullptr; };
   reader_->fn = &reply_functions_;
--- a/src/net/counter/counter_protocol.hpp
+++ b/src/net/counter/counter_protocol.hpp
@@ -1,5 +1,5 @@
-// What passes between CounterClient and the quota counter: commands to it and the replies that it
-// sends, in the Redis protocol. Knows nothing of connections or of which call a reply answers.
+// Encodes commands to the quota counter and parses its replies, in the Redis protocol. Connections,
+// and the matching of replies to calls, are handled by CounterClient.
 #pragma once
 
 #include <hiredis/read.h>
@@ -14,42 +14,44 @@
 
 namespace quota_gateway::net {
 
-// The bytes of a CNT.ADD command. The counter forgets the key after `time_to_live`, at least 1 ms
-// and at most 60 s. `amount` must be finite.
+// Encodes a CNT.ADD command. The counter deletes the key after `time_to_live`, which is clamped to
+// 1 ms to 60 s. `amount` must be finite.
 std::string encode_add_command(const AddToCounter& addition);
+// Encodes a PING command.
 std::string encode_ping_command();
 
-// One complete reply of the counter.
+// A complete reply of the counter.
 struct CounterProtocolReply {
   enum class Kind {
-    kTotal,     // the amount was added; `total` is what the counter then held
+    kTotal,     // the amount was added; `total` is the resulting total
     kRejected,  // BUSY or ERR: nothing was added
-    kStatus,    // such as the reply to PING
-    kOther,     // well-formed, but not a reply that a call may have
+    kStatus,    // a status reply, such as the reply to PING
+    kOther,     // well-formed, but not valid for any call
   };
   Kind kind = Kind::kOther;
-  double total = 0;  // finite; only of kTotal
+  double total = 0;  // finite; used for kTotal only
 };
 
-// Splits the byte stream of one connection into replies. Each connection needs a parser of its own.
+// Splits the byte stream of a connection into replies. Each connection needs its own parser.
 class CounterReplyParser {
  public:
   enum class Status { kReply, kNeedMoreBytes, kMalformed };
   struct Result {
     Status status = Status::kNeedMoreBytes;
-    CounterProtocolReply reply;  // only of kReply
+    CounterProtocolReply reply;  // used for kReply only
   };
 
-  // Throws std::bad_alloc.
+  // Throws std::bad_alloc if the parser cannot be allocated.
   CounterReplyParser();
   CounterReplyParser(const CounterReplyParser&) = delete;
   CounterReplyParser& operator=(const CounterReplyParser&) = delete;
 
-  // Appends received bytes. False: the parser failed and can't be used any more.
+  // Appends received bytes. Returns false if the parser has failed and cannot be used any more.
   bool feed(std::string_view bytes);
-  // Takes the next complete reply. After kMalformed the parser can't be used any more.
+  // Extracts the next complete reply. After kMalformed, the parser cannot be used any more.
   Result next();
-  // Bytes of a reply that is not complete yet.
+  // Returns the number of bytes that have not been parsed yet, such as those of an incomplete
+  // reply.
   std::size_t buffered_bytes() const { return reader_->len - reader_->pos; }
 
  private:
--- a/src/net/upstream/attempt.hpp
+++ b/src/net/upstream/attempt.hpp
@@ -1,5 +1,5 @@
-// One attempt to have a server run a request: its key, its result and the events that report its
-// progress. ConnectionPool produces them, the request dispatcher consumes them.
+// The key, the result and the progress events of one attempt to run a request on a server.
+// ConnectionPool emits the events, and the request dispatcher handles them.
 #pragma once
 
 #include <cstddef>
@@ -12,49 +12,51 @@
 
 namespace quota_gateway::net {
 
-// Identifies an attempt: the request's number and the attempt's number within the request.
+// Identifies an attempt by the request's number and the attempt's number within the request.
 struct AttemptKey {
   std::uint64_t request = 0;
   int attempt = 0;
   bool operator==(const AttemptKey&) const = default;
 };
 
+// Hash for unordered containers that are keyed by attempt.
 struct AttemptKeyHash {
   std::size_t operator()(const AttemptKey& key) const {
     return std::size_t(key.request * 8 + unsigned(key.attempt));
   }
 };
 
-// How an attempt ended, and what the server stated in its response.
+// The outcome of an attempt and the values that the server sent in its response.
 struct AttemptResult {
   Outcome outcome = Outcome::kReset;
   LoadReport load;
-  // For kOk: the complete body, or what has arrived of it so far.
+  // For kOk: the complete response body, or, if the response is delivered in pieces, the received
+  // part that was not delivered before.
   std::string body;
-  // For kOk: the request's true units, where the server stated them.
+  // For kOk: the units that the server billed for the request, if the response states them.
   std::optional<double> billed_units;
-  // When the response's first byte arrived, if one did.
+  // The time at which the first byte of the response arrived. Empty if none arrived.
   std::optional<Micros> first_byte_at;
-  // Percent of its quota that the customer has used, where the server stated it.
+  // Percentage of its quota that the customer has used, if the response states it.
   std::optional<int> quota_usage_percent;
 };
 
-// Callbacks about attempts. All but `on_request_written` are never called from within a call to
-// ConnectionPool.
+// Callbacks that report the progress of attempts. Only `on_request_written` may be called from
+// within a call to ConnectionPool; all others are called from the event loop.
 struct AttemptEvents {
-  // The attempt is complete; nothing more follows.
+  // The attempt has ended. No further event for it follows.
   std::function<void(AttemptKey, AttemptResult)> on_complete;
-  // The request's last byte was written.
+  // The last byte of the request was written to the socket.
   std::function<void(AttemptKey)> on_request_written = [](AttemptKey) {};
-  // What there was of the request's body was written; more of it is awaited, see
-  // ConnectionPool::send_body_piece().
+  // All available parts of the request's body were written, and the body is not complete yet. The
+  // receiver passes the next piece to ConnectionPool::send_body_piece().
   std::function<void(AttemptKey)> on_body_piece_needed = [](AttemptKey) {};
-  // A long response has begun; the last argument is its length in bytes, where that is known. Its
-  // pieces follow one by one, each requested by resume(), and at last `on_complete`: kOk if it was
-  // complete.
+  // The response is too long to be buffered, and its first part has arrived. The last argument is
+  // the body's length in bytes, if known. The remaining pieces follow one at a time, each after a
+  // call of ConnectionPool::resume(). `on_complete` ends the response, with kOk if it is complete.
   std::function<void(AttemptKey, AttemptResult, std::optional<std::uint64_t>)> on_response_started =
       [](AttemptKey, const AttemptResult&, std::optional<std::uint64_t>) {};
-  // The next piece of a long response.
+  // The next piece of a response that is delivered in pieces.
   std::function<void(AttemptKey, std::string)> on_response_piece = [](AttemptKey,
                                                                       const std::string&) {};
 };
--- a/src/net/upstream/attempt_runner.cpp
+++ b/src/net/upstream/attempt_runner.cpp
@@ -48,7 +48,9 @@
   attempts_.emplace(key, connection);
 }
 
-// Writes a small request at once: then it is certain whether its last byte was written.
+// Tries to write the complete request in one non-blocking call. If this call writes everything or
+// fails, it is certain whether the last byte was written. Otherwise the remaining bytes are written
+// asynchronously.
 void AttemptRunner::start(const ConnectionPtr& connection) {
   connection->state = State::kWriting;
   connection->begin_response();
@@ -60,7 +62,7 @@
     const AttemptKey key = connection->attempt;
     attempts_.erase(key);
     connection_events_.on_released(connection, ConnectionCondition::kBroken);
-    // The request's last byte was never written.
+    // The last byte of the request was not written, so the server has not run the request.
     return fail_unassigned(key, Outcome::kConnectFailed);
   } else {
     write_remaining(connection, size);
@@ -130,15 +132,16 @@
   }
 }
 
-// Fails the attempt if the server reads nothing of a long body.
+// Fails the attempt if the server does not read the current piece of a long body within
+// kStreamStallTimeout.
 void AttemptRunner::watch_body_write(const ConnectionPtr& connection) {
   const AttemptKey key = connection->attempt;
-  const std::uint64_t write = ++connection->watched_writes;
+  const std::uint64_t write_number = ++connection->watched_writes;
   const std::weak_ptr<UpstreamConnection> weak = connection;
-  timers_.after(kStreamStallTimeout, [this, key, write, weak] {
+  timers_.after(kStreamStallTimeout, [this, key, write_number, weak] {
     const ConnectionPtr connection = weak.lock();
     if (connection && connection->state == State::kWriting && connection->attempt == key &&
-        connection->write_pending && connection->watched_writes == write) {
+        connection->write_pending && connection->watched_writes == write_number) {
       fail(connection, Outcome::kConnectFailed);
     }
   });
@@ -167,8 +170,8 @@
   if (!connection->write_pending) {
     return fail(connection, Outcome::kConnectFailed);
   }
-  // The last byte may have been written with only the notification of it outstanding. The write's
-  // handler, which runs next, decides.
+  // The last byte may already have been written although the write's handler has not run yet. The
+  // cancellation makes the handler run next; it determines the outcome.
   connection->broke_while_writing = true;
   error_code ignored;
   connection->socket.cancel(ignored);
--- a/src/net/upstream/attempt_runner.hpp
+++ b/src/net/upstream/attempt_runner.hpp
@@ -1,7 +1,7 @@
-// Runs attempts on connections: writes the request, has ResponseReader read the response, fails
-// what has stopped making progress, and reports it all as AttemptEvents. Owned by ConnectionPool,
-// which opens the connections, hands each over with start() and takes it back in
-// ConnectionEvents::on_released.
+// Runs attempts on connections: writes the request, reads the response with ResponseReader, fails
+// attempts that make no progress, and reports events through AttemptEvents. Owned by
+// ConnectionPool, which opens the connections, assigns an attempt to each with assign() and gets
+// the connection back in ConnectionEvents::on_released.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,15 +19,17 @@
 
 namespace quota_gateway::net {
 
-// Callbacks to the owner of the connections; both may come from within a call to AttemptRunner.
+// Callbacks to the owner of the connections. Both may be called from within a call to
+// AttemptRunner.
 struct ConnectionEvents {
-  // The attempt is over and the connection is the owner's again, to be kept idle or closed. Runs
-  // before AttemptEvents::on_complete.
+  // The attempt has ended, and the owner may keep the connection idle or close it. Called before
+  // AttemptEvents::on_complete.
   std::function<void(const UpstreamConnectionPtr&, ConnectionCondition)> on_released;
-  // The server has closed an idle connection, or has sent a response to no request.
+  // The server has closed an idle connection, or has sent bytes on it without a request.
   std::function<void(const UpstreamConnectionPtr&)> on_idle_readable;
 };
 
+// Runs all attempts of one ConnectionPool, at most one at a time on each connection.
 class AttemptRunner {
  public:
   AttemptRunner(boost::asio::io_context& io, Timers& timers, const Clock& clock,
@@ -35,18 +37,19 @@
   AttemptRunner(const AttemptRunner&) = delete;
   AttemptRunner& operator=(const AttemptRunner&) = delete;
 
-  // Assigns an attempt to a connection that carries no other. The connection may still be
-  // connecting. `deadline` is an instant of the clock; the server is told the time left.
+  // Assigns an attempt to a connection that has none. The connection may still be connecting.
+  // `deadline` is an absolute time of the clock; the request tells the server how much time is
+  // left until then.
   void assign(AttemptKey key, const UpstreamConnectionPtr& connection,
               const ForwardedRequest& request, Micros deadline);
-  // Begins the assigned attempt, once the connection is established.
+  // Starts the assigned attempt. The connection must be established.
   void start(const UpstreamConnectionPtr& connection);
-  // Ends the assigned attempt without a response.
+  // Ends the assigned attempt with `outcome` and without a response.
   void fail(const UpstreamConnectionPtr& connection, Outcome outcome);
-  // Reports, from the event loop, that an attempt without a connection has failed.
+  // Reports the failure of an attempt that has no connection. The event loop delivers the report.
   void fail_unassigned(AttemptKey key, Outcome outcome);
 
-  // As in ConnectionPool.
+  // See the functions of the same names in ConnectionPool.
   void send_body_piece(AttemptKey key, const std::string& piece, bool is_last);
   void resume(AttemptKey key);
   bool abandon(AttemptKey key);
@@ -56,13 +59,13 @@
   using State = UpstreamConnection::State;
   using Delivery = UpstreamConnection::Delivery;
 
-  // Writing of requests.
+  // Request writing.
   void write_remaining(const ConnectionPtr& connection, std::size_t offset);
   void on_remaining_written(const ConnectionPtr& connection, bool failed);
   void watch_body_write(const ConnectionPtr& connection);
   void on_output_written(const ConnectionPtr& connection);
 
-  // Ends of attempts.
+  // Completion and failure of attempts.
   ResponseEvents response_events();
   void on_broken(const ConnectionPtr& connection);
   void complete_without_response(const ConnectionPtr& connection, Outcome outcome,
@@ -75,7 +78,7 @@
   const Clock& clock_;
   AttemptEvents attempt_events_;
   ConnectionEvents connection_events_;
-  // The connection of each attempt in flight, from assign() to its end.
+  // The connection of each attempt, from assign() until the attempt ends.
   std::unordered_map<AttemptKey, ConnectionPtr, AttemptKeyHash> attempts_;
   ResponseReader reader_;
 };
--- a/src/net/upstream/connection_pool.cpp
+++ b/src/net/upstream/connection_pool.cpp
@@ -12,8 +12,8 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// us between searches for connections that have been idle too long.
-constexpr Micros kExpiryInterval = 500'000;
+// Time between two searches for connections that have been idle for too long.
+constexpr Micros kExpiryInterval = 500'000;  // us
 
 }  // namespace
 
@@ -52,7 +52,7 @@
 
 EndpointChanges ConnectionPool::apply() {
   EndpointChanges changes = endpoints_.apply();
-  // Connections to a process that is gone may stay open and silent.
+  // Connections to a process that no longer exists may stay open without ever reporting an error.
   for (const auto& server : changes.stale_connections) {
     close_idle_to(server);
   }
@@ -102,18 +102,19 @@
 ConnectionPool::ConnectionPtr ConnectionPool::take_idle(const std::string& server) {
   const Micros now = clock_.now();
   while (true) {
-    // Without the delay, what still follows a response would be read as that to the next request.
+    // A server may send extra bytes shortly after a response. If the connection were reused
+    // immediately, these bytes would be parsed as the response to the next request.
     ConnectionPtr connection = idle_.most_recent(server, now - limits_.reuse_delay);
     if (!connection) {
       return nullptr;
     }
     const Micros idle_time = now - connection->idle_since;
-    if (connection->is_open_and_silent() && idle_time < idle_reuse_.max_idle()) {
+    if (connection->is_open_without_unread_data() && idle_time < idle_reuse_.max_idle()) {
       connection->idle_before_request = idle_time;
       idle_.remove(*connection);
       return connection;
     }
-    // Closed by the server, about to be, or with a response to no request.
+    // The server has closed the connection or may do so soon, or has sent bytes without a request.
     close(*connection);
   }
 }
@@ -151,8 +152,8 @@
 }
 
 void ConnectionPool::on_connected(const ConnectionPtr& connection) {
-  // While the connection was being established the server may have begun to drain, or have been
-  // replaced by another process.
+  // While the connection was being established, the server may have begun to drain, been removed,
+  // moved or restarted.
   const auto endpoint = endpoints_.find(connection->server);
   const bool is_current = endpoint && endpoint->up && endpoint->address == connection->address &&
                           endpoint->started_at == connection->server_started_at;
@@ -178,7 +179,7 @@
                                        ConnectionCondition condition) {
   switch (condition) {
     case ConnectionCondition::kReusable:
-    case ConnectionCondition::kUsedUp:
+    case ConnectionCondition::kNotReusable:
       return idle_reuse_.on_response(connection.idle_before_request);
     case ConnectionCondition::kBrokenBeforeResponse:
       return idle_reuse_.on_reset(connection.idle_before_request);
--- a/src/net/upstream/connection_pool.hpp
+++ b/src/net/upstream/connection_pool.hpp
@@ -1,7 +1,8 @@
-// Connections to servers: opens them within a limit, keeps idle ones for reuse, and closes those
-// whose server was removed, moved or restarted. AttemptRunner runs the attempts on them. Also holds
-// the table of endpoints that attempts may go to. Owned by GatewayServer, whose RequestDispatcher
-// starts and abandons attempts; its EndpointListApplier applies endpoint lists.
+// Manages the connections to servers: opens up to a maximum number of connections, keeps idle ones
+// for reuse, and closes idle connections to servers that were removed, moved or restarted.
+// AttemptRunner runs the attempts on the connections. ConnectionPool also owns the table of
+// endpoints that attempts can be sent to. GatewayServer owns the pool; RequestDispatcher starts and
+// abandons attempts, and EndpointListApplier applies endpoint lists.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,17 +23,20 @@
 
 namespace quota_gateway::net {
 
+// Timeouts and limits of a ConnectionPool. Durations are in microseconds.
 struct ConnectionPoolLimits {
-  // us after which servers close an idle connection.
+  // Idle time after which servers close a connection.
   Micros server_idle_timeout = 15'000'000;
-  // us
+  // Maximum time to establish a connection.
   Micros connect_timeout = 250'000;
-  // Open connections to all servers, in use or idle.
+  // Maximum number of connections to all servers together: connecting, in use or idle.
   std::size_t max_connections = 400;
-  // us after a response in which more bytes may follow; until then the connection isn't reused.
+  // Time after a response during which the connection is not reused, because trailing bytes of the
+  // response may still arrive.
   Micros reuse_delay = 10'000;
 };
 
+// The pool of connections to all servers.
 class ConnectionPool {
  public:
   ConnectionPool(boost::asio::io_context& io, Timers& timers, const Clock& clock,
@@ -41,59 +45,62 @@
   ConnectionPool(const ConnectionPool&) = delete;
   ConnectionPool& operator=(const ConnectionPool&) = delete;
 
-  // Enqueues an endpoint list for apply(), behind those still pending; see EndpointTable.
+  // Appends an endpoint list to the lists that apply() is going to process; see EndpointTable.
   void enqueue_list(EndpointList list) { endpoints_.enqueue(std::move(list)); }
-  // Applies the next slice of the pending lists and returns what has changed. Closes idle
+  // Applies the next slice of the pending lists and returns the resulting changes. Closes idle
   // connections to servers that were removed, moved or restarted.
   EndpointChanges apply();
-  // Whether all pending lists were applied.
+  // Returns whether all enqueued lists were applied.
   bool lists_applied() const { return endpoints_.is_idle(); }
-  // Applies a complete list at once. Returns the servers whose address now belongs to another one.
+  // Applies `list`, and any pending lists before it, within this call. Returns the servers that
+  // were removed because another server now has their address.
   std::vector<std::string> update(const EndpointList& list);
 
-  // Starts an attempt. Unless it is abandoned, AttemptEvents::on_complete follows, never from
-  // within this call. `deadline` is an instant of the clock; the server is told the time left.
+  // Starts an attempt. Unless the attempt is abandoned, AttemptEvents::on_complete follows, but not
+  // from within this call. `deadline` is an absolute time of the clock; the request tells the
+  // server how much time is left until then.
   void send(AttemptKey key, const std::string& server, const ForwardedRequest& request,
             Micros deadline);
-  // Sends the next piece of a request's body, after AttemptEvents::on_body_piece_needed.
+  // Sends the next piece of a request's body, in reply to AttemptEvents::on_body_piece_needed.
   void send_body_piece(AttemptKey key, const std::string& piece, bool is_last);
-  // The piece of the response that was delivered last has been passed on; reads the next.
+  // Continues reading a response that is delivered in pieces. The caller calls this after it has
+  // forwarded the last delivered piece.
   void resume(AttemptKey key);
-  // Closes the attempt's connection; no event follows. True if the request's last byte may have
-  // been written.
+  // Ends an attempt and resets its connection; no event for the attempt follows. Returns whether
+  // the last byte of the request may have been written.
   bool abandon(AttemptKey key);
 
-  // Listed servers, and whether any of them accepts requests.
+  // The number of listed servers, and whether at least one of them is up.
   std::size_t endpoint_count() const { return endpoints_.size(); }
   bool has_endpoint_up() const { return endpoints_.up_count() > 0; }
 
-  // Changes the limit on open connections. Closes idle connections beyond it.
+  // Changes the maximum number of connections. Closes idle connections that exceed it.
   void set_max_connections(std::size_t max_connections);
 
  private:
   using ConnectionPtr = UpstreamConnectionPtr;
   using State = UpstreamConnection::State;
 
-  // Reuse and opening of connections.
+  // Opening and reusing connections.
   ConnectionPtr take_idle(const std::string& server);
-  // Null if the limit is reached and no connection is idle.
+  // Returns null if the maximum number of connections is reached and none is idle.
   ConnectionPtr create(const std::string& server, const EndpointStatus& endpoint);
   void connect(const ConnectionPtr& connection);
   void on_connected(const ConnectionPtr& connection);
 
-  // Keeping of connections after an attempt.
+  // Handling a connection after its attempt.
   ConnectionEvents connection_events();
   void on_released(const ConnectionPtr& connection, ConnectionCondition condition);
   void update_idle_reuse(const UpstreamConnection& connection, ConnectionCondition condition);
   bool is_listed(const UpstreamConnection& connection) const;
   void keep_idle(const ConnectionPtr& connection);
 
-  // Closing of connections.
+  // Closing connections.
   void close(UpstreamConnection& connection);
-  // Closes the connection that has been idle longest. False if none is idle.
+  // Closes the connection that has been idle longest. Returns false if none is idle.
   bool close_oldest_idle();
   void close_idle_to(const std::string& server);
-  // Closes what has been idle too long, periodically.
+  // Closes connections that have been idle for too long, and schedules its next run.
   void close_expired();
 
   boost::asio::io_context& io_;
@@ -102,7 +109,7 @@
   ConnectionPoolLimits limits_;
   EndpointTable endpoints_;
   IdleConnections idle_;
-  // Connecting, in use or idle.
+  // Number of connections that are connecting, in use or idle.
   std::size_t open_connections_ = 0;
   IdleReuseEstimator idle_reuse_;
   AttemptRunner attempts_;
--- a/src/net/upstream/idle_connections.cpp
+++ b/src/net/upstream/idle_connections.cpp
@@ -21,15 +21,17 @@
   }
 }
 
-UpstreamConnectionPtr IdleConnections::most_recent(const std::string& server, Micros latest) const {
+UpstreamConnectionPtr IdleConnections::most_recent(const std::string& server,
+                                                   Micros idle_cutoff) const {
   const auto entry = by_server_.find(server);
   if (entry == by_server_.end()) {
     return nullptr;
   }
   const ServerConnections& connections = entry->second;
-  const auto found = std::find_if(
-      connections.rbegin(), connections.rend(),
-      [&](const UpstreamConnectionPtr& connection) { return connection->idle_since <= latest; });
+  const auto found = std::find_if(connections.rbegin(), connections.rend(),
+                                  [&](const UpstreamConnectionPtr& connection) {
+                                    return connection->idle_since <= idle_cutoff;
+                                  });
   return found == connections.rend() ? nullptr : *found;
 }
 
@@ -48,11 +50,11 @@
   return entry == by_server_.end() ? ServerConnections() : entry->second;
 }
 
-std::vector<UpstreamConnectionPtr> IdleConnections::idle_since(Micros latest) const {
+std::vector<UpstreamConnectionPtr> IdleConnections::idle_since(Micros idle_cutoff) const {
   std::vector<UpstreamConnectionPtr> found;
   for (const auto& [server, connections] : by_server_) {
     for (const UpstreamConnectionPtr& connection : connections) {
-      if (connection->idle_since <= latest) {
+      if (connection->idle_since <= idle_cutoff) {
         found.push_back(connection);
       }
     }
--- a/src/net/upstream/idle_connections.hpp
+++ b/src/net/upstream/idle_connections.hpp
@@ -1,5 +1,5 @@
-// The idle connections of a ConnectionPool, by server. Only stores them: the pool opens, closes and
-// reuses connections.
+// Stores the idle connections of a ConnectionPool, grouped by server. The pool itself opens, closes
+// and reuses connections.
 #pragma once
 
 #include <string>
@@ -10,29 +10,30 @@
 
 namespace quota_gateway::net {
 
+// Finds idle connections by server and by idle time.
 class IdleConnections {
  public:
-  // Connections must be added in the order of their `idle_since`.
+  // Adds a connection. Connections must be added in ascending order of their `idle_since`.
   void add(const UpstreamConnectionPtr& connection);
-  // Does nothing if the connection is not here.
+  // Removes a connection. Does nothing if it is not stored.
   void remove(const UpstreamConnection& connection);
 
-  // The most recently used connection to the server that has been idle since `latest` or longer.
-  // Null if there is none.
-  UpstreamConnectionPtr most_recent(const std::string& server, Micros latest) const;
-  // The connection that has been idle longest. Null if there is none.
+  // Returns the most recently used connection to `server` among those that became idle at or before
+  // `idle_cutoff`, or null if there is none.
+  UpstreamConnectionPtr most_recent(const std::string& server, Micros idle_cutoff) const;
+  // Returns the connection that has been idle longest, or null if there is none.
   UpstreamConnectionPtr oldest() const;
 
-  // All connections to the server.
+  // Returns all connections to `server`.
   std::vector<UpstreamConnectionPtr> to_server(const std::string& server) const;
-  // All connections that have been idle since `latest` or longer.
-  std::vector<UpstreamConnectionPtr> idle_since(Micros latest) const;
+  // Returns all connections that became idle at or before `idle_cutoff`.
+  std::vector<UpstreamConnectionPtr> idle_since(Micros idle_cutoff) const;
 
  private:
-  // Never empty; the most recently used is last.
+  // Never empty, in ascending order of `idle_since`.
   using ServerConnections = std::vector<UpstreamConnectionPtr>;
 
-  // Has only servers with an idle connection.
+  // Contains only servers that have at least one idle connection.
   std::unordered_map<std::string, ServerConnections> by_server_;
 };
 
--- a/src/net/upstream/idle_reuse_estimator.cpp
+++ b/src/net/upstream/idle_reuse_estimator.cpp
@@ -5,19 +5,22 @@
 namespace quota_gateway::net {
 namespace {
 
-// us; the estimate never falls below this, whatever resets were seen.
-constexpr Micros kMinIdle = 100'000;
-// After a reset: factor on the idle time that preceded it.
+// Lower bound of the estimate, regardless of resets.
+constexpr Micros kMinIdle = 100'000;  // us
+// After a reset, the estimate becomes the preceding idle time, or the estimate if that is shorter,
+// times this factor.
 constexpr double kResetFactor = 0.5;
-// After a response on a connection that had been idle for more than half of the estimate.
+// The estimate is multiplied by this factor after a response on a connection that had been idle for
+// more than half of the estimate.
 constexpr double kGrowthFactor = 1.05;
-// Fraction of the servers' idle limit. They may close connections somewhat earlier.
-constexpr double kIdleLimitFraction = 0.4;
+// Upper bound of the estimate as a fraction of the servers' idle timeout. Servers may close
+// connections somewhat earlier than that timeout.
+constexpr double kIdleTimeoutFraction = 0.4;
 
 }  // namespace
 
 IdleReuseEstimator::IdleReuseEstimator(Micros server_idle_timeout)
-    : upper_bound_(kIdleLimitFraction * double(server_idle_timeout)),
+    : upper_bound_(kIdleTimeoutFraction * double(server_idle_timeout)),
       max_idle_(Micros(upper_bound_)) {}
 
 void IdleReuseEstimator::on_response(Micros idle_time) {
--- a/src/net/upstream/load_report_parser.cpp
+++ b/src/net/upstream/load_report_parser.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::string_view kTextFormatPrefix = "TEXT ";
 
-// A name in a load report, the field that it fills and the largest plausible value.
+// A name in a load report, the LoadReport field that it sets, and the maximum plausible value.
 struct LoadField {
   std::string_view name;
   std::optional<double> LoadReport::*field;
@@ -39,7 +39,7 @@
   return nullptr;
 }
 
-// Removes the first entry from a comma-separated list and returns it without leading spaces.
+// Removes the first entry of a comma-separated list and returns the entry without leading spaces.
 std::string_view take_entry(std::string_view& list) {
   const std::size_t comma = std::min(list.find(','), list.size());
   std::string_view entry = list.substr(0, comma);
@@ -50,12 +50,12 @@
 
 }  // namespace
 
-std::optional<double> parse_figure(std::string_view text, double max) {
+std::optional<double> parse_bounded_number(std::string_view text, double max) {
   double value = 0;
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, value);
   const bool is_number = error == std::errc() && stop == end;
-  // The comparison is also false for NaN.
+  // False for NaN as well.
   const bool is_plausible = value >= 0 && value <= max;
   if (!is_number || !is_plausible) {
     return std::nullopt;
@@ -76,7 +76,7 @@
       continue;
     }
     entry.remove_prefix(std::min(equals + 1, entry.size()));
-    const std::optional<double> value = parse_figure(entry, known->max);
+    const std::optional<double> value = parse_bounded_number(entry, known->max);
     if (!value) {
       return {};
     }
--- a/src/net/upstream/load_report_parser.hpp
+++ b/src/net/upstream/load_report_parser.hpp
@@ -1,5 +1,5 @@
-// Parses what servers state about themselves in response headers: load reports and single figures.
-// Pure functions without state; response_classifier calls them.
+// Parses the load reports and numbers that servers send in response headers. Pure functions without
+// state; response_classifier calls them.
 #pragma once
 
 #include <optional>
@@ -9,12 +9,13 @@
 
 namespace quota_gateway::net {
 
-// The number that `text` consists of, in full. Empty if it is no number or outside [0, max].
-std::optional<double> parse_figure(std::string_view text, double max);
+// Parses `text` as a number. Returns nullopt if `text` contains anything but the number, or if the
+// number is outside [0, max].
+std::optional<double> parse_bounded_number(std::string_view text, double max);
 
 // Parses a load report such as "TEXT inflight=7, queue=2, util=0.61". Unknown names are ignored.
-// If any known name has no plausible number, the complete report is discarded and the result is
-// empty: after one absurd figure the others can't be trusted to steer requests.
+// If the value of any known name is not a plausible number, the complete report is discarded and
+// the result is empty, because the other values are then not reliable enough for load balancing.
 LoadReport parse_load_report(std::string_view text);
 
 }  // namespace quota_gateway::net
--- a/src/net/upstream/response_classifier.cpp
+++ b/src/net/upstream/response_classifier.cpp
@@ -11,7 +11,7 @@
 
 namespace http = boost::beast::http;
 
-// The largest values that are plausible in a server's response.
+// Larger values in a server's response are ignored as implausible.
 constexpr double kMaxBilledUnits = 1e4;
 constexpr double kMaxUsagePercent = 1e6;
 
@@ -23,7 +23,7 @@
 }  // namespace
 
 bool is_interim(const ServerResponse& response) {
-  // By the number: the library's list of statuses lacks some, 103 among them.
+  // Checks the number, because Beast's status enumeration lacks some statuses, such as 103.
   return response.result_int() / 100 == 1;
 }
 
@@ -42,11 +42,12 @@
   result.outcome = outcome_of(response);
   result.load = parse_load_report(header(response, "Endpoint-Load-Metrics"));
   result.first_byte_at = first_byte_at;
-  if (const auto percent = parse_figure(header(response, "Usage-Percent"), kMaxUsagePercent)) {
+  if (const auto percent =
+          parse_bounded_number(header(response, "Usage-Percent"), kMaxUsagePercent)) {
     result.quota_usage_percent = int(*percent);
   }
   if (result.outcome == Outcome::kOk) {
-    result.billed_units = parse_figure(header(response, "Billed-Units"), kMaxBilledUnits);
+    result.billed_units = parse_bounded_number(header(response, "Billed-Units"), kMaxBilledUnits);
     result.body = std::exchange(response.body(), {});
   }
   return result;
--- a/src/net/upstream/response_classifier.hpp
+++ b/src/net/upstream/response_classifier.hpp
@@ -1,5 +1,5 @@
-// Maps a server's response to the outcome of the attempt. Pure functions without state;
-// ConnectionPool calls them.
+// Maps a server's response to the result of the attempt. Functions without state; ResponseReader
+// and UpstreamConnection call them.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -9,17 +9,19 @@
 
 namespace quota_gateway::net {
 
+// A response from a server. Its body holds only the bytes that have not been taken out yet.
 using ServerResponse = boost::beast::http::response<IncrementalBody>;
 
-// Whether this is a 1xx response, after which the final one follows.
+// Returns whether this is an interim (1xx) response, which precedes the final response.
 bool is_interim(const ServerResponse& response);
 
-// The outcome that the response's head states. It is kOverloaded, which means never ran, only when
-// the header X-Never-Ran proves it: a plain 503 or 504 may come from a server that did the work.
+// Returns the outcome according to the response's head. kOverloaded means that the request did not
+// run, so it requires a 503 or 504 with the header X-Never-Ran: 1. Without this header, the
+// response may come from a server that did the work.
 Outcome outcome_of(const ServerResponse& response);
 
-// The attempt's result as the response states it; `first_byte_at` is when its first byte arrived.
-// For kOk the body is moved out of the response.
+// Returns the attempt's result according to the response. `first_byte_at` is the time at which the
+// first byte of the response arrived. For kOk, the body is moved out of the response.
 AttemptResult take_result(ServerResponse& response, Micros first_byte_at);
 
 }  // namespace quota_gateway::net
--- a/src/net/upstream/response_reader.cpp
+++ b/src/net/upstream/response_reader.cpp
@@ -21,10 +21,11 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// Interim responses (1xx) ahead of a final one.
+// Maximum number of interim (1xx) responses before the final response.
 constexpr int kMaxInterimResponses = 16;
-// us without a byte of a response that has begun, after which it counts as stuck, not slow.
-constexpr Micros kResponseStallTimeout = 250'000;
+// If no byte of a started response arrives for this time, the response is considered stalled rather
+// than slow.
+constexpr Micros kResponseStallTimeout = 250'000;  // us
 
 bool is_streaming(const UpstreamConnection& connection) {
   return connection.delivery != UpstreamConnection::Delivery::kBuffered;
@@ -34,8 +35,8 @@
   return is_streaming(connection) ? kStreamStallTimeout : kResponseStallTimeout;
 }
 
-// Whether the response in the parser is too long to be buffered, by its stated length or by what
-// has arrived.
+// Returns whether the response in the parser is too long to be buffered, according to its stated
+// length or to the size received so far.
 bool is_long(UpstreamConnection::ResponseParser& parser) {
   const std::uint64_t received_size = parser.get().body().size();
   const std::uint64_t stated_size = parser.content_length().value_or(0);
@@ -105,8 +106,8 @@
 }
 
 void ResponseReader::on_received(const ConnectionPtr& connection, std::size_t size) {
-  // Bytes that arrive before the request was written can't be its response, unless the server wants
-  // no more of a long one.
+  // Bytes that arrive before the request is completely written cannot be a valid response to it.
+  // The exception is a request with more body pieces to come: the server may respond without them.
   if (connection->state == State::kWriting && !connection->body_incomplete) {
     return response_events_.on_broken(connection);
   }
@@ -145,8 +146,10 @@
   }
 }
 
-// Without this, a response whose stated length is too large would hold its request until the
-// deadline, with no time left for another attempt. A response that is only slow keeps arriving.
+// Schedules a check that fails the attempt if the response stalls. A response with a stated length
+// that is too large never completes; if the attempt waited for it until the request's deadline, no
+// time would be left for another attempt. A response that is merely slow keeps arriving and passes
+// the check.
 void ResponseReader::watch_progress(const ConnectionPtr& connection) {
   const AttemptKey key = connection->attempt;
   const std::weak_ptr<UpstreamConnection> weak = connection;
@@ -163,7 +166,7 @@
     return;
   }
   if (connection->delivery == Delivery::kPieceOutstanding) {
-    connection->last_progress_at = clock_.now();  // the client is slow, not the server
+    connection->last_progress_at = clock_.now();  // waiting for the client, not for the server
   }
   if (clock_.now() - connection->last_progress_at < stall_timeout(*connection)) {
     return watch_progress(connection);
@@ -192,7 +195,7 @@
 
 void ResponseReader::deliver_beginning(const ConnectionPtr& connection) {
   AttemptResult result = take_attempt_result(*connection);
-  if (result.outcome != Outcome::kOk) {  // nobody needs the rest of it
+  if (result.outcome != Outcome::kOk) {  // the body of an error is not used
     return response_events_.on_complete(connection, std::move(result),
                                         ConnectionCondition::kBroken);
   }
@@ -212,7 +215,7 @@
 
 void ResponseReader::on_response_complete(const ConnectionPtr& connection) {
   if (connection->body_incomplete) {
-    // A server that rejects a request of which it has seen only a part has not run it.
+    // A server that rejects a request before it has received all of it has not run the request.
     const bool is_overloaded = outcome_of(connection->parser->get()) == Outcome::kOverloaded;
     return response_events_.on_failed(
         connection, is_overloaded ? Outcome::kOverloaded : Outcome::kConnectFailed);
@@ -227,7 +230,8 @@
   }
 }
 
-// Receives what has arrived behind a complete response, which shows whether its length was true.
+// Receives bytes that have arrived after a complete response. They show whether the response's
+// stated length was too small.
 void ResponseReader::receive_trailing_bytes(const ConnectionPtr& connection) {
   error_code ec;
   if (connection->received.empty() && connection->socket.available(ec) > 0) {
@@ -240,7 +244,7 @@
   const bool is_reusable = connection->parser->get().keep_alive() && connection->received.empty();
   response_events_.on_complete(
       connection, take_attempt_result(*connection),
-      is_reusable ? ConnectionCondition::kReusable : ConnectionCondition::kUsedUp);
+      is_reusable ? ConnectionCondition::kReusable : ConnectionCondition::kNotReusable);
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/upstream/response_reader.hpp
+++ b/src/net/upstream/response_reader.hpp
@@ -1,6 +1,6 @@
-// Reads the responses of attempts: parses what arrives, delivers a long response in pieces, and
-// fails one that has stopped arriving. Owned by AttemptRunner. No method reports anything from
-// within its call; all follows from the event loop.
+// Reads the responses of attempts: parses received bytes, delivers a long response in pieces, and
+// fails an attempt if its response stalls. Owned by AttemptRunner. Public functions invoke no
+// callback; all callbacks come from the event loop.
 #pragma once
 
 #include <array>
@@ -16,21 +16,23 @@
 
 namespace quota_gateway::net {
 
-// us for which a server may make no progress with a long body, of a request or of a response.
-inline constexpr Micros kStreamStallTimeout = 5'000'000;
+// Time after which an attempt fails if its server neither reads nor sends any of a long body.
+inline constexpr Micros kStreamStallTimeout = 5'000'000;  // us
 
-// How reading went on. All but the last lead to the attempt's end. Called from the event loop only.
+// Callbacks that report the progress of reading, from the event loop only. All but
+// `on_idle_readable` lead to the end of the attempt.
 struct ResponseEvents {
-  // The response is complete, or nothing more of it is needed.
+  // The response is complete, or its remaining bytes are not needed.
   std::function<void(const UpstreamConnectionPtr&, AttemptResult, ConnectionCondition)> on_complete;
-  // No usable response can follow on this connection.
+  // This connection can no longer deliver a usable response.
   std::function<void(const UpstreamConnectionPtr&, Outcome)> on_failed;
-  // The connection was closed or reset, or bytes arrived that can't be a response.
+  // The connection was closed or reset, or bytes arrived that cannot be a response.
   std::function<void(const UpstreamConnectionPtr&)> on_broken;
-  // The server has closed an idle connection, or has sent a response to no request.
+  // The server has closed an idle connection, or has sent bytes on it without a request.
   std::function<void(const UpstreamConnectionPtr&)> on_idle_readable;
 };
 
+// Reads the responses on all connections of one AttemptRunner.
 class ResponseReader {
  public:
   // `attempt_events` must outlive the reader.
@@ -39,10 +41,10 @@
   ResponseReader(const ResponseReader&) = delete;
   ResponseReader& operator=(const ResponseReader&) = delete;
 
-  // Reads from the connection once it has something to read. Does nothing if that is awaited
-  // already, as on a connection that is reused.
+  // Waits until the connection is readable, then reads from it. Does nothing if a wait is already
+  // pending, as on a reused connection.
   void read(const UpstreamConnectionPtr& connection);
-  // The outstanding piece of a long response has been passed on; goes on behind it.
+  // Continues with a long response after its outstanding piece was forwarded to the client.
   void resume(const UpstreamConnectionPtr& connection);
 
  private:
@@ -54,11 +56,11 @@
   void on_received(const ConnectionPtr& connection, std::size_t size);
   void process_received(const ConnectionPtr& connection, bool is_first_part);
 
-  // Fails the attempt if the response stops arriving.
+  // Stall detection: fails the attempt if its response stops arriving.
   void watch_progress(const ConnectionPtr& connection);
   void check_progress(const ConnectionPtr& connection);
 
-  // Delivers what has arrived of a long response. False if there is nothing to deliver.
+  // Delivers the received part of a long response. Returns false if there is nothing to deliver.
   bool deliver_part(const ConnectionPtr& connection);
   void deliver_beginning(const ConnectionPtr& connection);
   void deliver_piece(const ConnectionPtr& connection);
@@ -72,7 +74,7 @@
   const Clock& clock_;
   const AttemptEvents& attempt_events_;
   ResponseEvents response_events_;
-  // Receives what is being read. Shared by all connections: each read is processed at once.
+  // Shared by all connections, since received bytes are copied out before the next read.
   std::array<char, 32 << 10> read_buffer_;
 };
 
--- a/src/net/upstream/upstream_connection.cpp
+++ b/src/net/upstream/upstream_connection.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool UpstreamConnection::is_open_and_silent() {
+bool UpstreamConnection::is_open_without_unread_data() {
   char byte = 0;
   const auto size = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -67,8 +67,9 @@
   expect_response();
 }
 
-// The head is parsed by itself, and only then the rest (see parse_received). Without this, a parser
-// that goes straight on to the body forgets that the length was over the limit, and reads 3 GB.
+// The parser stops after the head, and parse_received() continues with the body after check_head().
+// A Beast parser that proceeds directly to the body loses the error about a stated length over the
+// limit, and would read, for example, all of a 3 GB body.
 void UpstreamConnection::expect_response() {
   parser.emplace();
   parser->header_limit(kMaxHeaderBytes);
@@ -95,12 +96,13 @@
   return true;
 }
 
-// Without a length of its own, a complete response can't be told from one that was cut short.
+// Rejects a response with neither a stated length nor chunked encoding: its end is marked only by
+// the end of the connection, so a complete response cannot be distinguished from a truncated one.
 void UpstreamConnection::check_head() {
   const auto& head = parser->get();
   check_framing(head, http_version(head.version()));
   if (parser->need_eof() && !is_interim(head)) {
-    throw HttpError("no length");
+    throw HttpError("the response has neither a Content-Length nor chunked encoding");
   }
   parser->eager(true);
 }
--- a/src/net/upstream/upstream_connection.hpp
+++ b/src/net/upstream/upstream_connection.hpp
@@ -1,6 +1,6 @@
-// One connection to a server: its socket, the attempt that it carries, and the parser of that
-// attempt's response. ConnectionPool owns all connections, AttemptRunner and ResponseReader drive
-// them; this module has no timers and starts no asynchronous operations.
+// A connection to a server, with its socket, its current attempt and the parser of the attempt's
+// response. ConnectionPool owns all connections; AttemptRunner and ResponseReader write and read on
+// them. This module uses no timers and starts no asynchronous operations.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,104 +18,106 @@
 
 namespace quota_gateway::net {
 
-// In which condition an attempt leaves its connection.
+// The condition of a connection after its attempt has ended.
 enum class ConnectionCondition {
   kReusable,             // the response was complete; another request may follow
-  kUsedUp,               // the response was complete, but no request may follow
+  kNotReusable,          // the response was complete, but no other request may follow
   kBroken,               // the attempt ended early
-  kBrokenBeforeResponse  // it broke after the request and before any byte of the response
+  kBrokenBeforeResponse  // broke after the request was written, before any response byte
 };
 
-// Any asynchronous handler may run after its connection was closed, so each checks `state` first.
+// The state of one connection. An asynchronous handler may run after the connection was closed, so
+// each handler checks `state` first.
 struct UpstreamConnection {
   enum class State {
     kConnecting,
-    kWriting,  // the request, or what there is of it
-    kWaiting,  // the request was written; the response is awaited or arriving
+    kWriting,  // the request is not completely written
+    kWaiting,  // the request was written; the response is not complete
     kIdle,
     kClosed
   };
 
-  // How the current response reaches the client.
+  // How the current response is delivered to the client.
   enum class Delivery {
-    kBuffered,         // nothing was delivered; the result will hold the complete body
-    kStreaming,        // a part was delivered and passed on
-    kPieceOutstanding  // a part was delivered and has not been passed on yet
+    kBuffered,         // no part was delivered; the result of a short response has the full body
+    kStreaming,        // all delivered pieces were forwarded to the client
+    kPieceOutstanding  // the last delivered piece has not been forwarded to the client yet
   };
 
   using ResponseParser = boost::beast::http::response_parser<IncrementalBody>;
 
   explicit UpstreamConnection(boost::asio::io_context& io) : socket(io) {}
 
-  // Whether the server has neither closed the connection nor sent anything that is still unread.
-  bool is_open_and_silent();
+  // Returns true if the server has not closed the connection and no received byte is unread.
+  bool is_open_without_unread_data();
 
-  // Makes the next close() a reset. Nothing that is still in transit is then taken for a request,
-  // and no response is waited for.
+  // Makes the next close() reset the connection. Data that is still in transit is discarded, so the
+  // server cannot take it for a request, and no response is awaited.
   void reset_on_close();
 
-  // Puts the request's head, and what there is of its body, into `output`. `time_left` in us.
+  // Encodes the request's head and the available part of its body into `output`. `time_left` is in
+  // microseconds.
   void encode_request(const ForwardedRequest& request, Micros time_left);
 
-  // Puts the next piece of the request's body into `output`.
+  // Encodes the next piece of the request's body into `output`.
   void encode_body_piece(const std::string& piece, bool is_last);
 
-  // Prepares for the response to a new request.
+  // Resets the response state for a new request.
   void begin_response();
 
-  // Prepares the parser for a response, or for the one after an interim response.
+  // Resets the parser for the next response, which may be the one after an interim response.
   void expect_response();
 
-  // Parses what was received. False if more is needed. Throws HttpError or
-  // boost::system::system_error if it is no valid response.
+  // Parses the received bytes. Returns whether the response is complete. Throws HttpError or
+  // boost::system::system_error if the response is invalid.
   bool parse_received();
 
-  // Whether any byte of the current response was received.
+  // Returns whether any byte of the current response was received.
   bool has_response_bytes() const;
 
-  // Whether the bytes behind a response may be the rest of it, because its stated length was too
-  // small. A truncated body must not be delivered. A chunked response marks its own end, and bytes
-  // that begin like a response are another one.
+  // Returns whether the response's body, which must then not be delivered, may be truncated because
+  // the stated length was too small. This is the case if the response has no chunked encoding,
+  // which would mark its end, and is followed by bytes that do not begin another response.
   bool may_be_truncated() const;
 
   State state = State::kConnecting;
   std::string server;
   boost::asio::ip::tcp::endpoint address;
-  // Start time of the server process that the connection was opened to.
+  // Start time of the server process for which the connection was opened.
   Micros server_started_at = 0;
   boost::asio::ip::tcp::socket socket;
   AttemptKey attempt;
 
-  // Request.
-  std::string output;
-  // `output` is being written asynchronously.
+  // Request state.
+  std::string output;  // encoded bytes to write
+  // Whether `output` is being written asynchronously.
   bool write_pending = false;
-  // More of the request's body is to come.
+  // Whether further pieces of the request's body follow.
   bool body_incomplete = false;
-  // The request's body is sent in chunks.
+  // Whether the request's body is sent with chunked encoding.
   bool is_chunked = false;
-  // The connection broke while the request was being written.
+  // Whether the connection broke while `output` was being written.
   bool broke_while_writing = false;
-  // Pieces of request bodies whose write was watched by a timer, over the connection's life.
+  // Number of writes with a stall timer over the connection's lifetime. Identifies the latest one.
   std::uint64_t watched_writes = 0;
 
-  // Response.
-  bool read_pending = false;
+  // Response state.
+  bool read_pending = false;  // a wait for the socket to be readable is pending
   // Received bytes that were not parsed yet.
   std::string received;
   std::optional<ResponseParser> parser;
   Delivery delivery = Delivery::kBuffered;
-  // The complete response was received; only its delivery is left.
+  // Whether the complete response was received. Its delivery may still be in progress.
   bool response_complete = false;
   int interim_responses = 0;
-  // When the response's first byte was received.
+  // Time at which the response's first byte was received.
   Micros first_byte_at = 0;
-  // When some of the response was received, or passed on, last.
+  // Time at which a part of the response was last received or forwarded.
   Micros last_progress_at = 0;
 
-  // Reuse.
+  // Reuse state.
   Micros idle_since = 0;
-  // us of idle time before the current request; 0 for the connection's first.
+  // Idle time before the current request, in microseconds; 0 for the connection's first request.
   Micros idle_before_request = 0;
 
  private:
--- a/tests/net/counter/counter_backoff_test.cpp
+++ b/tests/net/counter/counter_backoff_test.cpp
@@ -1,4 +1,4 @@
-// CounterBackoff: how long the counter's client waits before it connects again.
+// Tests the waits that CounterBackoff computes between attempts to connect.
 #include "net/counter/counter_backoff.hpp"
 
 #include <gtest/gtest.h>
@@ -6,9 +6,9 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(CounterBackoff, TheFirstAttemptIsMadeAtOnceAndFurtherOnesGrowFurtherApart) {
+TEST(CounterBackoff, FirstWaitIsZeroAndLaterWaitsGrowToAMaximum) {
   CounterBackoff backoff;
-  // At a multiple of all waits, which adds no spread, each wait is three quarters of its base.
+  // At time 0 the jitter is zero, and each wait is three quarters of its base.
   EXPECT_EQ(backoff.next(0), 0);
   EXPECT_EQ(backoff.next(0), 37'500);
   EXPECT_EQ(backoff.next(0), 75'000);
@@ -18,19 +18,20 @@
   EXPECT_EQ(backoff.next(0), 375'000);
 }
 
-TEST(CounterBackoff, WaitsAreSpreadByTheClock) {
-  // Without the spread, gateways that lost the counter together would return together.
+TEST(CounterBackoff, JitterDependsOnTheClock) {
+  // Without jitter, gateways that lose the counter at the same time would reconnect at the same
+  // time.
   CounterBackoff early;
   CounterBackoff late;
-  early.set_longest();
-  late.set_longest();
+  early.use_max_wait();
+  late.use_max_wait();
   EXPECT_EQ(early.next(1'000'000), 375'000);
   EXPECT_EQ(late.next(1'249'999), 375'000 + 249'999);
 }
 
-TEST(CounterBackoff, AResponseForgetsEarlierFailures) {
+TEST(CounterBackoff, ResetMakesTheNextWaitZero) {
   CounterBackoff backoff;
-  backoff.set_longest();
+  backoff.use_max_wait();
   EXPECT_EQ(backoff.next(0), 375'000);
   backoff.reset();
   EXPECT_EQ(backoff.next(0), 0);
--- a/tests/net/counter/counter_call_queue_test.cpp
+++ b/tests/net/counter/counter_call_queue_test.cpp
@@ -1,5 +1,5 @@
-// CounterCallQueue: which calls are sent, in which order, and what is known of those that end
-// without a reply.
+// Tests the order in which CounterCallQueue writes and removes calls, and which calls without a
+// reply it reports as possibly sent.
 #include "net/counter/counter_call_queue.hpp"
 
 #include <gtest/gtest.h>
@@ -7,10 +7,10 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-CounterCall add_call(std::int64_t counter_name, const std::string& command) {
+CounterCall add_call(std::int64_t counter_key, const std::string& command) {
   CounterCall call;
-  call.counter_name = counter_name;
-  call.created_at = counter_name * 100;
+  call.counter_key = counter_key;
+  call.created_at = counter_key * 100;
   call.command = command;
   return call;
 }
@@ -42,7 +42,7 @@
   EXPECT_FALSE(calls.is_writing());
 }
 
-TEST(CounterCallQueue, RepliesBelongToTheCallsInTheirOrder) {
+TEST(CounterCallQueue, CallsAreRemovedInTheOrderInWhichTheyWereAdded) {
   CounterCallQueue calls;
   EXPECT_TRUE(calls.empty());
   EXPECT_EQ(calls.oldest_created_at(), std::nullopt);
@@ -50,9 +50,9 @@
   calls.push(add_call(2, "two"));
   EXPECT_EQ(calls.size(), 2U);
   EXPECT_EQ(calls.oldest_created_at(), 100);
-  EXPECT_EQ(calls.pop().counter_name, 1);
+  EXPECT_EQ(calls.pop().counter_key, 1);
   EXPECT_EQ(calls.oldest_created_at(), 200);
-  EXPECT_EQ(calls.pop().counter_name, 2);
+  EXPECT_EQ(calls.pop().counter_key, 2);
   EXPECT_TRUE(calls.empty());
 }
 
@@ -62,14 +62,14 @@
   calls.push(add_call(2, "two"));
   const std::optional<UnansweredCall> timed_out = calls.time_out(first);
   ASSERT_TRUE(timed_out);
-  EXPECT_EQ(timed_out->call.counter_name, 1);
+  EXPECT_EQ(timed_out->call.counter_key, 1);
   EXPECT_FALSE(timed_out->possibly_sent);
   EXPECT_FALSE(calls.time_out(first));
   EXPECT_EQ(calls.begin_write(), "two");
 }
 
 TEST(CounterCallQueue, ACallThatTimesOutAfterItIsWrittenKeepsItsPlaceForTheLateReply) {
-  // Without this, the late reply would be taken for that of the next call.
+  // If the call were removed, its late reply would be taken for the reply to the next call.
   CounterCallQueue calls;
   const std::uint64_t first = calls.push(add_call(1, "one"));
   calls.push(add_call(2, "two"));
@@ -80,7 +80,7 @@
   EXPECT_TRUE(timed_out->call.needs_reply());
   EXPECT_FALSE(calls.time_out(first));
   const CounterCall late = calls.pop();
-  EXPECT_EQ(late.counter_name, 1);
+  EXPECT_EQ(late.counter_key, 1);
   EXPECT_FALSE(late.needs_reply());
   EXPECT_TRUE(calls.pop().needs_reply());
 }
@@ -93,7 +93,7 @@
   EXPECT_FALSE(calls.time_out(first));
 }
 
-TEST(CounterCallQueue, OnlyWhatWasWrittenMayHaveBeenReceivedWhenTheConnectionEnds) {
+TEST(CounterCallQueue, OnlyWrittenCommandsArePossiblySentWhenTheConnectionEnds) {
   CounterCallQueue calls;
   calls.push(add_call(1, "one"));
   calls.push(add_call(2, "two"));
@@ -108,7 +108,7 @@
   EXPECT_TRUE(calls.empty());
 }
 
-TEST(CounterCallQueue, AllOfAWriteThatIsPendingMayHaveBeenReceivedWhenTheConnectionEnds) {
+TEST(CounterCallQueue, CommandsOfAWriteInProgressArePossiblySentWhenTheConnectionEnds) {
   CounterCallQueue calls;
   calls.push(add_call(1, "one"));
   write_all(calls);
@@ -121,7 +121,7 @@
   EXPECT_FALSE(calls.is_writing());
 }
 
-TEST(CounterCallQueue, TheNextConnectionCountsItsBytesAnew) {
+TEST(CounterCallQueue, ByteOffsetsRestartWithEachConnection) {
   CounterCallQueue calls;
   calls.push(add_call(1, "a long command"));
   write_all(calls);
@@ -134,7 +134,7 @@
   EXPECT_FALSE(unanswered[0].possibly_sent);
 }
 
-TEST(CounterCallQueue, NobodyWaitsForPingsAndForCallsThatTimedOut) {
+TEST(CounterCallQueue, PingsAndTimedOutCallsNeedNoReply) {
   CounterCallQueue calls;
   EXPECT_FALSE(calls.any_needs_reply());
   calls.push(ping_call());
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -1,4 +1,4 @@
-// CounterClient against a FakeCounter on loopback, both in the test's own event loop.
+// Tests CounterClient with a FakeCounter on loopback. Both run in the test's event loop.
 #include "net/counter/counter_client.hpp"
 
 #include <gtest/gtest.h>
@@ -17,15 +17,15 @@
                                         [this](CounterReply reply) { replies.push_back(reply); });
     counter->start();
   }
-  // Adds and waits for the reply.
-  CounterReply add(std::int64_t name, double amount = 1) {
+  // Adds to a counter and waits for the reply.
+  CounterReply add(std::int64_t counter_key, double amount = 1) {
     const auto expected_replies = replies.size() + 1;
-    counter->add({name, amount, 4'000'000});
+    counter->add({counter_key, amount, 4'000'000});
     EXPECT_EQ(replies.size(), expected_replies - 1);  // never from within the call
     EXPECT_TRUE(run_until(io, [&] { return replies.size() == expected_replies; }));
     return replies.empty() ? CounterReply{} : replies.back();
   }
-  // Calls until one succeeds: the client reconnects after a backoff of its own.
+  // Repeats a call until it succeeds, because the client reconnects only after its backoff.
   bool next_call_succeeds_eventually() {
     for (int i = 0; i < 10'000; ++i) {
       if (add(77).outcome == CounterOutcome::kOk) {
@@ -56,7 +56,7 @@
   EXPECT_EQ(fake->peers.size(), 1U);
 }
 
-TEST_F(CounterClientTest, ARejectedCallIsKnownNotAdded) {
+TEST_F(CounterClientTest, ARejectedCallIsReportedAsNotAdded) {
   start_client();
   fake->answer = "-BUSY later\r\n";
   EXPECT_EQ(add(1).outcome, CounterOutcome::kNotAdded);
@@ -64,18 +64,18 @@
   EXPECT_EQ(add(1).outcome, CounterOutcome::kNotAdded);
 }
 
-TEST_F(CounterClientTest, ACallAfterTheCounterHasStoppedIsKnownNotAdded) {
+TEST_F(CounterClientTest, ACallAfterTheCounterHasStoppedIsReportedAsNotAdded) {
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->stop();
   CounterOutcome outcome = CounterOutcome::kUnknown;
-  while (outcome == CounterOutcome::kUnknown) {  // at most the call whose connection was reset
+  while (outcome == CounterOutcome::kUnknown) {  // only for a call on the connection that was reset
     outcome = add(1).outcome;
   }
   EXPECT_EQ(outcome, CounterOutcome::kNotAdded);
 }
 
-TEST_F(CounterClientTest, ACallWhoseConnectionIsResetMayHaveBeenAdded) {
+TEST_F(CounterClientTest, ACallOnAConnectionThatIsResetIsReportedAsUnknown) {
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   fake->silent = true;
@@ -93,17 +93,18 @@
   EXPECT_EQ(add(2).outcome, CounterOutcome::kUnknown);
   fake->silent = false;
   counter->add({3, 5, 4'000'000});
-  fake->last->write("$3\r\n222\r\n");  // the reply to call 2, after its time-out
+  fake->last->write("$3\r\n222\r\n");  // the reply to call 2, after its timeout
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].key, 3);
-  // A machine that pauses the test for longer than a call's time-out has the call time out instead.
+  // On a busy machine, the test may be suspended for longer than the call timeout; the call then
+  // times out.
   if (replies[2].outcome == CounterOutcome::kOk) {
     EXPECT_DOUBLE_EQ(replies[2].total, 5);
   }
 }
 
 TEST_F(CounterClientTest, ReconnectsToACounterThatStopsResponding) {
-  // Otherwise it would wait for ever on a connection to a counter that vanished.
+  // Otherwise the client would wait forever on a connection to a counter that no longer exists.
   start_client(20'000);
   ASSERT_TRUE(next_call_succeeds_eventually());
   fake->silent = true;
@@ -127,7 +128,7 @@
 }
 
 TEST_F(CounterClientTest, AReplyWithoutATotalEndsTheConnection) {
-  // Otherwise a later reply could be taken for the total of another customer.
+  // Otherwise a later reply could be attributed to another customer's counter.
   start_client();
   ASSERT_EQ(add(1).outcome, CounterOutcome::kOk);
   std::size_t expected_connections = 1;
@@ -168,7 +169,7 @@
 }
 
 TEST_F(CounterClientTest, AnInvalidReplyLeavesItsCallUnknownAndTheNextConnectionWorks) {
-  // Among them totals that are no finite number, and lengths that a parser might allocate.
+  // Includes totals that are not finite numbers, and stated lengths that a parser might allocate.
   start_client();
   for (const char* invalid_reply :
        {"$3\r\nnan\r\n", "$3\r\ninf\r\n", "$4\r\n12x4\r\n", "$-1\r\n", ":12\r\n", "+OK\r\n",
--- a/tests/net/counter/counter_liveness_test.cpp
+++ b/tests/net/counter/counter_liveness_test.cpp
@@ -1,4 +1,4 @@
-// check_counter_liveness(): when an idle connection is pinged and when a silent one is given up.
+// Tests when check_counter_liveness() requests a ping and when it reports an unresponsive counter.
 #include "net/counter/counter_liveness.hpp"
 
 #include <gtest/gtest.h>
@@ -9,14 +9,14 @@
 constexpr Micros kReceivedAt = 100'000'000;
 
 TEST(CounterLiveness, AnIdleConnectionIsPingedAfterTwoSeconds) {
-  // The counter closes connections that have been idle for 10 s or less.
+  // The counter closes idle connections after at most 10 s.
   EXPECT_EQ(check_counter_liveness(kReceivedAt + 2'000'000, std::nullopt, kReceivedAt),
             CounterLiveness::kAlive);
   EXPECT_EQ(check_counter_liveness(kReceivedAt + 2'000'001, std::nullopt, kReceivedAt),
             CounterLiveness::kIdle);
 }
 
-TEST(CounterLiveness, ACallWithoutAResponseForOneAndAHalfSecondsIsUnresponsive) {
+TEST(CounterLiveness, TheCounterIsUnresponsiveOneAndAHalfSecondsAfterACallWithoutAResponse) {
   const Micros called_at = kReceivedAt + 10'000'000;
   EXPECT_EQ(check_counter_liveness(called_at + 1'500'000, called_at, kReceivedAt),
             CounterLiveness::kAlive);
--- a/tests/net/counter/counter_outage_log_test.cpp
+++ b/tests/net/counter/counter_outage_log_test.cpp
@@ -1,4 +1,4 @@
-// CounterOutageLog: which lines a time without the quota counter leaves in the log.
+// Tests the log lines that CounterOutageLog writes for an outage of the quota counter.
 #include "net/counter/counter_outage_log.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,9 @@
 
 TEST_F(CounterOutageLogTest, BothEndsOfAnOutageAreLogged) {
   EXPECT_EQ(connected(kStart), "");
-  EXPECT_EQ(disconnected(CounterDisconnectReason::kNoResponse, kStart), "counter: no response\n");
+  EXPECT_EQ(
+      disconnected(CounterDisconnectReason::kNoResponse, kStart),
+      "counter: no connection, retrying: the counter did not respond to a pending call in time\n");
   EXPECT_EQ(connected(kStart + 1'500'999), "counter: reconnected after 1500 ms\n");
   EXPECT_EQ(connected(kStart + 2'000'000), "");
 }
@@ -40,7 +42,7 @@
   EXPECT_NE(disconnected(CounterDisconnectReason::kConnectTimeout, kStart), "");
   EXPECT_EQ(disconnected(CounterDisconnectReason::kConnectTimeout, kStart + 10'000'000), "");
   EXPECT_EQ(disconnected(CounterDisconnectReason::kConnectTimeout, kStart + 10'000'001),
-            "counter: connecting timed out\n");
+            "counter: no connection, retrying: connecting to the counter timed out\n");
 }
 
 }  // namespace
--- a/tests/net/upstream/attempt_runner_test.cpp
+++ b/tests/net/upstream/attempt_runner_test.cpp
@@ -1,5 +1,5 @@
-// What requests look like on the wire, and whether a request may have run whose attempt ended
-// without a response.
+// Tests the encoding of requests, and whether an attempt that ends without a response is reported
+// as never run or as possibly run.
 #include "net/upstream/attempt_runner.hpp"
 
 #include <gtest/gtest.h>
@@ -32,7 +32,8 @@
 }
 
 TEST_F(AttemptRunnerTest, ReportsAConnectTimeoutAsNeverRunAndSendsNothingLater) {
-  // A listener whose backlog is full lets connects hang, as a vanished machine does.
+  // A connect to a listener with a full backlog hangs, as does one to a machine that no longer
+  // exists.
   tcp::acceptor full(io, {asio::ip::address_v4::loopback(), 0}, true);
   full.listen(0);
   std::deque<tcp::socket> fillers;
@@ -46,7 +47,7 @@
   endpoint_list.endpoints[0].address = full.local_endpoint();
   pool().update(endpoint_list);
   EXPECT_EQ(run_attempt(1).outcome, Outcome::kConnectFailed);
-  // A connection that is established after that carries nothing.
+  // If a connection is established after the timeout, nothing is sent on it.
   std::size_t accepted = 0;
   fillers.clear();
   full.non_blocking(true);
@@ -67,8 +68,7 @@
 }
 
 TEST_F(AttemptRunnerTest, ReportsABreakBeforeTheLastByteAsNeverRun) {
-  // The request is larger than what the socket takes; the server reads little and breaks the
-  // connection.
+  // The request exceeds the socket's buffers, and the server resets the connection without reading.
   request.body.assign(32 << 20, 'x');
   tcp::acceptor acceptor(io, {asio::ip::address_v4::loopback(), 0});
   tcp::socket peer(io);
@@ -99,7 +99,7 @@
   ASSERT_TRUE(run_until(io, [&] { return !server.requests.empty(); }));
   EXPECT_TRUE(pool().abandon({2, 0}));
   ASSERT_TRUE(run_until(io, [&] { return server.peers.back()->closed; }));
-  EXPECT_TRUE(results.empty());  // no event follows an abandoned attempt
+  EXPECT_TRUE(results.empty());  // an abandoned attempt reports no result
 }
 
 }  // namespace
--- a/tests/net/upstream/connection_pool_fixture.hpp
+++ b/tests/net/upstream/connection_pool_fixture.hpp
@@ -1,5 +1,5 @@
-// A ConnectionPool that sends requests to a FakeServer on loopback: the fixture of all tests of
-// this folder that need connections.
+// Test fixture with a ConnectionPool that sends requests to a FakeServer on loopback, for all tests
+// in this folder that need connections.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,43 +15,46 @@
 
 namespace quota_gateway::net::testing {
 
+// Owns the event loop, the server, the pools and the results of all attempts.
 class ConnectionPoolFixture : public ::testing::Test {
  protected:
   ConnectionPoolFixture();
 
-  // Limits without a delay before reuse: the next request may take the same connection at once.
+  // Returns limits without a reuse delay: a connection can be reused immediately after a response.
   static ConnectionPoolLimits immediate_reuse();
 
-  // Makes pool() a new pool that knows `server` as "s".
+  // Creates a new pool, which pool() then returns. Its endpoint list contains `server` as "s".
   void make_pool(ConnectionPoolLimits limits = immediate_reuse());
   ConnectionPool& pool() { return pools.back(); }
 
-  // Starts an attempt at the server that is listed by that name.
+  // Starts an attempt on the server that is listed as `server_name`.
   void send(std::uint64_t number, const std::string& server_name = "s");
-  // Starts an attempt and waits for its result.
+  // Starts an attempt, waits for its result and returns it.
   AttemptResult run_attempt(std::uint64_t number, const std::string& server_name = "s");
 
-  // The outcome of an attempt, on a new pool, whose request the server answers with these bytes.
+  // Creates a new pool, runs an attempt to which the server responds with `bytes`, and returns the
+  // outcome.
   Outcome outcome_of_response(const std::string& bytes);
-  // The same if the server then closes the connection.
+  // The same, but the server closes the connection after `bytes`.
   Outcome outcome_of_response_and_close(const std::string& bytes);
-  // From now on the server answers each request with these bytes.
+  // Makes the server respond to each further request with `bytes`.
   void respond_with(const std::string& bytes);
 
-  // Whether the server's connection, by order of arrival, is closed before long.
+  // Waits until the server's connection with this index, in order of acceptance, is closed. Returns
+  // false on a timeout.
   bool is_closed(std::size_t connection);
 
   boost::asio::io_context io;
   Clock clock;
   Timers timers{io, clock};
   FakeServer server{io};
-  // The list that make_pool() applied; tests change it and apply it again.
+  // The list that make_pool() applies. Tests modify it and apply it again.
   EndpointList endpoint_list;
-  // What each attempt sends.
+  // The request that each attempt sends.
   ForwardedRequest request;
-  // Of all attempts, in the order of their ends.
+  // The results of all attempts, in the order in which they ended.
   std::vector<std::pair<AttemptKey, AttemptResult>> results;
-  // The current one is last. Former ones stay, because their handlers may still run.
+  // The current pool is the last. Earlier pools stay alive because their handlers may still run.
   std::deque<ConnectionPool> pools;
 };
 
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -1,4 +1,4 @@
-// What ConnectionPool does with its connections when the endpoint list changes.
+// Tests how ConnectionPool handles its connections and new attempts when the endpoint list changes.
 #include "net/upstream/connection_pool.hpp"
 
 #include <gtest/gtest.h>
@@ -18,24 +18,25 @@
 
 class ConnectionPoolTest : public ConnectionPoolFixture {
  protected:
-  // us of processor time that a change of one server takes among this many. The least of some runs:
-  // what else the machine does only adds to it.
-  double change_cost(int server_count);
+  // Returns the CPU time, in microseconds, to apply a change of one server in a list of
+  // `server_count` servers. Takes the minimum of 20 runs, because other load on the machine only
+  // increases the measured time.
+  double change_cpu_time(int server_count);
 };
 
-// us of processor time that this thread has used.
+// Returns the CPU time that this thread has used, in microseconds.
 double thread_cpu_time() {
   timespec time{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return double(time.tv_sec) * 1e6 + double(time.tv_nsec) * 1e-3;
 }
 
-// The n-th of many addresses where nothing listens.
-asio::ip::address numbered_address(int n) {
-  return asio::ip::address_v4(std::uint32_t(0x0a000000 + n));
+// Returns one of many distinct addresses on which no server listens.
+asio::ip::address numbered_address(int index) {
+  return asio::ip::address_v4(std::uint32_t(0x0a000000 + index));
 }
 
-double ConnectionPoolTest::change_cost(int server_count) {
+double ConnectionPoolTest::change_cpu_time(int server_count) {
   make_pool();
   for (int i = 1; i < server_count; ++i) {
     ListedEndpoint endpoint = endpoint_list.endpoints[0];
@@ -48,18 +49,19 @@
   EXPECT_EQ(run_attempt(std::uint64_t(server_count)).outcome, Outcome::kOk);
   EndpointList change;
   change.endpoints = {endpoint_list.endpoints.back()};
-  double least = 1e9;
+  double minimum = 1e9;
   for (int run = 0; run < 20; ++run) {
     change.endpoints[0].entry.started_at = 1 + run;
     const double start = thread_cpu_time();
     pool().update(change);
-    least = std::min(least, thread_cpu_time() - start);
+    minimum = std::min(minimum, thread_cpu_time() - start);
   }
-  return least;
+  return minimum;
 }
 
 TEST_F(ConnectionPoolTest, ClosesConnectionsToServersThatAreNoLongerListed) {
-  // First another server takes the address over; then a complete list leaves that one out.
+  // First, another server takes over the address. Then a complete list does not contain that
+  // server.
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
   endpoint_list.endpoints[0] = listed_endpoint("new", server);
@@ -76,7 +78,7 @@
 }
 
 TEST_F(ConnectionPoolTest, SendsNothingToAServerThatBeganToDrainDuringTheConnect) {
-  // A server must receive no new request once it is known to drain.
+  // The gateway must not send requests to a server that it knows to be draining.
   make_pool();
   send(1);
   endpoint_list.complete = false;
@@ -89,7 +91,8 @@
 }
 
 TEST_F(ConnectionPoolTest, SendsNothingToAServerThatMovedOrRestartedDuringTheConnect) {
-  // The process that was chosen is gone; the one in its place hasn't warmed up.
+  // The process that was selected for the attempt no longer exists, and the process that replaced
+  // it has not warmed up.
   FakeServer moved(io);
   for (const bool moves : {true, false}) {
     results.clear();
@@ -118,7 +121,7 @@
 }
 
 TEST_F(ConnectionPoolTest, OpensNewConnectionsToARestartedOrMovedServer) {
-  // The former connections to a machine that has vanished stay open and silent.
+  // Connections to a machine that no longer exists may stay open without reporting an error.
   FakeServer moved(io);
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
@@ -133,9 +136,9 @@
 }
 
 TEST_F(ConnectionPoolTest, AppliesAChangeAtACostIndependentOfTheNumberOfServers) {
-  // A walk over all that is listed takes 13 ms of processor time at 20,000 servers.
-  const double few = change_cost(200);
-  const double many = change_cost(170'000);
+  // An iteration over all listed servers takes 13 ms of CPU time with 20,000 servers.
+  const double few = change_cpu_time(200);
+  const double many = change_cpu_time(170'000);
   EXPECT_LT(many, 10 * few + 5);
   EXPECT_LT(many, 1'000);
 }
--- a/tests/net/upstream/connection_reuse_test.cpp
+++ b/tests/net/upstream/connection_reuse_test.cpp
@@ -1,4 +1,4 @@
-// Which connections ConnectionPool reuses, and how many it opens.
+// Tests which connections ConnectionPool reuses, and how many it opens.
 #include <gtest/gtest.h>
 
 #include "connection_pool_fixture.hpp"
@@ -10,7 +10,8 @@
 using ConnectionReuseTest = ConnectionPoolFixture;
 
 TEST_F(ConnectionReuseTest, DoesNotReuseAConnectionRightAfterAResponse) {
-  // Bytes that arrive a little later would be taken for the response to the next request.
+  // On a reused connection, trailing bytes that arrive shortly after a response would be parsed as
+  // the response to the next request.
   ConnectionPoolLimits limits;
   limits.reuse_delay = 10'000'000;
   make_pool(limits);
@@ -30,17 +31,18 @@
 }
 
 TEST_F(ConnectionReuseTest, DoesNotWriteToAConnectionThatTheServerClosed) {
-  // The close has arrived but was not read yet. A request that is written all the same ends as a
-  // reset that may have run, so that one with an idempotency key isn't retried elsewhere.
+  // The server's close has arrived but has not been read yet. A request that is written
+  // nevertheless is reset and may have run, so one with an idempotency key would not be retried
+  // elsewhere.
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
-  server.peers[0]->close();  // no turn of the loop between this and the send
+  server.peers[0]->close();  // the event loop does not run before the next request is sent
   EXPECT_EQ(run_attempt(2).outcome, Outcome::kOk);
   EXPECT_EQ(server.peers.size(), 2U);
   EXPECT_EQ(server.requests.size(), 2U);
 }
 
-TEST_F(ConnectionReuseTest, ClosesIdleConnectionsBeforeTheServersLimit) {
+TEST_F(ConnectionReuseTest, ClosesIdleConnectionsBeforeTheServersIdleTimeout) {
   ConnectionPoolLimits limits = immediate_reuse();
   limits.server_idle_timeout = 500'000;
   make_pool(limits);
@@ -49,9 +51,8 @@
 }
 
 TEST_F(ConnectionReuseTest, ShortensIdleReuseAfterAReset) {
-  // A request on a connection that was closed without notice while idle is lost. After one such
-  // reset the bound is 100 ms, far below the 6 s that it began with, so a connection that was idle
-  // for longer is closed unused.
+  // A request on an idle connection that was closed without notice is lost. One such reset lowers
+  // the maximum idle time from 6 s to 100 ms, and connections that are idle for longer are closed.
   make_pool();
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
   server.on_request = [](PeerConnection& peer, const HttpRequest&) { peer.reset(); };
--- a/tests/net/upstream/idle_connections_test.cpp
+++ b/tests/net/upstream/idle_connections_test.cpp
@@ -1,4 +1,4 @@
-// Which idle connection is found first, by server and by age.
+// Tests lookups of idle connections by server and by idle time.
 #include "net/upstream/idle_connections.hpp"
 
 #include <gtest/gtest.h>
@@ -54,7 +54,7 @@
   EXPECT_TRUE(idle.idle_since(9).empty());
 }
 
-TEST_F(IdleConnectionsTest, ForgetsOnlyTheRemovedConnection) {
+TEST_F(IdleConnectionsTest, RemovesOnlyTheGivenConnection) {
   const auto removed = add("s", 10);
   const auto kept = add("s", 20);
   idle.remove(*removed);
--- a/tests/net/upstream/idle_reuse_estimator_test.cpp
+++ b/tests/net/upstream/idle_reuse_estimator_test.cpp
@@ -1,4 +1,4 @@
-// How the longest idle time follows responses and resets.
+// Tests how responses and resets change the maximum idle time.
 #include "net/upstream/idle_reuse_estimator.hpp"
 
 #include <gtest/gtest.h>
@@ -6,18 +6,18 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-constexpr Micros kServerIdleLimit = 15'000'000;
+constexpr Micros kServerIdleTimeout = 15'000'000;
 constexpr Micros kInitialMaxIdle = 6'000'000;
 
-TEST(IdleReuseEstimatorTest, StartsBelowTheServersIdleLimitAndNeverGrowsBeyond) {
-  IdleReuseEstimator estimator(kServerIdleLimit);
+TEST(IdleReuseEstimatorTest, StartsBelowTheServersIdleTimeoutAndNeverExceedsTheInitialValue) {
+  IdleReuseEstimator estimator(kServerIdleTimeout);
   EXPECT_EQ(estimator.max_idle(), kInitialMaxIdle);
   estimator.on_response(kInitialMaxIdle);
   EXPECT_EQ(estimator.max_idle(), kInitialMaxIdle);
 }
 
 TEST(IdleReuseEstimatorTest, HalvesTheShorterOfEstimateAndIdleTimeOnAReset) {
-  IdleReuseEstimator estimator(kServerIdleLimit);
+  IdleReuseEstimator estimator(kServerIdleTimeout);
   estimator.on_reset(2'000'000);
   EXPECT_EQ(estimator.max_idle(), 1'000'000);
   estimator.on_reset(9'000'000);
@@ -25,13 +25,13 @@
 }
 
 TEST(IdleReuseEstimatorTest, NeverFallsBelow100Milliseconds) {
-  IdleReuseEstimator estimator(kServerIdleLimit);
+  IdleReuseEstimator estimator(kServerIdleTimeout);
   estimator.on_reset(1);
   EXPECT_EQ(estimator.max_idle(), 100'000);
 }
 
 TEST(IdleReuseEstimatorTest, GrowsBy5PercentOnlyOnAResponseAfterMoreThanHalfTheEstimate) {
-  IdleReuseEstimator estimator(kServerIdleLimit);
+  IdleReuseEstimator estimator(kServerIdleTimeout);
   estimator.on_reset(2'000'000);
   estimator.on_response(500'000);
   EXPECT_EQ(estimator.max_idle(), 1'000'000);
@@ -40,7 +40,7 @@
 }
 
 TEST(IdleReuseEstimatorTest, LearnsNothingFromAConnectionsFirstRequest) {
-  IdleReuseEstimator estimator(kServerIdleLimit);
+  IdleReuseEstimator estimator(kServerIdleTimeout);
   estimator.on_reset(0);
   estimator.on_response(0);
   EXPECT_EQ(estimator.max_idle(), kInitialMaxIdle);
--- a/tests/net/upstream/load_report_parser_test.cpp
+++ b/tests/net/upstream/load_report_parser_test.cpp
@@ -1,4 +1,4 @@
-// Load reports and single figures, as servers write them.
+// Tests the parsing of load reports and of single numbers from servers.
 #include "net/upstream/load_report_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -8,15 +8,15 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(LoadReportParserTest, ParsesAFigureThatIsTheCompleteText) {
-  EXPECT_EQ(parse_figure("2.5", 10), 2.5);
-  EXPECT_EQ(parse_figure("0", 10), 0);
-  EXPECT_EQ(parse_figure("10", 10), 10);
+TEST(LoadReportParserTest, ParsesANumberThatIsTheCompleteText) {
+  EXPECT_EQ(parse_bounded_number("2.5", 10), 2.5);
+  EXPECT_EQ(parse_bounded_number("0", 10), 0);
+  EXPECT_EQ(parse_bounded_number("10", 10), 10);
 }
 
-TEST(LoadReportParserTest, RejectsAFigureWithOtherTextOrOutOfRange) {
+TEST(LoadReportParserTest, RejectsANumberWithOtherTextOrOutOfRange) {
   for (const char* text : {"", " 1", "1 ", "1x", "x", "-1", "10.1", "nan", "inf", "1e999"}) {
-    EXPECT_EQ(parse_figure(text, 10), std::nullopt) << text;
+    EXPECT_EQ(parse_bounded_number(text, 10), std::nullopt) << text;
   }
 }
 
@@ -45,7 +45,7 @@
   EXPECT_EQ(report.in_flight, std::nullopt);
 }
 
-TEST(LoadReportParserTest, DiscardsTheReportAfterOneImplausibleFigure) {
+TEST(LoadReportParserTest, DiscardsTheReportIfAnyValueIsImplausible) {
   for (const char* text : {"inflight=7, queue=100001", "inflight=7, util=101", "inflight=7, queue",
                            "inflight=7, queue=", "queue=-1, inflight=7"}) {
     EXPECT_EQ(parse_load_report(text).in_flight, std::nullopt) << text;
--- a/tests/net/upstream/response_classifier_test.cpp
+++ b/tests/net/upstream/response_classifier_test.cpp
@@ -1,4 +1,4 @@
-// Outcomes and results of response heads, without a connection.
+// Tests the outcomes and results of responses without a connection.
 #include "net/upstream/response_classifier.hpp"
 
 #include <gtest/gtest.h>
@@ -29,21 +29,21 @@
   EXPECT_FALSE(is_interim(make_response(99)));
 }
 
-TEST(ResponseClassifierTest, TakesOnlyStatus200AsSuccess) {
+TEST(ResponseClassifierTest, ReportsOnlyStatus200AsSuccess) {
   EXPECT_EQ(outcome_of(make_response(200)), Outcome::kOk);
   for (const unsigned status : {201U, 204U, 302U, 404U, 500U, 503U, 504U}) {
     EXPECT_EQ(outcome_of(make_response(status)), Outcome::kError) << status;
   }
 }
 
-TEST(ResponseClassifierTest, TakesOnlyProvenRejectionsAsOverload) {
+TEST(ResponseClassifierTest, ReportsOnlyProvenRejectionsAsOverload) {
   EXPECT_EQ(outcome_of(with_header(503, "X-Never-Ran", "1")), Outcome::kOverloaded);
   EXPECT_EQ(outcome_of(with_header(504, "X-Never-Ran", "1")), Outcome::kOverloaded);
   EXPECT_EQ(outcome_of(with_header(503, "X-Never-Ran", "0")), Outcome::kError);
   EXPECT_EQ(outcome_of(with_header(502, "X-Never-Ran", "1")), Outcome::kError);
 }
 
-TEST(ResponseClassifierTest, MovesTheBodyAndTheStatedFiguresIntoTheResult) {
+TEST(ResponseClassifierTest, MovesTheBodyAndTheHeaderValuesIntoTheResult) {
   ServerResponse response = with_header(200, "Billed-Units", "3");
   response.set("Usage-Percent", "86");
   response.set("Endpoint-Load-Metrics", "queue=2");
@@ -67,7 +67,7 @@
   EXPECT_EQ(result.quota_usage_percent, 86);
 }
 
-TEST(ResponseClassifierTest, IgnoresImplausibleFigures) {
+TEST(ResponseClassifierTest, IgnoresImplausibleHeaderValues) {
   ServerResponse response = with_header(200, "Billed-Units", "10001");
   response.set("Usage-Percent", "1000001");
   const AttemptResult result = take_result(response, 17);
--- a/tests/net/upstream/response_reader_test.cpp
+++ b/tests/net/upstream/response_reader_test.cpp
@@ -1,4 +1,4 @@
-// What an attempt reports for each kind of response, valid or not.
+// Tests the results of attempts for valid and invalid responses.
 #include "net/upstream/response_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -49,7 +49,7 @@
 }
 
 TEST_F(ResponseReaderTest, ReportsOverloadOnlyWithProofThatNothingRan) {
-  // A plain 503 may come from a proxy, or from a busy server that has done the work.
+  // A 503 without X-Never-Ran may come from a proxy, or from a busy server that has done the work.
   EXPECT_EQ(outcome_of_response(http_response("503 No", "X-Never-Ran: 1\r\n")),
             Outcome::kOverloaded);
   EXPECT_EQ(outcome_of_response(http_response("504 No", "X-Never-Ran: 1\r\n")),
@@ -71,7 +71,7 @@
 }
 
 TEST_F(ResponseReaderTest, SkipsInterimResponses) {
-  // The HTTP library has no name for some of these, such as 103.
+  // Beast's status enumeration lacks some of these, such as 103.
   for (const char* status : {"100 Continue", "102 Processing", "103 Early Hints", "199 Odd"}) {
     EXPECT_EQ(outcome_of_response(std::string("HTTP/1.1 ") + status + "\r\n\r\n" +
                                   http_response("200 OK", "", "x")),
@@ -80,14 +80,15 @@
 }
 
 TEST_F(ResponseReaderTest, ClosesTheConnectionWhenTheStatedLengthExceedsTheLimit) {
-  // Some of the body arrives with the head. Without the check, reading would go on for 3 GB.
+  // A part of the body arrives with the head. A parser that proceeds directly to the body loses the
+  // error about the stated length and keeps reading up to 3 GB.
   EXPECT_EQ(outcome_of_response("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nbody"),
             Outcome::kReset);
   EXPECT_TRUE(run_until(io, [&] { return server.peers.back()->closed; }));
 }
 
 TEST_F(ResponseReaderTest, RejectsAResponseThatMayBeTruncated) {
-  // The stated length is too small, too large, stated twice, or not stated at all.
+  // The length is too small, too large, stated twice or missing, or the encoding is unknown.
   EXPECT_EQ(outcome_of_response("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nfour"),
             Outcome::kReset);
   EXPECT_EQ(outcome_of_response("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nfour"),
