--- a/scale/change_history.hpp
+++ b/scale/change_history.hpp
@@ -1,5 +1,5 @@
-// Which servers changed at which revision, as far back as a number of entries allows. Owned by
-// FakeDiscovery, which tells a watcher what changed since its revision; does no I/O.
+// A bounded history of which servers changed at which revision of the endpoint list. FakeDiscovery
+// owns it and uses it to build partial lists for watchers. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -10,23 +10,27 @@
 
 namespace quota_gateway::scale {
 
+// Stores the changed servers of each revision and discards the oldest revisions when it is full.
 class ChangeHistory {
  public:
-  // The number of a server in the order in which it was first listed.
+  // The position of a server in the order in which servers were first listed.
   using ServerIndex = std::uint32_t;
 
+  // Starts without changes at `revision`. Stores at most `max_entries` changed servers.
   ChangeHistory(std::int64_t revision, std::size_t max_entries);
 
-  // The revision grows from call to call.
+  // Stores the servers that changed at `revision` and discards the oldest revisions while there are
+  // too many entries. The revision must increase from call to call.
   void record(std::int64_t revision, std::vector<ServerIndex> changed);
-  // Forgets all changes up to and including the revision.
+  // Discards all stored changes. From now on only changes after `revision` are known.
   void forget(std::int64_t revision);
 
-  // Whether all changes after the revision are known.
+  // Returns whether all changes after `revision` are still stored.
   bool covers(std::int64_t revision) const { return revision >= oldest_revision_; }
-  // Whether they are known and are no more than `max_entries`.
+  // Returns whether all changes after `revision` are still stored and have at most `max_entries`
+  // entries in total.
   bool has_at_most_since(std::int64_t revision, std::size_t max_entries) const;
-  // Each server once that changed after the revision, as far as is known.
+  // Returns the servers that changed after `revision`, each once, as far as the history goes back.
   std::set<ServerIndex> changed_since(std::int64_t revision) const;
 
  private:
@@ -37,9 +41,9 @@
 
   const std::size_t max_entries_;
   std::deque<Change> changes_;
-  // Servers in all of the changes.
+  // Total number of servers in `changes_`; a server counts once for each of its changes.
   std::size_t entries_ = 0;
-  // Changes after this revision are known.
+  // All changes after this revision are stored.
   std::int64_t oldest_revision_;
 };
 
--- a/scale/clocks.hpp
+++ b/scale/clocks.hpp
@@ -1,4 +1,5 @@
-// The clocks that the scale tests measure with, in microseconds. Stateless: any thread may call.
+// Clocks of the scale tests, in microseconds. The functions keep no state and may be called from
+// any thread.
 #pragma once
 
 #include <ctime>
@@ -7,13 +8,13 @@
 
 namespace quota_gateway::scale {
 
-// A clock that only goes forward, the same for all threads.
+// Returns the time of a monotonic clock that all threads share.
 Micros steady_now();
 
-// Processor time that the calling thread has spent.
+// Returns the CPU time that the calling thread has used.
 Micros thread_cpu_time();
 
-// What the given POSIX clock shows.
+// Returns the current time of the given POSIX clock.
 Micros clock_time(clockid_t clock);
 
 }  // namespace quota_gateway::scale
--- a/scale/command_line.cpp
+++ b/scale/command_line.cpp
@@ -6,17 +6,18 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr std::size_t kMostDigits = 19;  // of a whole number that fits 64 bits in any case
+constexpr std::size_t kMaxDigits = 19;  // every number with 19 digits fits in 64 bits
 
 bool is_whole_number(const std::string& text) {
-  return !text.empty() && text.size() <= kMostDigits &&
+  return !text.empty() && text.size() <= kMaxDigits &&
          text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-// Without this check, the parser takes "-1" for the largest number there is.
+// Without this check, CLI11 accepts "-1" for an unsigned option and converts it to the largest
+// number.
 CLI::Validator whole_number() {
   return {[](const std::string& text) {
-            return is_whole_number(text) ? std::string() : "'" + text + "' is no whole number";
+            return is_whole_number(text) ? std::string() : "'" + text + "' is not a whole number";
           },
           "WHOLE"};
 }
@@ -24,22 +25,22 @@
 void add_run_options(CLI::App& command, CommandLine& arguments, std::string& json_path) {
   Options& options = arguments.options;
   command.add_option("NAME", arguments.scenario_names,
-                     "Scenarios, or what their names begin with; none: all");
-  command.add_option("--seed", options.seed, "Draws all that is drawn")
+                     "Names of scenarios, or the beginnings of names; default: all");
+  command.add_option("--seed", options.seed, "Seed of all random draws")
       ->check(whole_number())
       ->capture_default_str();
-  command.add_flag("--small", options.small, "Sizes that take seconds");
-  command.add_option("--gateways", options.gateways, "The largest number of gateways")
+  command.add_flag("--small", options.small, "Run at sizes that take seconds");
+  command.add_option("--gateways", options.gateways, "Largest number of gateways")
       ->check(whole_number())
       ->check(CLI::PositiveNumber);
-  command.add_option("--servers", options.servers, "The largest number of servers")
+  command.add_option("--servers", options.servers, "Largest number of servers")
       ->check(whole_number())
       ->check(CLI::PositiveNumber);
-  command.add_option("--seconds", options.seconds, "The most that a scenario may take")
+  command.add_option("--seconds", options.seconds, "Time limit of each scenario")
       ->check(CLI::PositiveNumber);
   command.add_option("--gateway", options.gateway_program,
-                     "The real gateway; default: the one beside");
-  command.add_option("--json", json_path, "A file for the figures as JSON lines");
+                     "Path of the real gateway; default: the one in the directory of this program");
+  command.add_option("--json", json_path, "Write the measurements to this file as JSON lines");
 }
 
 }  // namespace
@@ -47,12 +48,13 @@
 std::variant<CommandLine, ExitCode> parse_command_line(int argc, char** argv) {
   CommandLine arguments;
   std::string json_path;
-  CLI::App app("Scale tests of the quota_gateway gateway, on loopback alone.",
+  CLI::App app("Scale tests of the quota_gateway gateway, on loopback only.",
                "quota_gateway_scale_test");
   app.set_version_flag("--version", QUOTA_GATEWAY_VERSION);
   app.require_subcommand(1);
-  app.add_subcommand("list", "Tell the scenarios");
-  CLI::App* run_command = app.add_subcommand("run", "Run scenarios: a table on standard output");
+  app.add_subcommand("list", "List the scenarios");
+  CLI::App* run_command = app.add_subcommand(
+      "run", "Run scenarios and print a table of the results on standard output");
   add_run_options(*run_command, arguments, json_path);
   try {
     app.parse(argc, argv);
--- a/scale/command_line.hpp
+++ b/scale/command_line.hpp
@@ -1,4 +1,4 @@
-// The program's arguments. Called once, by main.
+// Parses the program's command line. Called once, by main.
 #pragma once
 
 #include <optional>
@@ -11,16 +11,19 @@
 
 namespace quota_gateway::scale {
 
+// The subcommands of the program.
 enum class Command { kList, kRun };
 
+// The parsed arguments.
 struct CommandLine {
   Command command = Command::kList;
-  Options options;                          // for kRun
-  std::vector<std::string> scenario_names;  // each a name or the beginning of one; none: all
-  std::optional<std::string> json_path;     // a file for the figures
+  Options options;                          // used by kRun only
+  std::vector<std::string> scenario_names;  // names or prefixes of names; empty: all
+  std::optional<std::string> json_path;     // file for the measurements
 };
 
-// The arguments, or the code to exit with after the help, the version or an error was printed.
+// Parses the arguments. Returns the exit code instead if the help text, the version or an error was
+// printed.
 std::variant<CommandLine, ExitCode> parse_command_line(int argc, char** argv);
 
 }  // namespace quota_gateway::scale
--- a/scale/counter_shard.cpp
+++ b/scale/counter_shard.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-// At which a shard without a limit catches up once it is no longer down.
+// The rate at which a shard without a rate limit serves the waiting calls after it was down.
 constexpr double kCatchUpCallsPerSecond = 1e5;
 
 }  // namespace
@@ -46,7 +46,7 @@
   }
 }
 
-// Microseconds that a call takes.
+// Returns the microseconds that a call takes.
 double CounterShard::service_interval() const {
   return kMicrosPerSecond / options_.calls_per_second.value_or(kCatchUpCallsPerSecond);
 }
@@ -67,7 +67,8 @@
   });
 }
 
-// The call that was waited for, and those that fell due while the loop was busy.
+// Serves the call that the timer was set for, and the calls that became due while the event loop
+// was busy.
 void CounterShard::serve_due() {
   const auto now = double(steady_now());
   bool is_first = true;
--- a/scale/counter_totals.hpp
+++ b/scale/counter_totals.hpp
@@ -1,5 +1,5 @@
-// The totals of a counter by name, each of which ends a lifetime after its first addition. Owned
-// by FakeCounter; does no I/O and is told the time.
+// The totals of a counter by counter key. A total expires one lifetime after its first addition.
+// FakeCounter owns this object and passes in the time; it does no I/O.
 #pragma once
 
 #include <array>
@@ -13,35 +13,37 @@
 
 namespace quota_gateway::scale {
 
+// Stores the totals and removes expired ones.
 class CounterTotals {
  public:
   static constexpr Micros kMaxLifetime = 60'000'000;
 
   explicit CounterTotals(Micros now);
 
-  // Adds to the total of the name and returns the sum. The lifetime, at most kMaxLifetime, counts
-  // only if the name has no total yet.
-  double add(const std::string& name, double amount, Micros lifetime, Micros now);
-  // Forgets the totals that have ended, up to a second late.
+  // Adds `amount` to the total of the key and returns the new total. `lifetime` must be at most
+  // kMaxLifetime and is ignored if the key has a total that has not expired.
+  double add(const std::string& key, double amount, Micros lifetime, Micros now);
+  // Removes expired totals, up to a second after their expiry.
   void sweep(Micros now);
   void clear();
-  // Names, those that have ended but are not swept yet included.
+  // Returns the number of totals, including expired ones that are not removed yet.
   std::size_t size() const { return totals_.size(); }
 
  private:
   static constexpr Micros kBucketWidth = 1'000'000;
-  // One for each second of a lifetime, one for rounding up and one for the second that is swept.
+  // One bucket for each second of the maximum lifetime, one for rounding up and one for the second
+  // that is being swept.
   static constexpr std::size_t kBuckets = kMaxLifetime / kBucketWidth + 2;
 
   struct Total {
     double sum = 0;
-    Micros ends_at = 0;
+    Micros expires_at = 0;
   };
 
   std::unordered_map<std::string, Total> totals_;
-  // Names by the second in which they may be forgotten.
-  std::array<std::vector<std::string>, kBuckets> ending_;
-  // Seconds since the clock's start.
+  // Keys by the second from which on their totals may be removed.
+  std::array<std::vector<std::string>, kBuckets> expiring_keys_;
+  // The last second of the clock that was swept.
   std::int64_t swept_until_;
 };
 
--- a/scale/disruptions.cpp
+++ b/scale/disruptions.cpp
@@ -15,25 +15,26 @@
 constexpr double kSecondsPerDay = 24 * kSecondsPerHour;
 constexpr double kMicrosPerSecond = 1e6;
 
-// All assumed, for no page of the operators gives a figure; docs/CAPACITY.md names them so.
-// "Most days", of racks or switches.
+// The rates and durations below are assumptions, because the operators' pages give no numbers;
+// docs/CAPACITY.md lists them as such.
+// The operators say "most days", of racks or switches.
 constexpr double kRackFailuresPerDay = 0.7;
-// "A few times a year".
+// The operators say "a few times a year".
 constexpr double kZoneFailuresPerDay = 3.0 / 365;
-// "Now and then".
+// The operators say "now and then".
 constexpr double kRegionCutsPerDay = 1.0 / 30;
 constexpr double kDrainS = 30;
 constexpr double kRestartS = 20;
-constexpr double kMachineAwayS = 1200;
-constexpr double kRackAwayS = 1800;
-constexpr double kZoneAwayS = 3600;
+constexpr double kMachineDownS = 1200;
+constexpr double kRackDownS = 1800;
+constexpr double kZoneDownS = 3600;
 
-// What happens at one moment, before it is known which servers it takes.
+// A restart, a failure or a change, before the affected servers are determined.
 struct Incident {
   double at_s = 0;
   Cause cause = Cause::kRestart;
-  // The first candidate of a restart; else the machine, rack, zone or region, or the number of the
-  // changed settings.
+  // For a restart the first candidate; otherwise the machine, rack, zone or region, or the number
+  // of the changed settings.
   std::uint32_t subject = 0;
 };
 
@@ -42,6 +43,7 @@
          std::tie(right.at_s, right.cause, right.subject);
 }
 
+// Draws all incidents, then applies them in chronological order.
 class DisruptionGenerator {
  public:
   DisruptionGenerator(const Layout& layout, const DisruptionOptions& options)
@@ -53,10 +55,10 @@
     for (const Incident& incident : incidents_) {
       apply(incident);
     }
-    std::stable_sort(day_.begin(), day_.end(), [](const Disruption& left, const Disruption& right) {
-      return left.at < right.at;
-    });
-    return std::move(day_);
+    std::stable_sort(
+        disruptions_.begin(), disruptions_.end(),
+        [](const Disruption& left, const Disruption& right) { return left.at < right.at; });
+    return std::move(disruptions_);
   }
 
  private:
@@ -72,7 +74,7 @@
     draw_incidents(Cause::kRestart, target.restarts_per_day * fraction, layout_.servers);
     draw_incidents(Cause::kMachine, target.failures_per_day * fraction, layout_.machines());
     draw_incidents(Cause::kRack, kRackFailuresPerDay * fraction, layout_.racks());
-    // A small layout has as many zones and regions as the target; they do not fail less often.
+    // Not reduced for a small layout, which has as many zones and regions as the target.
     draw_incidents(Cause::kZone, kZoneFailuresPerDay, layout_.zones);
     draw_incidents(Cause::kRegion, kRegionCutsPerDay, layout_.regions);
     draw_configuration_changes(target.config_changes_per_day * fraction);
@@ -112,17 +114,17 @@
         restart(incident);
         break;
       case Cause::kMachine:
-        fail_servers(incident, kMachineAwayS, [this, subject](std::size_t server) {
+        fail_servers(incident, kMachineDownS, [this, subject](std::size_t server) {
           return layout_.machine(server) == subject;
         });
         break;
       case Cause::kRack:
-        fail_servers(incident, kRackAwayS, [this, subject](std::size_t server) {
+        fail_servers(incident, kRackDownS, [this, subject](std::size_t server) {
           return layout_.rack(server) == subject;
         });
         break;
       case Cause::kZone:
-        fail_servers(incident, kZoneAwayS, [this, subject](std::size_t server) {
+        fail_servers(incident, kZoneDownS, [this, subject](std::size_t server) {
           return layout_.zone(server) == subject;
         });
         break;
@@ -136,7 +138,7 @@
     }
   }
 
-  // Takes the next server that is neither away nor draining.
+  // Restarts the first server, from the drawn one on, that is neither down nor draining.
   void restart(const Incident& incident) {
     for (std::size_t i = 0; i < layout_.servers; ++i) {
       const std::size_t server = (incident.subject + i) % layout_.servers;
@@ -151,31 +153,31 @@
     }
   }
 
-  void fail_servers(const Incident& incident, double away_s,
+  void fail_servers(const Incident& incident, double down_s,
                     const std::function<bool(std::size_t server)>& is_affected) {
     for (std::size_t server = 0; server < layout_.servers; ++server) {
       if (!is_affected(server) || busy_until_s_[server] > incident.at_s) {
         continue;
       }
       add(incident, 0, Change::kDown, server);
-      add(incident, away_s, Change::kUp, server);
-      busy_until_s_[server] = incident.at_s + away_s;
+      add(incident, down_s, Change::kUp, server);
+      busy_until_s_[server] = incident.at_s + down_s;
     }
   }
 
   void add(const Incident& incident, double after_s, Change change, std::size_t subject) {
     const double at_s = incident.at_s + after_s;
-    day_.push_back({Micros(at_s * kMicrosPerSecond / options_.compression), incident.cause, change,
-                    std::uint32_t(subject)});
+    disruptions_.push_back({Micros(at_s * kMicrosPerSecond / options_.compression), incident.cause,
+                            change, std::uint32_t(subject)});
   }
 
   const Layout& layout_;
   const DisruptionOptions& options_;
   std::mt19937_64 random_;
-  // By server, seconds of the day: until then it is away or draining.
+  // By server, the second of the period until which the server is down or draining.
   std::vector<double> busy_until_s_;
   std::vector<Incident> incidents_;
-  std::vector<Disruption> day_;
+  std::vector<Disruption> disruptions_;
 };
 
 }  // namespace
@@ -184,7 +186,7 @@
   const bool has_layout = layout.servers > 0 && layout.zones > 0 && layout.regions > 0;
   if (!has_layout || options.hours <= 0 || options.compression <= 0) {
     throw std::invalid_argument(
-        "a day needs servers, zones, regions, hours and a compression above 0");
+        "drawing disruptions needs servers, zones, regions, hours and a compression above 0");
   }
   return DisruptionGenerator(layout, options).generate();
 }
--- a/scale/disruptions.hpp
+++ b/scale/disruptions.hpp
@@ -1,5 +1,6 @@
-// What changes in a day at the operators' target, or in a part of it, drawn from a seed. Pure: the
-// same options give the same day. Scenarios draw a day and TestFleet::replay() publishes it.
+// Draws the disruptions of a period at the operators' target from a seed: restarts, failures,
+// region cuts and configuration changes. Pure: the same options give the same disruptions.
+// Scenarios draw them and TestFleet::replay() publishes them.
 #pragma once
 
 #include <cstdint>
@@ -11,10 +12,12 @@
 
 namespace quota_gateway::scale {
 
-// How long a region is cut off from discovery, in seconds: "for an hour".
+// Seconds for which a region is cut off from discovery; the operators say "for an hour".
 constexpr double kRegionCutS = 3600;
 
+// What causes a disruption.
 enum class Cause : std::uint8_t { kRestart, kMachine, kRack, kZone, kRegion, kConfiguration };
+// What a disruption changes.
 enum class Change : std::uint8_t {
   kDraining,
   kDown,
@@ -24,32 +27,35 @@
   kSettingsChanged
 };
 
+// A change of one server, of a region's connection to discovery or of the settings.
 struct Disruption {
-  // Microseconds of the run's clock since the day's beginning.
+  // Microseconds of the run's clock since the beginning of the period.
   Micros at = 0;
   Cause cause = Cause::kRestart;
   Change change = Change::kUp;
-  // The server; of a region's change the region, of changed settings their number.
+  // The server; for a change of a region the region, for changed settings their number.
   std::uint32_t subject = 0;
 
   bool operator==(const Disruption&) const = default;
 };
 
+// Options of the drawn period.
 struct DisruptionOptions {
   std::uint64_t seed = 1;
-  // That are drawn.
+  // Length of the period, before compression.
   double hours = 24;
-  // How many times faster the run's clock goes.
+  // Factor by which the run's clock is faster than real time.
   double compression = 1;
-  // Of the target's rates; 0: as much as the layout has of the target's servers.
+  // Fraction of the target's rates; 0: the layout's share of the target's servers. Zones and
+  // regions always have their full rate.
   double target_rate_fraction = 0;
   Target target = {};
 };
 
-// Sorted by time; disturbances of one moment belong to one change of the list. A server's own
-// changes fit together: one that is away or draining is taken by no other cause. All that begins
-// also ends, if need be after the last of the hours. Throws std::invalid_argument if the layout has
-// no servers, zones or regions, or the options no hours or no compression.
+// Returns the disruptions sorted by time; those with the same time belong to one change of the
+// list. A server that is down or draining is not affected by another cause. Every disruption that
+// begins also ends, after the last of the hours if necessary. Throws std::invalid_argument if the
+// layout has no servers, zones or regions, or the options have no hours or no compression.
 std::vector<Disruption> draw_disruptions(const Layout& layout, const DisruptionOptions& options);
 
 }  // namespace quota_gateway::scale
--- a/scale/endpoint_list_encoder.hpp
+++ b/scale/endpoint_list_encoder.hpp
@@ -1,5 +1,4 @@
-// Encodes endpoint lists as discovery's protocol words them. Pure functions, called by
-// FakeDiscovery.
+// Encodes endpoint lists in the format of the discovery protocol. Used by FakeDiscovery.
 #pragma once
 
 #include <cstdint>
@@ -10,14 +9,15 @@
 
 namespace quota_gateway::scale {
 
+// Whether a list has all servers or only those that changed.
 enum class ListKind : std::uint8_t { kComplete, kPartial };
 
-// Writes one list object, a server at a time.
+// Encodes one list object, server by server.
 class EndpointListEncoder {
  public:
   EndpointListEncoder(std::int64_t revision, ListKind kind);
   void add(const ListedServer& server);
-  // Ends the object with a line feed and returns it. Nothing may be added after that.
+  // Ends the object with a line feed and returns it. The encoder must not be used afterwards.
   std::string finish();
 
  private:
@@ -25,8 +25,8 @@
   bool is_empty_ = true;
 };
 
-// The text in chunks of at most 32 KB, as HTTP/1.1 sends a body whose length is not known; without
-// the last chunk, which would end the body.
+// Splits the text into HTTP/1.1 chunks of at most 32 KB, as for a body of unknown length, without
+// the empty last chunk that ends the body.
 std::string encode_chunked(std::string_view text);
 
 }  // namespace quota_gateway::scale
--- a/scale/event_loop_thread.hpp
+++ b/scale/event_loop_thread.hpp
@@ -1,6 +1,6 @@
-// An event loop with a thread of its own, whose processor time is what the objects on it spend.
-// The fakes and the simulated gateways live on such loops; the scenario's thread owns the loop and
-// reaches what is on it through run() only.
+// An event loop with a thread of its own, so that the thread's CPU time is that of the objects on
+// the loop. The fakes and the simulated gateways run on such loops. The scenario's thread owns the
+// loop and accesses its objects only through run().
 #pragma once
 
 #include <boost/asio/executor_work_guard.hpp>
@@ -16,18 +16,19 @@
 
 namespace quota_gateway::scale {
 
+// Runs an event loop and owns the objects on it.
 class EventLoopThread {
  public:
   EventLoopThread();
-  // Ends the thread, then the objects on it, the last one first.
+  // Ends the thread, then destroys the objects in reverse order of their creation.
   ~EventLoopThread();
   EventLoopThread(const EventLoopThread&) = delete;
   EventLoopThread& operator=(const EventLoopThread&) = delete;
 
   boost::asio::io_context& io() { return io_; }
 
-  // Runs the function on the loop, waits for it and returns what it returns or throws. Not to be
-  // called on the loop itself, where it would wait for ever.
+  // Runs the function on the loop, waits for it, and returns its result or rethrows its exception.
+  // Must not be called on the loop itself: the call would wait forever.
   template <typename Function>
   decltype(auto) run(Function function) {
     std::packaged_task<decltype(function())()> task(std::move(function));
@@ -36,7 +37,7 @@
     return result.get();
   }
 
-  // Makes an Object(io, arguments...) on the loop. It lives as long as the loop does.
+  // Creates an Object(io, arguments...) on the loop. The object lives as long as the loop.
   template <typename Object, typename... Arguments>
   Object& emplace(Arguments&&... arguments) {
     return run([&]() -> Object& {
@@ -46,14 +47,14 @@
     });
   }
 
-  // Processor time of the thread so far, in microseconds; 0 if the system does not know it.
+  // Returns the CPU time of the thread in microseconds; 0 if the system does not provide it.
   Micros cpu_time() const;
 
  private:
   boost::asio::io_context io_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
   std::vector<std::shared_ptr<void>> objects_;
-  // Not const, since its native handle is asked for in cpu_time().
+  // Mutable because cpu_time() is const and std::thread::native_handle() is not.
   mutable std::thread thread_;
 };
 
--- a/scale/event_measurement.cpp
+++ b/scale/event_measurement.cpp
@@ -13,10 +13,10 @@
 constexpr double kMicrosPerMilli = 1e3;
 constexpr double kBytesPerMegabyte = 1e6;
 
-// In which a fleet converges after an event, or the report says that it has not.
+// If a fleet has not converged this long after an event, the report says so.
 constexpr Micros kEventTimeout = 30'000'000;
-// The mean of requests to discovery is taken over so many seconds, or over the event if it lasts
-// longer.
+// The mean rate of requests to discovery is taken over this many seconds, or over the duration of
+// the event if that is longer.
 constexpr double kMinMeanWindowS = 10;
 
 }  // namespace
@@ -37,12 +37,12 @@
 
 void EventMeasurement::finish(const std::string& name) {
   const std::size_t gateways = fleet_.layout().gateways;
-  std::size_t least_with_list = gateways;
+  std::size_t min_with_list = gateways;
   FleetState last_state;
   const bool converged = fleet_.fleet().wait_until(
       [&](const FleetState& state) {
         peak_memory_ = std::max(peak_memory_, allocated_bytes());
-        least_with_list = std::min(least_with_list, state.with_list);
+        min_with_list = std::min(min_with_list, state.with_list);
         last_state = state;
         return state.converged == gateways;
       },
@@ -50,11 +50,12 @@
   const FleetUsage usage = fleet_.usage().since(usage_before_);
   report_convergence(name, converged, last_state);
   report_usage(name, usage);
-  report_lists(name, usage, last_state, least_with_list);
+  report_lists(name, usage, last_state, min_with_list);
   report_requests(name, usage);
 }
 
-void EventMeasurement::add_figure(const std::string& name, double value, const std::string& unit) {
+void EventMeasurement::add_measurement(const std::string& name, double value,
+                                       const std::string& unit) {
   report_.add({scenario_, name, sizes_, value, unit});
 }
 
@@ -62,44 +63,47 @@
                                           const FleetState& state) {
   if (converged) {
     const Micros took = std::max<Micros>(0, state.last_converged_at - started_at_);
-    add_figure(name + ".until_right", double(took) / kMicrosPerMilli, "ms");
+    add_measurement(name + ".until_right", double(took) / kMicrosPerMilli, "ms");
     return;
   }
   const std::size_t gateways = fleet_.layout().gateways;
   const Micros timeout_s = kEventTimeout / kMicrosInSecond;
   report_.note(scenario_, name + ": only " + std::to_string(state.converged) + " of " +
-                              std::to_string(gateways) + " gateways right after " +
+                              std::to_string(gateways) + " gateways had converged after " +
                               std::to_string(timeout_s) + " s");
 }
 
 void EventMeasurement::report_usage(const std::string& name, const FleetUsage& usage) {
   const auto gateways = double(fleet_.layout().gateways);
-  add_figure(name + ".bytes", double(usage.discovery.traffic.sent) / gateways, "bytes/gateway");
-  add_figure(name + ".agents_cpu", double(usage.agents_cpu) / kMicrosPerMilli, "ms");
-  add_figure(name + ".gateways_cpu", double(usage.gateways_cpu) / gateways / kMicrosPerMilli,
-             "ms/gateway");
-  add_figure(name + ".module_cpu", double(usage.module_cpu) / gateways / kMicrosPerMilli,
-             "ms/gateway");
+  add_measurement(name + ".bytes", double(usage.discovery.traffic.sent) / gateways,
+                  "bytes/gateway");
+  add_measurement(name + ".agents_cpu", double(usage.agents_cpu) / kMicrosPerMilli, "ms");
+  add_measurement(name + ".gateways_cpu", double(usage.gateways_cpu) / gateways / kMicrosPerMilli,
+                  "ms/gateway");
+  add_measurement(name + ".module_cpu", double(usage.module_cpu) / gateways / kMicrosPerMilli,
+                  "ms/gateway");
   const double more_memory = double(peak_memory_) - double(memory_before_);
-  add_figure(name + ".memory_more", more_memory / kBytesPerMegabyte, "MB");
+  add_measurement(name + ".memory_more", more_memory / kBytesPerMegabyte, "MB");
 }
 
 void EventMeasurement::report_lists(const std::string& name, const FleetUsage& usage,
-                                    const FleetState& state, std::size_t least_with_list) {
+                                    const FleetState& state, std::size_t min_with_list) {
   const std::size_t gateways = fleet_.layout().gateways;
-  add_figure(name + ".whole_lists", double(usage.discovery.full_lists), "lists");
+  add_measurement(name + ".whole_lists", double(usage.discovery.full_lists), "lists");
   if (usage.discovery.full_lists > gateways) {
     report_.note(scenario_,
                  name +
-                     ": more whole lists than gateways: simulated gateways share a processor, and "
-                     "a list that does not come in its time is asked for again");
+                     ": more complete lists than gateways: simulated gateways share a CPU, and a "
+                     "gateway that does not receive a list in time requests it again");
   }
-  add_figure(name + ".differences", double(usage.discovery.partial_lists), "lists");
-  // Since the fleet began. Gateways that restart are not among them: they begin without a list.
-  add_figure(name + ".were_without_list", double(state.lost_list), "gateways");
-  add_figure(name + ".least_with_list", double(least_with_list), "gateways");
-  add_figure(name + ".failed", double(state.failed - state_before_.failed), "requests");
-  add_figure(name + ".log_lines", double(fleet_.log_lines()) / double(gateways), "lines/gateway");
+  add_measurement(name + ".differences", double(usage.discovery.partial_lists), "lists");
+  // Counted since the start of the fleet. Restarted gateways are not included: they start without a
+  // list.
+  add_measurement(name + ".were_without_list", double(state.lost_list), "gateways");
+  add_measurement(name + ".least_with_list", double(min_with_list), "gateways");
+  add_measurement(name + ".failed", double(state.failed - state_before_.failed), "requests");
+  add_measurement(name + ".log_lines", double(fleet_.log_lines()) / double(gateways),
+                  "lines/gateway");
 }
 
 void EventMeasurement::report_requests(const std::string& name, const FleetUsage& usage) {
@@ -112,13 +116,13 @@
     highest = std::max(highest, requests);
     sum += requests;
   }
-  add_figure(name + ".asks", sum, "asks");
+  add_measurement(name + ".asks", sum, "asks");
   if (sum == 0) {
     return;
   }
   const double mean = sum / std::max(kMinMeanWindowS, usage.seconds());
-  add_figure(name + ".asks_highest_second", highest, "asks");
-  add_figure(name + ".asks_highest_over_mean", highest / mean, "times");
+  add_measurement(name + ".asks_highest_second", highest, "asks");
+  add_measurement(name + ".asks_highest_over_mean", highest / mean, "times");
 }
 
 double EventMeasurement::requests_before(Micros second) const {
--- a/scale/event_measurement.hpp
+++ b/scale/event_measurement.hpp
@@ -1,6 +1,6 @@
-// Measures what one event costs a test fleet: bytes, processor time, memory, lists, requests to
-// discovery, and how long until all gateways have converged. Made by the scenarios of events.cpp on
-// their thread, for one event each.
+// Measures what one event costs a test fleet: bytes, CPU time, memory, lists, requests to
+// discovery, and the time until all gateways have converged. The scenarios in events.cpp create one
+// object for each event, on their thread.
 #pragma once
 
 #include <cstddef>
@@ -16,27 +16,29 @@
 
 namespace quota_gateway::scale {
 
-// From its construction, which must be just before the event, to finish().
+// Measures from its construction, which must be directly before the event, until finish().
 class EventMeasurement {
  public:
-  // Refers to the fleet, which must have started, and to the report. Figures are reported at the
-  // sizes given and at the number of gateways.
+  // Keeps references to the fleet, which must have been started, and to the report. Measurements
+  // are reported at `sizes` and at the number of gateways.
   EventMeasurement(TestFleet& fleet, Report& report, std::string scenario,
                    std::map<std::string, double> sizes);
 
-  // Waits until all gateways have converged, 30 s at most, and reports what the event took. If they
-  // have not by then, the report says so. The figures' names begin with `name`.
+  // Waits until all gateways have converged, for at most 30 s, and reports the measurements of the
+  // event; their names begin with `name`. If the gateways have not converged in time, the report
+  // notes that.
   void finish(const std::string& name);
-  void add_figure(const std::string& name, double value, const std::string& unit);
+  void add_measurement(const std::string& name, double value, const std::string& unit);
 
  private:
   void report_convergence(const std::string& name, bool converged, const FleetState& state);
   void report_usage(const std::string& name, const FleetUsage& usage);
   void report_lists(const std::string& name, const FleetUsage& usage, const FleetState& state,
-                    std::size_t least_with_list);
-  // Requests to discovery: all, those of the highest second, and that second over the mean.
+                    std::size_t min_with_list);
+  // Reports the requests to discovery: their number, the highest number in one second, and that
+  // number divided by the mean per second.
   void report_requests(const std::string& name, const FleetUsage& usage);
-  // Requests of the second that were made before the event, and not because of it.
+  // Returns the requests of the second that were made before the event.
   double requests_before(Micros second) const;
 
   TestFleet& fleet_;
--- a/scale/events.cpp
+++ b/scale/events.cpp
@@ -1,7 +1,7 @@
-// Events that befall a fleet: gateways restart together, a rack, a zone, a region and a control
-// machine are lost and return. Each scenario measures bytes, processor time, memory, how long until
-// all gateways have converged, whether one was without a list meanwhile, and how requests to
-// discovery bunch together.
+// Scenarios of events that affect a fleet: a tenth of the gateways restarts, or a rack, a zone, a
+// region or a control machine is lost and returns. Each scenario measures bytes, CPU time, memory,
+// the time until all gateways have converged, whether a gateway was without a list in between, and
+// how requests to discovery cluster in time.
 #include <array>
 #include <cstddef>
 #include <cstdint>
@@ -23,9 +23,9 @@
 constexpr double kMicrosPerSecond = 1e6;
 constexpr double kMicrosPerMilli = 1e3;
 
-// At each gateway during an event; what is served shows that it works.
+// Requests at each gateway during an event; served requests show that the gateway works.
 constexpr double kRequestsPerS = 2;
-// Gateways that restart together are one of these.
+// The gateways of one of these groups restart together.
 constexpr std::size_t kGroups = 10;
 constexpr double kTenantsPerGateway = 100;
 
@@ -45,7 +45,7 @@
   return require_descriptors(memory, gateways, false);
 }
 
-// An agent for each region.
+// Uses one agent for each region.
 TestFleet::Options event_fleet_options(const Options& options, bool with_persisted_list) {
   TestFleet::Options fleet = test_fleet_options(options, gateways_of(options), servers_of(options));
   fleet.agents = fleet.layout.regions;
@@ -55,21 +55,21 @@
   return fleet;
 }
 
-// Publishes a change of each of the first servers, so that there is something to catch up with.
+// Publishes a change of each of the first servers, so that there are changes to catch up on.
 void drain_servers(TestFleet& fleet, std::size_t servers) {
   for (std::size_t server = 0; server < servers; ++server) {
     fleet.publish({fleet.listed_server(server, Phase::kDraining)});
   }
 }
 
-// Once with the history that partial lists need, and once without.
+// With and without the history that partial lists need.
 constexpr std::array kHistoryCases = {true, false};
 
 const char* history_name(bool has_history) {
   return has_history ? "history" : "lost history";
 }
 
-// A tenth of the gateways restart at once.
+// A tenth of the gateways restarts at the same time.
 constexpr const char* kRestarts = "events.restarts";
 
 void measure_restart(const Options& options, Report& report, bool with_persisted_list) {
@@ -79,14 +79,14 @@
   start_and_converge(fleet);
   drain_servers(fleet, kDrainedServers);
   if (!fleet.wait_until_converged(kConvergenceTimeout)) {
-    throw std::runtime_error("a change is not taken");
+    throw std::runtime_error("the gateways have not converged a minute after servers changed");
   }
   EventMeasurement event(fleet, report, kRestarts, {{"known_list", double(with_persisted_list)}});
   fleet.fleet().restart(kRestartedGroup);
   event.finish("restarted");
   const FleetState restarted = fleet.fleet().state_of(kRestartedGroup);
-  event.add_figure("restarted.longest_without_list",
-                   double(restarted.longest_time_to_first_list) / kMicrosPerMilli, "ms");
+  event.add_measurement("restarted.longest_without_list",
+                        double(restarted.longest_time_to_first_list) / kMicrosPerMilli, "ms");
 }
 
 void run_restarts(const Options& options, Report& report) {
@@ -99,7 +99,7 @@
   }
 }
 
-// Servers are lost and return.
+// Removes servers and adds them again, and measures both events.
 void measure_loss(const Options& options, Report& report, const char* scenario,
                   const std::function<bool(const Layout&, std::size_t server)>& is_lost) {
   TestFleet fleet(event_fleet_options(options, true));
@@ -133,27 +133,28 @@
 
 // A region is cut off from discovery for an hour of the run's clock.
 constexpr const char* kRegion = "events.region";
-// Changes of this time are published as one. One by one, an hour's changes within seconds keep
-// gateways busier than any day does, and all that is measured is their backlog.
+// Changes within this time are published as one. Published one by one, an hour's changes within
+// seconds would keep gateways busier than any day does, and the scenario would measure only their
+// backlog.
 constexpr Micros kReplayStep = 500'000;
 constexpr std::size_t kCutAgent = 1;
 
-// How many times shorter than an hour the cut is.
+// Returns the factor by which the cut is shorter than an hour.
 double region_compression(const Options& options) {
   return options.small ? 900 : 120;
 }
 
 std::vector<Disruption> draw_region_hour(const Options& options, const Layout& layout) {
-  DisruptionOptions day;
-  day.seed = options.seed;
-  day.hours = 1;
+  DisruptionOptions period;
+  period.seed = options.seed;
+  period.hours = 1;
   // As many changes as the target has in an hour.
-  day.target_rate_fraction = 1;
-  day.compression = region_compression(options);
-  return draw_disruptions(layout, day);
+  period.target_rate_fraction = 1;
+  period.compression = region_compression(options);
+  return draw_disruptions(layout, period);
 }
 
-// Ends the time for which an agent was away.
+// Ends the outage of an agent.
 void return_agent(TestFleet& fleet, std::size_t agent, bool has_history,
                   const std::function<void(FakeDiscovery&)>& resume) {
   fleet.expect();
@@ -168,23 +169,23 @@
 void measure_region(const Options& options, Report& report, bool has_history) {
   TestFleet fleet(event_fleet_options(options, true));
   start_and_converge(fleet);
-  const auto hour = draw_region_hour(options, fleet.layout());
+  const auto disruptions = draw_region_hour(options, fleet.layout());
   const auto length = Micros(kRegionCutS * kMicrosPerSecond / region_compression(options));
   const FleetUsage before = fleet.usage();
   fleet.with_agent(kCutAgent, [](FakeDiscovery& agent) { agent.set_silent(true); });
-  const std::size_t changes = fleet.replay(hour, length, kReplayStep);
-  // Until the other regions have the last of the changes.
+  const std::size_t changes = fleet.replay(disruptions, length, kReplayStep);
+  // Lets the other regions receive the last changes.
   sleep_for(kReplayStep);
   const FleetUsage cut = fleet.usage().since(before);
 
   EventMeasurement event(fleet, report, kRegion, {{"history", double(has_history)}});
   const Layout& layout = fleet.layout();
   const double gateways_cut = double(layout.gateways) / double(layout.regions);
-  event.add_figure("cut.changes", double(changes), "servers");
-  event.add_figure("cut.connections",
-                   double(cut.discovery.connections) / cut.seconds() / gateways_cut,
-                   "1/s/gateway cut");
-  event.add_figure("cut.agents_cpu", double(cut.agents_cpu) / cut.seconds(), "us/s");
+  event.add_measurement("cut.changes", double(changes), "servers");
+  event.add_measurement("cut.connections",
+                        double(cut.discovery.connections) / cut.seconds() / gateways_cut,
+                        "1/s/gateway cut");
+  event.add_measurement("cut.agents_cpu", double(cut.agents_cpu) / cut.seconds(), "us/s");
   return_agent(fleet, kCutAgent, has_history,
                [](FakeDiscovery& agent) { agent.set_silent(false); });
   event.finish("back");
@@ -198,10 +199,9 @@
     }
     measure_region(options, report, has_history);
   }
-  report.note(
-      kRegion,
-      "an hour shortened " + std::to_string(int(region_compression(options))) +
-          " times, with the target's changes of an hour in it; waits of the clients are not");
+  report.note(kRegion, "an hour is shortened " + std::to_string(int(region_compression(options))) +
+                           " times and contains the target's changes of an hour; the "
+                           "clients' waits are not shortened");
 }
 
 // A control machine is lost and returns.
@@ -219,9 +219,9 @@
   const FleetUsage lost = fleet.usage().since(before);
 
   EventMeasurement event(fleet, report, kControl, {{"history", double(has_history)}});
-  event.add_figure("lost.gateways_cpu",
-                   double(lost.gateways_cpu) / lost.seconds() / double(fleet.layout().gateways),
-                   "us/s/gateway");
+  event.add_measurement(
+      "lost.gateways_cpu",
+      double(lost.gateways_cpu) / lost.seconds() / double(fleet.layout().gateways), "us/s/gateway");
   return_agent(fleet, kLostAgent, has_history, [](FakeDiscovery& agent) { agent.start(); });
   event.finish("back");
 }
@@ -240,12 +240,13 @@
 
 void add_events(std::vector<Scenario>& scenarios) {
   scenarios.push_back(
-      {kRestarts, "a tenth of the gateways restart at once", memory_of, run_restarts});
-  scenarios.push_back({kRack, "a rack is lost and back", memory_of, run_rack});
-  scenarios.push_back({kZone, "a zone is lost and back", memory_of, run_zone});
-  scenarios.push_back({kRegion, "a region is cut from discovery for a shortened hour and back",
+      {kRestarts, "a tenth of the gateways restarts at the same time", memory_of, run_restarts});
+  scenarios.push_back({kRack, "a rack is lost and returns", memory_of, run_rack});
+  scenarios.push_back({kZone, "a zone is lost and returns", memory_of, run_zone});
+  scenarios.push_back({kRegion,
+                       "a region is cut off from discovery for a shortened hour and reconnected",
                        memory_of, run_region});
-  scenarios.push_back({kControl, "a control machine is lost and back", memory_of, run_control});
+  scenarios.push_back({kControl, "a control machine is lost and returns", memory_of, run_control});
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/fake_connection.cpp
+++ b/scale/fake_connection.cpp
@@ -65,7 +65,7 @@
   error_code ignored;
   socket_.close(ignored);
   on_closed();
-  // Keeps the object alive while its place among the open connections is given to the last one.
+  // Keeps the object alive while the last connection takes its position in the list.
   const auto self = shared_from_this();
   open_connections_.at(index_) = open_connections_.back();
   open_connections_.at(index_)->index_ = index_;
@@ -95,7 +95,8 @@
   }
 }
 
-// Not with async_write: what was sent before a connection broke counts as well.
+// Uses async_write_some instead of async_write, so that bytes that were sent before a connection
+// broke are counted.
 void FakeConnection::write() {
   is_writing_ = true;
   std::vector<asio::const_buffer> buffers;
--- a/scale/fake_connection.hpp
+++ b/scale/fake_connection.hpp
@@ -1,5 +1,6 @@
-// A connection that a fake accepted, and how fakes listen. Each fake derives its own connections,
-// which turn received bytes into calls of the fake. All calls come from the fake's event loop.
+// A connection that a fake server accepted, and functions to listen and accept. Each fake derives
+// its own connection class, which turns received bytes into calls of the fake. All calls are made
+// on the fake's event loop.
 #pragma once
 
 #include <array>
@@ -18,21 +19,21 @@
 
 namespace quota_gateway::scale {
 
-// Of the messages themselves; what TCP and IP add to each write is not included.
+// Traffic of the messages themselves, without the overhead of TCP and IP.
 struct Traffic {
-  // Bytes.
+  // In bytes.
   std::uint64_t sent = 0;
-  // Bytes.
+  // In bytes.
   std::uint64_t received = 0;
   std::uint64_t writes = 0;
 };
 
 class FakeConnection;
-// The connections of a fake that are open, in no lasting order.
+// The open connections of a fake, in no particular order.
 using FakeConnections = std::vector<std::shared_ptr<FakeConnection>>;
 
-// The fake owns an open connection through its FakeConnections. Once closed, the connection does
-// not touch anything of the fake, which may be gone while handlers are still pending.
+// The fake owns an open connection through its FakeConnections. A closed connection does not access
+// the fake, which may be destroyed while handlers are still pending.
 class FakeConnection : public std::enable_shared_from_this<FakeConnection> {
  public:
   using Buffer = std::shared_ptr<const std::string>;
@@ -41,25 +42,27 @@
                  Traffic& traffic);
   virtual ~FakeConnection() = default;
 
-  // Begins to read. Call it once, on an object that a shared_ptr owns.
+  // Starts reading. Must be called once, on an object that a shared_ptr owns.
   void start();
-  // Queues the bytes; does nothing once closed.
+  // Queues the bytes; does nothing if the connection is closed.
   void send(Buffer buffer);
   void send(std::string text);
-  // Closes with a TCP reset; bytes that are still queued are dropped.
+  // Closes the connection with a TCP reset and discards queued bytes.
   void reset();
   void close();
 
   bool is_open() const { return is_open_; }
   std::size_t unsent_bytes() const { return unsent_bytes_; }
-  // When send() was last called, by steady_now(); 0 before the first call.
+  // Time of the last call of send(), by steady_now(); 0 before the first call.
   Micros last_send_at() const { return last_send_at_; }
-  // By steady_now(); when it was accepted, until something is received.
+  // Time by steady_now() at which bytes were last received, or at which the connection was accepted
+  // if none were.
   Micros last_received_at() const { return last_received_at_; }
 
  protected:
-  // Removes from `received` what it has handled. May send, reset and close.
+  // Handles received bytes and removes them from `received`. May call send(), reset() and close().
   virtual void on_received(std::string& received) = 0;
+  // Called when the connection closes.
   virtual void on_closed() {}
 
  private:
@@ -71,10 +74,10 @@
   boost::asio::ip::tcp::socket socket_;
   FakeConnections& open_connections_;
   Traffic& traffic_;
-  // Its place in open_connections_.
+  // Position in open_connections_.
   std::size_t index_ = 0;
   std::size_t unsent_bytes_ = 0;
-  // Bytes of the first queued buffer that are sent.
+  // Bytes of the first queued buffer that have been sent.
   std::size_t first_buffer_sent_ = 0;
   std::deque<Buffer> queue_;
   std::string received_;
@@ -85,21 +88,23 @@
   bool is_writing_ = false;
 };
 
+// Resets all connections.
 void reset_all(FakeConnections& connections);
 
-// Throws std::invalid_argument unless it is a loopback address: the scale tests must not be
-// reachable from outside.
+// Opens a listening socket. Throws std::invalid_argument unless `address` is a loopback address:
+// the scale tests must not be reachable from other machines.
 boost::asio::ip::tcp::acceptor listen_on_loopback(boost::asio::io_context& io,
                                                   const boost::asio::ip::tcp::endpoint& address);
 
-// Hands each accepted socket over, for as long as `acceptor` is open; it must stay where it is.
+// Passes each accepted socket to `on_accepted` while `acceptor` is open. `acceptor` must not be
+// moved.
 template <typename OnAccepted>
 void accept_all(boost::asio::ip::tcp::acceptor& acceptor, OnAccepted on_accepted) {
   acceptor.async_accept(
       [&acceptor, on_accepted](boost::system::error_code ec, boost::asio::ip::tcp::socket socket) {
-        // Accepting ends at any error. If it went on without free descriptors it would fail again
-        // at once and keep the loop busy for ever; whoever sizes a run checks the descriptors
-        // before.
+        // Accepting ends at any error. Without free descriptors, another attempt would fail
+        // immediately and keep the event loop busy forever; the descriptors are checked before a
+        // run starts.
         if (ec || !acceptor.is_open()) {
           return;
         }
@@ -108,7 +113,7 @@
       });
 }
 
-// "ADDRESS:PORT".
+// Formats the address as "ADDRESS:PORT".
 std::string to_host_port(const boost::asio::ip::tcp::endpoint& address);
 
 }  // namespace quota_gateway::scale
--- a/scale/fake_counter.cpp
+++ b/scale/fake_counter.cpp
@@ -23,10 +23,10 @@
 namespace {
 
 constexpr std::chrono::seconds kSweepInterval(1);
-constexpr std::size_t kMaxNameBytes = 64;
+constexpr std::size_t kMaxKeyBytes = 64;
 constexpr double kMaxAmount = 1e9;
 constexpr Micros kMicrosPerMilli = 1'000;
-// The protocol's page says that totals are exact to seven.
+// The protocol's specification requires totals to be exact to seven digits.
 constexpr int kTotalDigits = 10;
 constexpr std::size_t kMaxTotalBytes = 48;
 
@@ -41,25 +41,26 @@
   return value;
 }
 
-// From CNT.ADD NAME AMOUNT LIFETIME, the lifetime in milliseconds; none if it is not such a call.
+// Parses CNT.ADD KEY AMOUNT LIFETIME, with the lifetime in milliseconds. Returns nothing for any
+// other command.
 std::optional<CounterCall> parse_call(const std::vector<std::string_view>& words) {
   constexpr std::size_t kWords = 4;
   if (words.size() != kWords || words[0] != "CNT.ADD") {
     return std::nullopt;
   }
-  const std::string_view name = words[1];
+  const std::string_view key = words[1];
   const auto amount = parse_number<double>(words[2]);
   const auto lifetime_ms = parse_number<Micros>(words[3]);
-  if (name.empty() || name.size() > kMaxNameBytes || !amount || !lifetime_ms) {
+  if (key.empty() || key.size() > kMaxKeyBytes || !amount || !lifetime_ms) {
     return std::nullopt;
   }
-  // Written so that an amount that is not a number is turned down as well.
+  // This form of the comparison also rejects an amount that is not a number.
   const bool has_valid_amount = std::abs(*amount) <= kMaxAmount;
   if (!has_valid_amount || *lifetime_ms < 1) {
     return std::nullopt;
   }
   CounterCall call;
-  call.key = name;
+  call.key = key;
   call.amount = *amount;
   call.lifetime =
       std::min(*lifetime_ms, CounterTotals::kMaxLifetime / kMicrosPerMilli) * kMicrosPerMilli;
@@ -194,7 +195,7 @@
 }
 
 void FakeCounter::close_idle_connections(Micros now) {
-  // A copy, since a connection that is closed leaves its place.
+  // A copy, because closing a connection removes it from connections_.
   const FakeConnections connections = connections_;
   for (const auto& connection : connections) {
     if (now - connection->last_received_at() > options_.idle_timeout) {
--- a/scale/fake_counter.hpp
+++ b/scale/fake_counter.hpp
@@ -1,10 +1,10 @@
-// A quota counter as a gateway meets it: adds up by name over RESP. On loopback only, written from
-// the protocol's page; it counts what it sends, receives and is asked for. Names are spread over
-// shards, each of which serves calls in turn.
+// A fake quota counter, which adds up amounts by counter key over RESP. It listens on loopback
+// only, is written from the protocol's specification, and counts its traffic and calls. Keys are
+// distributed over shards, each of which serves calls in order.
 //
-// Owned by an EventLoopThread or by a test; all calls come from its event loop. Unlike the
-// protocol's page it does not limit a gateway to 32 connections: all gateways of a run come from
-// one address and cannot be told apart.
+// Owned by an EventLoopThread or by a test; all calls are made on its event loop. Unlike the
+// specification, it does not limit a gateway to 32 connections: all gateways of a run have the same
+// address and cannot be told apart.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,31 +25,32 @@
 
 namespace quota_gateway::scale {
 
+// Accepts connections, distributes calls over the shards and stores the totals.
 class FakeCounter {
  public:
   struct Options {
     std::size_t shards = 1;
-    // Of each shard; none: calls are served at once.
+    // Rate limit of each shard; unset: calls are served immediately.
     std::optional<double> calls_per_second = std::nullopt;
-    // Of work that may wait at a shard; a call beyond is rejected.
+    // Microseconds of work that may wait at a shard; calls beyond that are rejected.
     Micros max_queue_time = 100'000;
-    // Connections that send nothing for this long are closed.
+    // Connections on which nothing is received for this long are closed.
     Micros idle_timeout = 10'000'000;
     // 0: any free port.
     unsigned short port = 0;
-    // Otherwise it rejects all calls until accept_calls().
+    // If false, all calls are rejected until accept_calls().
     bool accepts_calls = true;
   };
   struct Counts {
     Traffic traffic;
-    // Additions, those that were rejected included.
+    // Additions, including rejected ones.
     std::uint64_t calls = 0;
     std::uint64_t rejected = 0;
     std::uint64_t malformed = 0;
     std::uint64_t pings = 0;
     // Accepted so far.
     std::uint64_t connections = 0;
-    // Now, those that have ended but are not swept yet included.
+    // Keys that have a total now, including expired totals that are not removed yet.
     std::size_t keys = 0;
   };
 
@@ -59,10 +60,12 @@
   boost::asio::ip::tcp::endpoint address() const { return address_; }
   std::string host_port() const { return to_host_port(address_); }
   void accept_calls() { accepts_calls_ = true; }
-  // Calls of a shard that is down wait, and with them those behind them on their connections.
-  // Throws std::out_of_range if there is no such shard.
+  // Calls to a shard that is down wait, and so do the replies to later calls on the same
+  // connections, because replies are sent in order. Throws std::out_of_range if there is no such
+  // shard.
   void set_shard_down(std::size_t shard, bool down);
-  // As when its machine is lost and another takes its place: empty, on the same port.
+  // Simulates the loss of the counter's machine and its replacement: after start() the counter is
+  // empty and listens on the same port.
   void stop();
   void start();
   Counts counts() const;
@@ -70,7 +73,7 @@
  private:
   void on_command(const std::shared_ptr<FakeCounterConnection>& caller,
                   const std::vector<std::string_view>& words);
-  // The reply, or none if it follows later.
+  // Returns the reply, or nothing if the reply is sent later.
   std::optional<std::string> handle_command(const std::shared_ptr<FakeCounterConnection>& caller,
                                             std::uint64_t reply_slot,
                                             const std::vector<std::string_view>& words);
--- a/scale/fake_counter_connection.hpp
+++ b/scale/fake_counter_connection.hpp
@@ -1,6 +1,6 @@
-// A client's connection to FakeCounter: splits what it receives into commands and sends replies in
-// the order of the commands, whichever is ready first. Owned by FakeCounter through its
-// connections.
+// A client's connection to FakeCounter. It splits received bytes into commands and sends the
+// replies in the order of the commands, in whichever order they are completed. Owned by FakeCounter
+// through its FakeConnections.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,16 +17,19 @@
 
 namespace quota_gateway::scale {
 
+// Parses commands and orders replies.
 class FakeCounterConnection : public FakeConnection {
  public:
-  // May call all of the connection's functions; the words are valid until it returns.
+  // Handles one command. May call all functions of the connection; `words` is valid until the
+  // handler returns.
   using CommandHandler = std::function<void(const std::shared_ptr<FakeCounterConnection>&,
                                             const std::vector<std::string_view>& words)>;
 
   FakeCounterConnection(boost::asio::ip::tcp::socket socket, FakeConnections& open_connections,
                         Traffic& traffic, CommandHandler on_command);
 
-  // Takes the next place among the replies, which is to be filled once.
+  // Reserves the next position among the replies and returns its slot, which must be passed to
+  // complete_reply() once.
   std::uint64_t reserve_reply();
   void complete_reply(std::uint64_t slot, std::string reply);
 
@@ -37,11 +40,11 @@
   void send_ready();
 
   const CommandHandler on_command_;
-  // Replies that are not sent; none where it is not known yet.
+  // Replies that are not sent yet; empty if the reply is not known yet.
   std::deque<std::optional<std::string>> replies_;
-  // The slot of the first of them.
+  // The slot of the first element of replies_.
   std::uint64_t first_slot_ = 0;
-  // Replies of one turn leave in one write.
+  // Completed replies, which are sent together in one write.
   std::string ready_;
   bool is_handling_commands_ = false;
 };
--- a/scale/fake_discovery.cpp
+++ b/scale/fake_discovery.cpp
@@ -20,13 +20,14 @@
 constexpr std::size_t kMaxRequestHeadBytes = 16 << 10;
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 constexpr Micros kMicrosPerSecond = 1'000'000;
-// A complete list is encoded anew once more than one part in ten of its servers has changed.
-constexpr std::size_t kMaxStalePart = 10;
-// Watchers are looked at so many times in each interval. The gap between two heartbeats is then off
-// by half of such a look at most.
-constexpr int kHeartbeatLooks = 10;
-
-// The number under `key` in the query of a request's target.
+// A stored complete list is encoded again once more than one part in ten of its servers has
+// changed.
+constexpr std::size_t kStaleListDivisor = 10;
+// Watchers are checked this many times in each heartbeat interval. The time between two heartbeats
+// then differs from the interval by at most half of the time between two checks.
+constexpr int kHeartbeatChecksPerInterval = 10;
+
+// Returns the number under `key` in the query of a request's target.
 std::optional<std::int64_t> query_number(std::string_view target, std::string_view key) {
   std::size_t separator = target.find('?');
   while (separator != std::string_view::npos) {
@@ -43,7 +44,7 @@
   return std::nullopt;
 }
 
-// The target of a GET request; none if the head is not one.
+// Returns the target of a GET request, or nothing if the head is not that of a GET request.
 std::optional<std::string> request_target(std::string_view head) {
   constexpr std::string_view kMethod = "GET ";
   const std::size_t end = head.find(" HTTP/1.1");
@@ -56,6 +57,7 @@
 
 }  // namespace
 
+// A gateway's connection to the agent, which a request with watch=1 turns into a watch.
 class FakeDiscovery::Connection : public FakeConnection {
  public:
   Connection(tcp::socket socket, FakeDiscovery& discovery)
@@ -64,10 +66,10 @@
 
   void begin_watch() { is_watch_ = true; }
   bool is_watch() const { return is_watch_; }
-  // Of a watch: the revision up to which changes were sent.
+  // For a watch, the revision up to which changes have been sent.
   std::int64_t sent_revision() const { return sent_revision_; }
   void set_sent_revision(std::int64_t revision) { sent_revision_ = revision; }
-  // Keeps a request that came while discovery was silent.
+  // Stores a request that arrived while the agent was silent.
   void defer(const std::string& target) { deferred_targets_.push_back(target); }
   std::vector<std::string> take_deferred() { return std::exchange(deferred_targets_, {}); }
 
@@ -87,7 +89,7 @@
       discovery_.on_request(std::static_pointer_cast<Connection>(shared_from_this()), *target);
     }
     if (is_watch_) {
-      // A watch lasts until its connection ends; nothing further is asked on it.
+      // A watch lasts until its connection ends; further requests on it are ignored.
       received.clear();
     }
     if (received.size() > kMaxRequestHeadBytes) {
@@ -176,23 +178,23 @@
       continue;
     }
     ++counts_.updates;
-    bring_up_to_date(*watcher, revision_ - 1);
+    synchronize(*watcher, revision_ - 1);
   }
   return revision_;
 }
 
 void FakeDiscovery::set_silent(bool silent) {
-  const bool speaks_again = is_silent_ && !silent;
+  const bool resumes = is_silent_ && !silent;
   is_silent_ = silent;
-  if (!speaks_again) {
+  if (!resumes) {
     return;
   }
   for (const auto& watcher : watchers()) {
     if (watcher->sent_revision() < revision_) {
-      bring_up_to_date(*watcher, watcher->sent_revision());
+      synchronize(*watcher, watcher->sent_revision());
     }
   }
-  // A copy, since a connection that is closed leaves its place.
+  // A copy, because closing a connection removes it from connections_.
   const FakeConnections connections = connections_;
   for (const auto& connection : connections) {
     const auto requester = std::static_pointer_cast<Connection>(connection);
@@ -241,7 +243,7 @@
   if (known_revision && history_.covers(*known_revision) && *known_revision < revision_) {
     ++counts_.partial_lists;
   }
-  bring_up_to_date(watcher, known_revision);
+  synchronize(watcher, known_revision);
 }
 
 void FakeDiscovery::send_rejection(Connection& connection) const {
@@ -259,8 +261,7 @@
                   std::to_string(body.size()) + "\r\n\r\n" + body);
 }
 
-void FakeDiscovery::bring_up_to_date(Connection& watcher,
-                                     std::optional<std::int64_t> known_revision) {
+void FakeDiscovery::synchronize(Connection& watcher, std::optional<std::int64_t> known_revision) {
   const bool has_usable_revision =
       known_revision && history_.covers(*known_revision) && *known_revision <= revision_;
   if (!has_usable_revision) {
@@ -271,11 +272,12 @@
   watcher.set_sent_revision(revision_);
 }
 
-// A list that was encoded before is sent as long as little has changed since, with the changes
-// right behind it.
+// Sends a stored encoded list if few servers have changed since it was encoded, directly followed
+// by their changes.
 void FakeDiscovery::send_full_list(Connection& watcher) {
-  const bool is_usable = full_list_ && history_.has_at_most_since(full_list_->revision,
-                                                                  servers_.size() / kMaxStalePart);
+  const bool is_usable =
+      full_list_ &&
+      history_.has_at_most_since(full_list_->revision, servers_.size() / kStaleListDivisor);
   if (!is_usable) {
     full_list_ = EncodedList{
         std::make_shared<const std::string>(encode_chunked(encode_full_list())), revision_};
@@ -297,7 +299,7 @@
   return encoder.finish();
 }
 
-// Each server that changed after the revision, as it is now, in one object.
+// Encodes the current state of each server that changed after the revision, in one list object.
 FakeDiscovery::Buffer FakeDiscovery::partial_list(std::int64_t after) {
   Buffer& buffer = partial_lists_[after];
   if (!buffer) {
@@ -311,7 +313,7 @@
 }
 
 void FakeDiscovery::wait_for_heartbeats() {
-  const std::chrono::microseconds period(options_.heartbeat_interval / kHeartbeatLooks);
+  const std::chrono::microseconds period(options_.heartbeat_interval / kHeartbeatChecksPerInterval);
   heartbeat_timer_.expires_at(
       std::max(std::chrono::steady_clock::now(), heartbeat_timer_.expiry() + period));
   heartbeat_timer_.async_wait([this](error_code ec) {
@@ -326,7 +328,7 @@
 }
 
 void FakeDiscovery::send_heartbeats() {
-  const Micros tolerance = options_.heartbeat_interval / kHeartbeatLooks / 2;
+  const Micros tolerance = options_.heartbeat_interval / kHeartbeatChecksPerInterval / 2;
   const Micros due_if_sent_by = steady_now() - options_.heartbeat_interval + tolerance;
   for (const auto& connection : connections_) {
     auto& watcher = static_cast<Connection&>(*connection);
@@ -339,7 +341,7 @@
   }
 }
 
-// A copy, since a connection that is closed leaves its place.
+// Returns a copy, because closing a connection removes it from connections_.
 std::vector<std::shared_ptr<FakeDiscovery::Connection>> FakeDiscovery::watchers() const {
   std::vector<std::shared_ptr<Connection>> watchers;
   for (const auto& connection : connections_) {
--- a/scale/fake_discovery.hpp
+++ b/scale/fake_discovery.hpp
@@ -1,9 +1,9 @@
-// A discovery agent as a gateway meets it: GET /catalog/members answers a complete list or, with
-// watch=1, a watch. On loopback only, written from the protocol's page; it counts what it sends,
-// receives and is asked for. Watchers share one encoded buffer of each change and each complete
-// list, so that thousands of them cost one encoding.
+// A fake discovery agent. GET /catalog/members returns a complete list or, with watch=1, opens a
+// watch. The agent listens on loopback only, is written from the protocol's specification, and
+// counts its traffic and requests. Watchers share one encoded buffer of each change and each
+// complete list, so that thousands of watchers cost one encoding.
 //
-// Owned by an EventLoopThread or by a test; all calls come from its event loop.
+// Owned by an EventLoopThread or by a test; all calls are made on its event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,74 +27,78 @@
 
 namespace quota_gateway::scale {
 
+// Publishes a list of servers to watchers.
 class FakeDiscovery {
  public:
   struct Options {
     std::vector<ListedServer> servers = {};
     std::int64_t revision = 1;
-    // Changed entries that it remembers, to send partial lists from.
+    // Changed entries that are stored to build partial lists from.
     std::size_t max_history_entries = 100'000;
-    // Between empty lines on a watch without updates.
+    // Microseconds between empty lines on a watch without updates.
     Micros heartbeat_interval = 2'000'000;
     // 0: any free port.
     unsigned short port = 0;
-    // In 127.0.0.0/8.
+    // An address in 127.0.0.0/8.
     std::string host = "127.0.0.1";
-    // A watcher with more bytes queued than this is dropped at the next change.
+    // A watcher with more queued bytes than this is disconnected at the next change.
     std::size_t max_unsent_bytes = 64U << 20;
   };
   struct Counts {
     Traffic traffic;
-    // All that were read, those that were rejected included.
+    // Handled requests, including rejected ones.
     std::uint64_t requests = 0;
-    // Complete lists sent, on a watch or not.
+    // Complete lists sent, on a watch or as a single response.
     std::uint64_t full_lists = 0;
     // Watches that began with a partial list.
     std::uint64_t partial_lists = 0;
-    // Changes sent to watchers, one for each watcher.
+    // Changes sent to watchers, counted once for each watcher.
     std::uint64_t updates = 0;
     std::uint64_t heartbeats = 0;
     // Accepted so far.
     std::uint64_t connections = 0;
     std::uint64_t rejected = 0;
     std::uint64_t slow_watchers_dropped = 0;
-    // Connected now.
+    // Watches that are open now.
     std::size_t watchers = 0;
-    // By second of steady_now().
+    // Requests in each second of steady_now().
     std::map<Micros, std::uint32_t> requests_by_second;
   };
+  // The response to rejected requests.
   struct Rejection {
     int status = 503;
     std::optional<int> retry_after_s = std::nullopt;
   };
 
-  // Throws std::invalid_argument if the host is not on loopback.
+  // Throws std::invalid_argument if the host is not a loopback address.
   FakeDiscovery(boost::asio::io_context& io, Options options);
   ~FakeDiscovery();
 
   boost::asio::ip::tcp::endpoint address() const { return address_; }
   std::string host_port() const { return to_host_port(address_); }
   std::int64_t revision() const { return revision_; }
-  // All that were ever listed, in the order in which they came; those with the phase kRemoved are
-  // not listed any more.
+  // Returns all servers that were ever listed, in the order of their first listing. Servers in the
+  // phase kRemoved are no longer listed.
   const std::vector<ListedServer>& servers() const { return servers_; }
 
-  // Applies the entries as one change, sends it to all watchers and returns its revision.
+  // Applies the entries as one change, sends it to all watchers and returns the new revision.
   std::int64_t publish(const std::vector<ListedServer>& entries);
 
-  // While silent it sends nothing and leaves requests unanswered; connections stay open and new
-  // ones are accepted. What changed meanwhile is sent once it is no longer silent.
+  // While silent, the agent sends nothing and leaves requests unanswered; connections stay open and
+  // new ones are accepted. When it is no longer silent, it sends the changes of that time and
+  // handles the waiting requests.
   void set_silent(bool silent);
-  // Answers every request with this from now on; watches that are open stay.
+  // Rejects every request from now on; open watches stay open.
   void reject_requests(const Rejection& rejection) { rejection_ = rejection; }
   void accept_requests() { rejection_.reset(); }
-  // Partial lists start from the present revision; a request from an earlier one gets a complete
-  // list.
+  // Discards the history. From now on, partial lists start at the present revision or a later one,
+  // and a request with an earlier revision gets a complete list.
   void forget_history() { history_.forget(revision_); }
   // Resets the connections of the watchers.
   void reset_watchers();
-  // As when its machine is lost and returns: connections are reset and new ones refused until
-  // start(), on the same port. The list and the history stay and may be changed meanwhile.
+  // Simulates the loss of the agent's machine: connections are reset and new ones refused until
+  // start(), which listens on the same port. The list and the history are kept and may be changed
+  // in the meantime.
   void stop();
   void start();
 
@@ -112,8 +116,9 @@
   void begin_watch(Connection& watcher, const std::string& target);
   void send_rejection(Connection& connection) const;
   void send_list_response(Connection& connection);
-  // Sends what the watcher lacks; none: it has no list.
-  void bring_up_to_date(Connection& watcher, std::optional<std::int64_t> known_revision);
+  // Sends the changes after `known_revision`, or a complete list if the watcher has no list or the
+  // history does not go back far enough.
+  void synchronize(Connection& watcher, std::optional<std::int64_t> known_revision);
   void send_full_list(Connection& watcher);
   std::string encode_full_list() const;
   Buffer partial_list(std::int64_t after);
@@ -133,7 +138,7 @@
   std::int64_t revision_;
   const Buffer heartbeat_;
   std::optional<EncodedList> full_list_;
-  // By the revision that they start from, up to the present one.
+  // Encoded partial lists up to the current revision, by the revision from which they start.
   std::map<std::int64_t, Buffer> partial_lists_;
   bool is_silent_ = false;
   bool is_running_ = false;
--- a/scale/fake_endpoints.cpp
+++ b/scale/fake_endpoints.cpp
@@ -28,7 +28,8 @@
 
 }  // namespace
 
-// Lives as long as its handlers; the servers outlive the loop's last turn.
+// Kept alive by its pending handlers. It may refer to the servers, which exist until the event loop
+// has run its last handler.
 class FakeEndpoints::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(tcp::socket socket, FakeEndpoints& endpoints, Server& server)
@@ -114,7 +115,7 @@
                              const Response& response)
     : io_(io), random_(seed) {
   if (listening == 0) {
-    throw std::invalid_argument("no server listens");
+    throw std::invalid_argument("the number of listening servers must not be 0");
   }
   const tcp::endpoint any_port(asio::ip::address_v4::loopback(), 0);
   servers_.reserve(listening);
--- a/scale/fake_endpoints.hpp
+++ b/scale/fake_endpoints.hpp
@@ -1,8 +1,8 @@
-// Servers behind the gateways: each listens at a port of its own on loopback and answers requests
-// as it is told. More servers may be listed than listen; their numbers then go round those that
-// do.
+// Fake servers behind the gateways. Each server listens on its own loopback port and answers
+// requests with a configured response. More servers may be listed than listen; server numbers then
+// wrap around the listening servers.
 //
-// Owned by an EventLoopThread or by a test; all calls come from its event loop.
+// Owned by an EventLoopThread or by a test; all calls are made on its event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,18 +19,19 @@
 
 namespace quota_gateway::scale {
 
+// Listens for all servers and counts their requests.
 class FakeEndpoints {
  public:
   struct Response {
     // 200, 500 or 503.
     int status = 200;
-    // Adds "X-Never-Ran: 1".
+    // Adds the header "X-Never-Ran: 1".
     bool never_ran = false;
-    // From a request's last byte to its response.
+    // Microseconds from the last byte of a request to its response.
     Micros service_time = 2'000;
-    // The part of it by which it varies, evenly in both directions.
+    // Fraction of service_time by which it varies, uniformly in both directions.
     double service_time_spread = 0;
-    // With status 200 only.
+    // Sent with status 200 only.
     std::string body = "ok";
   };
   struct Counts {
@@ -38,12 +39,12 @@
     std::uint64_t requests = 0;
     // Accepted so far.
     std::uint64_t connections = 0;
-    // Sent, by status.
+    // Responses sent, by status.
     std::map<int, std::uint64_t> responses;
   };
 
-  // `listening` servers, which all give the same response at first. Throws std::invalid_argument
-  // if there are none.
+  // Starts `listening` servers, which all give the same response at first. Throws
+  // std::invalid_argument if `listening` is 0.
   FakeEndpoints(boost::asio::io_context& io, std::size_t listening, std::uint64_t seed = 1);
   FakeEndpoints(boost::asio::io_context& io, std::size_t listening, std::uint64_t seed,
                 const Response& response);
@@ -51,11 +52,11 @@
   std::size_t listening() const { return servers_.size(); }
   boost::asio::ip::tcp::endpoint address(std::size_t server) const;
   std::string host_port(std::size_t server) const { return to_host_port(address(server)); }
-  // From now on; of one server, or of all.
+  // Sets the response to later requests, of one server or of all.
   void set_response(std::size_t server, Response response);
   void set_response(const Response& response);
   Counts counts() const { return counts_; }
-  // That came to the server.
+  // Returns the number of requests that the server received.
   std::uint64_t requests(std::size_t server) const;
 
  private:
@@ -69,7 +70,7 @@
   void accept(Server& server);
 
   boost::asio::io_context& io_;
-  // Never grows after the constructor: accepting refers to its elements.
+  // Does not grow after the constructor, because accept handlers refer to its elements.
   std::vector<Server> servers_;
   std::mt19937_64 random_;
   Counts counts_;
--- a/scale/fleet_options.hpp
+++ b/scale/fleet_options.hpp
@@ -1,4 +1,4 @@
-// What a fleet of simulated gateways is made of. Plain values, kept by SimulatedFleet.
+// Configuration of a fleet of simulated gateways. Plain values, stored by SimulatedFleet.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -13,34 +13,36 @@
 
 namespace quota_gateway::scale {
 
+// Sizes, control servers, settings and load of the fleet.
 struct FleetOptions {
   std::size_t gateways = 20;
-  // Each on a thread of its own, and restarted as one.
+  // Groups of gateways. Each runs on its own thread and is restarted as a unit.
   std::size_t groups = 10;
-  // Discovery agents; gateway i uses agents[i % size].
+  // Discovery agents; gateway i uses agents[i % agents.size()].
   std::vector<boost::asio::ip::tcp::endpoint> agents;
   std::optional<boost::asio::ip::tcp::endpoint> counter;
-  // Without the count and the index of gateways, which SimulatedGateway fills in.
+  // Without the gateway count, the gateway index and the counter flag, which SimulatedGateway sets.
   Settings settings = default_settings();
-  // Listed, at most.
+  // The largest number of listed servers.
   std::size_t servers = 0;
-  // At each gateway.
+  // Request rate at each gateway.
   double requests_per_s = 0;
-  // Tenants whose requests come to one gateway, a few of them most of all.
+  // Tenants that send requests to one gateway; a few of them send most of the requests.
   std::size_t tenants_per_gateway = 100;
-  // To which the requests of one tenant go.
+  // Gateways to which one tenant sends requests.
   int gateways_per_tenant = 3;
-  // From an attempt to its response, in microseconds.
+  // Microseconds from an attempt to its response.
   Micros service_time = 5'000;
   std::uint64_t seed = 1;
-  // The persisted list that gateways start with; null: none.
+  // The persisted list that gateways start with; null if there is none.
   std::shared_ptr<const net::EndpointList> persisted_list = nullptr;
 
-  // Two classes and two plans.
+  // Returns settings with two classes and two plans.
   static Settings default_settings();
 };
 
-// Descriptors that a fleet and the other ends of its connections take.
+// Returns the number of file descriptors that a fleet needs, including the other ends of its
+// connections.
 std::size_t descriptors_needed(const FleetOptions& options);
 
 }  // namespace quota_gateway::scale
--- a/scale/fleet_scenario.cpp
+++ b/scale/fleet_scenario.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 constexpr double kMicrosPerSecond = 1e6;
-// In place of 2 s, so that heartbeats come in a run that takes a second.
+// Replaces the default of 2 s, so that heartbeats occur in a run of one second.
 constexpr Micros kSmallHeartbeatInterval = 200'000;
 
-// Bytes, measured and rounded up.
+// The sizes of a gateway and its data are measured, in bytes, and rounded up.
 constexpr double kGatewayBytes = 150e3;
-// Of a listed server at a gateway, with 170,000 of them.
+// For each listed server at a gateway, with 170,000 servers.
 constexpr double kServerBytesPerGateway = 0.55e3;
 constexpr double kTenantBytesPerGateway = 1e3;
-// Of a server in an encoded list.
+// For each server in an encoded list.
 constexpr double kEncodedServerBytes = 150;
-// Copies of the list, encoded or not, that an agent is reckoned to hold.
+// Estimated number of copies of the list, encoded or not, in an agent.
 constexpr double kListsPerAgent = 4;
 
 }  // namespace
@@ -41,11 +41,11 @@
     : budget_(options, default_s) {}
 
 bool ScenarioDeadline::expired(Report& report, const std::string& scenario,
-                               const std::string& left_out) const {
+                               const std::string& skipped) const {
   if (!budget_.is_exhausted()) {
     return false;
   }
-  report.note(scenario, "out of time: not run at " + left_out);
+  report.note(scenario, "the time limit has passed: not run at " + skipped);
   return true;
 }
 
@@ -74,8 +74,8 @@
   const std::size_t allowed = raise_descriptor_limit();
   if (needed > allowed) {
     throw std::invalid_argument(std::to_string(gateways) + " gateways need " +
-                                std::to_string(needed) + " descriptors, " +
-                                std::to_string(allowed) + " are allowed");
+                                std::to_string(needed) + " file descriptors, but only " +
+                                std::to_string(allowed) + " are allowed for this process");
   }
   return memory;
 }
@@ -94,7 +94,7 @@
 void start_and_converge(TestFleet& fleet) {
   fleet.start();
   if (!fleet.wait_until_converged(kConvergenceTimeout)) {
-    throw std::runtime_error("gateways have no list after a minute");
+    throw std::runtime_error("the gateways have not converged a minute after their start");
   }
 }
 
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -1,4 +1,4 @@
-// The scenarios of a fleet's slopes, as the program lists them.
+// Adds the scenarios of a fleet's slopes to the program's list.
 #include "fleet/fleet_slopes.hpp"
 
 #include "scenario.hpp"
--- a/scale/fleet_usage.cpp
+++ b/scale/fleet_usage.cpp
@@ -5,7 +5,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-// Sets each number of `left` to operation(left, right).
+// Sets each count of `left` to operation(left, right).
 template <typename Operation>
 void combine(Traffic& left, const Traffic& right, Operation operation) {
   for (const auto member : {&Traffic::sent, &Traffic::received, &Traffic::writes}) {
--- a/scale/fleet_usage.hpp
+++ b/scale/fleet_usage.hpp
@@ -1,5 +1,5 @@
-// What a fleet and its control servers have spent and carried, up to a moment or between two. Plain
-// values, filled in by TestFleet.
+// Resource usage and traffic of a fleet and its control servers, up to a moment or between two
+// moments. Plain values, filled in by TestFleet.
 #pragma once
 
 #include "fake_counter.hpp"
@@ -8,25 +8,27 @@
 
 namespace quota_gateway::scale {
 
+// Usage up to a moment, or the difference of two such values.
 struct FleetUsage {
-  // The moment by steady_now(), or the time between two moments, in microseconds.
+  // The time by steady_now() or, in a difference, the time between the two moments, in
+  // microseconds.
   Micros at = 0;
-  // Processor time, in microseconds.
+  // CPU time, in microseconds.
   Micros agents_cpu = 0;
   Micros counter_cpu = 0;
   Micros gateways_cpu = 0;
-  // Of that, within the decision modules.
+  // The part of gateways_cpu that was used in the decision modules.
   Micros module_cpu = 0;
-  // Of all agents.
+  // Added up over all agents.
   FakeDiscovery::Counts discovery;
   FakeCounter::Counts counter;
 
-  // Of a difference: how long it took.
+  // Returns the duration of a difference.
   double seconds() const { return double(at) / 1e6; }
-  // The difference. What is counted by second, and what says how many there are now, stays as it is
-  // in this one.
+  // Returns the difference to an earlier usage. Counts by second and current numbers, such as that
+  // of the open watches, are not subtracted.
   FleetUsage since(const FleetUsage& before) const;
-  // Adds what one agent counted.
+  // Adds the counts and the CPU time of one agent.
   void add_agent(const FakeDiscovery::Counts& counts, Micros cpu_time);
 };
 
--- a/scale/layout.hpp
+++ b/scale/layout.hpp
@@ -1,6 +1,6 @@
-// Where servers and gateways are in a run: servers evenly over zones, those of a zone over its
-// racks and machines, zones and gateways over regions. Pure; used by the drawn day, the test fleet
-// and the scenarios.
+// The placement of servers and gateways in a run: servers are distributed evenly over zones, the
+// servers of a zone over its racks and machines, and zones and gateways over regions. Pure; used by
+// the drawn disruptions, the test fleet and the scenarios.
 #pragma once
 
 #include <cstddef>
@@ -12,46 +12,50 @@
 
 namespace quota_gateway::scale {
 
-// Assumed, for no page of the operators says; docs/CAPACITY.md names them so.
+// An assumption, as the operators' pages do not state it; docs/CAPACITY.md lists it as such.
 constexpr std::size_t kServersPerMachine = 4;
-// Behind one switch. Assumed.
+// Machines behind one switch. An assumption, too.
 constexpr std::size_t kMachinesPerRack = 20;
 constexpr std::size_t kServersPerRack = kServersPerMachine * kMachinesPerRack;
 
-// Machines and racks are numbered through all zones.
+// Numbers of servers, gateways, zones and regions. Machines and racks are numbered across all
+// zones.
 struct Layout {
   std::size_t servers = 0;
   std::size_t gateways = 0;
   std::size_t zones = 1;
   std::size_t regions = 1;
 
-  // With as many zones and regions as the target has.
+  // Returns a layout with as many zones and regions as the target.
   static Layout with_zones_of(const Target& target, std::size_t servers, std::size_t gateways) {
     return {servers, gateways, target.zones, target.regions};
   }
 
   std::size_t zone(std::size_t server) const { return server % zones; }
-  std::size_t rack(std::size_t server) const { return unit(server, kServersPerRack); }
-  std::size_t machine(std::size_t server) const { return unit(server, kServersPerMachine); }
-  std::size_t racks() const { return units(kServersPerRack); }
-  std::size_t machines() const { return units(kServersPerMachine); }
+  std::size_t rack(std::size_t server) const { return group(server, kServersPerRack); }
+  std::size_t machine(std::size_t server) const { return group(server, kServersPerMachine); }
+  std::size_t racks() const { return groups(kServersPerRack); }
+  std::size_t machines() const { return groups(kServersPerMachine); }
 
  private:
-  // The number of the unit of so many servers of one zone to which the server belongs.
-  std::size_t unit(std::size_t server, std::size_t servers_per_unit) const {
-    return server / zones / servers_per_unit * zones + zone(server);
+  // Returns the number of the group to which the server belongs, if each group has
+  // `servers_per_group` servers of one zone.
+  std::size_t group(std::size_t server, std::size_t servers_per_group) const {
+    return server / zones / servers_per_group * zones + zone(server);
   }
-  std::size_t units(std::size_t servers_per_unit) const {
-    return servers == 0 ? 0 : (servers - 1) / (zones * servers_per_unit) * zones + zones;
+  std::size_t groups(std::size_t servers_per_group) const {
+    return servers == 0 ? 0 : (servers - 1) / (zones * servers_per_group) * zones + zones;
   }
 };
 
+// Returns the id under which the server is listed.
 std::string server_id(std::size_t server);
-// The server whose id server_id() made.
+// Returns the number of the server with this id; the inverse of server_id().
 std::size_t server_number(const std::string& id);
+// Returns the letter that names the zone; letters repeat after 26 zones.
 std::string zone_name(std::size_t zone);
 
-// All servers, up since long ago; server i is at address(i), as "ADDRESS:PORT".
+// Returns the list of all servers, in the phase kUp; server i is at address(i), as "ADDRESS:PORT".
 template <typename Address>
 std::vector<ListedServer> list_servers(const Layout& layout, Address address) {
   std::vector<ListedServer> servers(layout.servers);
--- a/scale/listed_server.hpp
+++ b/scale/listed_server.hpp
@@ -1,4 +1,5 @@
-// A server as discovery lists it. A plain value: fakes, test fleet and scenarios pass it around.
+// A server as discovery lists it. A plain value that the fakes, the test fleet and the scenarios
+// share.
 #pragma once
 
 #include <cstdint>
@@ -6,8 +7,10 @@
 
 namespace quota_gateway::scale {
 
+// The phase of a server in its life cycle.
 enum class Phase : std::uint8_t { kUp, kDraining, kRemoved };
 
+// The fields of a server in the discovery protocol.
 struct ListedServer {
   std::string id;
   // "ADDRESS:PORT".
@@ -17,7 +20,7 @@
   std::int64_t cell = 0;
   Phase phase = Phase::kUp;
   double size = 1;
-  // Unix time in milliseconds; 0: long ago, as on the wire.
+  // Unix time in milliseconds; 0 means a long time ago, as in the protocol.
   std::int64_t up_since_ms = 0;
 };
 
--- a/scale/log_line_counter.cpp
+++ b/scale/log_line_counter.cpp
@@ -5,10 +5,10 @@
 
 namespace quota_gateway::scale {
 
-LogLineCounter::LogLineCounter() : redirected_(std::cerr.rdbuf(this)) {}
+LogLineCounter::LogLineCounter() : original_buffer_(std::cerr.rdbuf(this)) {}
 
 LogLineCounter::~LogLineCounter() {
-  std::cerr.rdbuf(redirected_);
+  std::cerr.rdbuf(original_buffer_);
 }
 
 int LogLineCounter::overflow(int character) {
--- a/scale/log_line_counter.hpp
+++ b/scale/log_line_counter.hpp
@@ -1,5 +1,5 @@
-// Counts the lines that are written to std::cerr instead of writing them: thousands of simulated
-// gateways in one process would all write there. Owned by TestFleet, or by a test.
+// Counts the lines that are written to std::cerr instead of printing them, because thousands of
+// simulated gateways in one process would all write there. Owned by TestFleet or by a test.
 #pragma once
 
 #include <atomic>
@@ -9,8 +9,8 @@
 
 namespace quota_gateway::scale {
 
-// Redirects std::cerr while it lives. It is to be made before the threads that log and to be
-// destroyed after them; lines() may be called on any thread.
+// Redirects std::cerr during its lifetime. Must be created before the threads that log and
+// destroyed after them; lines() may be called from any thread.
 class LogLineCounter : private std::streambuf {
  public:
   LogLineCounter();
@@ -24,7 +24,7 @@
   int overflow(int character) override;
   std::streamsize xsputn(const char* text, std::streamsize size) override;
 
-  std::streambuf* const redirected_;
+  std::streambuf* const original_buffer_;
   std::atomic<std::uint64_t> lines_{0};
 };
 
--- a/scale/main.cpp
+++ b/scale/main.cpp
@@ -1,4 +1,4 @@
-// The scale tests' program: lists scenarios, or runs them and prints their figures.
+// The scale test program: lists scenarios, or runs them and prints their results.
 #include <unistd.h>
 
 #include <cmath>
@@ -24,13 +24,14 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr int kMostSeconds = 3'600;  // that a scenario may ask for
-// Scenarios stop by themselves within their time; a run that doesn't is ended, with its children.
-constexpr unsigned kRunTimeoutS = 3 * kMostSeconds;
+constexpr int kMaxSeconds = 3'600;  // largest time limit of a scenario, given by --seconds
+// Scenarios end by themselves within their time limit. A run that does not end is terminated, with
+// its child processes.
+constexpr unsigned kRunTimeoutS = 3 * kMaxSeconds;
 
 void check_seconds(double seconds) {
-  if (!std::isfinite(seconds) || seconds > kMostSeconds) {
-    throw UsageError("--seconds: at most " + std::to_string(kMostSeconds));
+  if (!std::isfinite(seconds) || seconds > kMaxSeconds) {
+    throw UsageError("--seconds: the value must be at most " + std::to_string(kMaxSeconds));
   }
 }
 
@@ -57,7 +58,7 @@
   return file;
 }
 
-// Whether it came to its end; a failure is noted in the report.
+// Returns whether the scenario succeeded. The report notes a failure.
 bool run_scenario(const Scenario& scenario, const Options& options, Report& report) {
   const std::time_t started_at = std::time(nullptr);
   bool succeeded = true;
@@ -73,7 +74,7 @@
   return succeeded;
 }
 
-// Returns how many failed.
+// Returns the number of failed scenarios.
 std::size_t run_scenarios(const std::vector<Scenario>& scenarios, const Options& options,
                           std::ostream* json_lines) {
   Report report(json_lines, options.seed);
@@ -95,19 +96,19 @@
   const auto scenarios = select_scenarios(all_scenarios(), arguments.scenario_names);
   options.gateway_program = find_gateway_program(options.gateway_program);
   if (options.gateway_program.empty()) {
-    std::cerr << "no gateway beside this program: none is started\n";
+    std::cerr << "no gateway program in the directory of this program: no gateway is started\n";
   }
   check_memory(scenarios, options);
   std::optional<std::ofstream> json_file;
   if (arguments.json_path) {
     json_file = open_json_file(*arguments.json_path);
   }
-  // A fleet on one machine needs as many as the system lets a process have.
+  // A fleet on one machine may need as many descriptors as the system allows for a process.
   raise_descriptor_limit();
   ::alarm(kRunTimeoutS);
   const std::size_t failed = run_scenarios(scenarios, options, json_file ? &*json_file : nullptr);
   if (json_file && !json_file->good()) {
-    throw std::runtime_error("--json: writing failed");
+    throw std::runtime_error("--json: writing the file failed");
   }
   return failed > 0 ? ExitCode::kFailed : ExitCode::kSuccess;
 }
--- a/scale/measure.hpp
+++ b/scale/measure.hpp
@@ -1,5 +1,5 @@
-// What slopes are measured with: this thread's processor time, the heap, and statistics of samples.
-// Called by the slopes of every part; keeps no state.
+// Measurement functions of the slopes: the CPU time of this thread, the heap, and statistics of
+// samples. They keep no state.
 #pragma once
 
 #include <cstdint>
@@ -7,12 +7,13 @@
 
 namespace quota_gateway::scale {
 
-// Processor time that the calling thread has spent, in us with fractions. Figures of the decision
-// module use it because the wall clock would count what else the machine does, and because the
-// whole microseconds of thread_cpu_time() would be as long as a request in the module takes.
+// Returns the CPU time of the calling thread in microseconds, with fractions. Measurements of the
+// decision module use it because the wall clock would include other work of the machine, and
+// because the resolution of thread_cpu_time(), one microsecond, is as long as a request takes in
+// the module.
 double thread_cpu_us();
 
-// Processor time in us that the calling thread spends in `work`.
+// Returns the CPU time in microseconds that the calling thread uses in `work`.
 template <typename Work>
 double thread_cpu_us_of(const Work& work) {
   const double before = thread_cpu_us();
@@ -20,14 +21,15 @@
   return thread_cpu_us() - before;
 }
 
-// What this process's heap has in use, in MB of 1e6 bytes.
+// Returns the heap memory that this process uses, in MB of 1e6 bytes.
 double heap_in_use_mb();
 
-// The smallest sample that at least `fraction` of the samples do not exceed; 0 of no samples.
+// Returns the smallest sample that at least `fraction` of the samples do not exceed; 0 if there are
+// no samples.
 double percentile(std::vector<double> samples, double fraction);
 double median(const std::vector<double>& samples);
 double p99(const std::vector<double>& samples);
-// The largest sample; 0 of no samples.
+// Returns the largest sample; 0 if there are no samples.
 double largest(const std::vector<double>& samples);
 
 }  // namespace quota_gateway::scale
--- a/scale/measurement_recorder.hpp
+++ b/scale/measurement_recorder.hpp
@@ -1,4 +1,5 @@
-// Adds the figures of one scenario to a report, so that its code need not name it each time.
+// Adds the measurements of one scenario to a report, so that the scenario's code does not repeat
+// its name each time.
 #pragma once
 
 #include <initializer_list>
@@ -18,7 +19,7 @@
   void add(const std::string& name, const MeasuredSizes& sizes, double value,
            const std::string& unit) const;
   void note(const std::string& text) const;
-  // Fits a line through the figures of each of these names; see Report::fit.
+  // Fits a line through the measurements of each of these names; see Report::fit().
   void fit(std::initializer_list<const char*> names, const std::string& size_name,
            double target) const;
 
--- a/scale/process_resources.cpp
+++ b/scale/process_resources.cpp
@@ -12,11 +12,11 @@
 std::size_t raise_descriptor_limit() {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) {
-    throw std::runtime_error("the limit of descriptors cannot be read");
+    throw std::runtime_error("cannot read the limit on open file descriptors");
   }
   limit.rlim_cur = limit.rlim_max;
   if (setrlimit(RLIMIT_NOFILE, &limit) != 0) {
-    throw std::runtime_error("the limit of descriptors cannot be raised");
+    throw std::runtime_error("cannot raise the limit on open file descriptors");
   }
   return std::size_t(limit.rlim_cur);
 }
--- a/scale/process_resources.hpp
+++ b/scale/process_resources.hpp
@@ -1,4 +1,5 @@
-// Memory and descriptors of this process. Stateless: any thread may call.
+// Memory and file descriptors of this process. The functions keep no state and may be called from
+// any thread.
 #pragma once
 
 #include <cstddef>
@@ -6,14 +7,14 @@
 
 namespace quota_gateway::scale {
 
-// Raises the process's limit of descriptors to its hard limit and returns that. Throws
+// Raises the process's limit on open file descriptors to the hard limit and returns it. Throws
 // std::runtime_error if the system refuses.
 std::size_t raise_descriptor_limit();
 
-// Bytes that the allocator has handed out.
+// Returns the number of heap bytes that are allocated.
 std::uint64_t allocated_bytes();
 
-// Bytes of the process that are in physical memory.
+// Returns the bytes of the process that are in physical memory.
 std::uint64_t resident_bytes();
 
 }  // namespace quota_gateway::scale
--- a/scale/report.cpp
+++ b/scale/report.cpp
@@ -16,11 +16,12 @@
 using TableRow = std::vector<std::string>;
 
 constexpr int kTableDigits = 4;
-// Columns from the left that hold names; the others hold numbers and are aligned to the right.
+// The leftmost columns hold names and are aligned to the left; the other columns hold numbers and
+// are aligned to the right.
 constexpr std::size_t kNameColumns = 3;
 
-// With four significant digits; a number that would take an exponent is rounded to a whole one, and
-// keeps the exponent only below 1.
+// Formats a number with four significant digits. A number that would need an exponent is rounded to
+// an integer; below 1, it keeps the exponent.
 std::string format_number(double value) {
   std::ostringstream shortest;
   shortest << std::setprecision(kTableDigits) << value;
@@ -58,7 +59,7 @@
   double slope = 0;
 };
 
-// By least squares; the slope is 0 where all sizes are one.
+// Fits a line by least squares; the slope is 0 if all sizes are equal.
 Line line_through(const std::vector<Point>& points) {
   const auto count = double(points.size());
   double mean_size = 0;
@@ -99,7 +100,7 @@
   return line;
 }
 
-// The first row is the head; a table of nothing else is left out.
+// The first row is the header. A table without other rows is not printed.
 void print_table(std::ostream& out, const std::vector<TableRow>& rows) {
   if (rows.size() < 2) {
     return;
@@ -162,7 +163,7 @@
   if (lines_ == nullptr) {
     return;
   }
-  // Flushed, so that a run that is ended has written all that it measured.
+  // Flushed, so that a run that is terminated early has written all of its measurements.
   *lines_ << text << '\n' << std::flush;
 }
 
--- a/scale/request_generator.cpp
+++ b/scale/request_generator.cpp
@@ -12,7 +12,8 @@
 
 constexpr Micros kClientTimeout = 4'000'000;
 constexpr double kMicrosPerSecond = 1e6;
-// Assumed: a request is of tenant draw^kTenantSkew x tenants, where draw is even between 0 and 1.
+// An assumption: a request comes from tenant number draw^kTenantSkew * tenants, where draw is
+// uniform between 0 and 1.
 constexpr double kTenantSkew = 3;
 constexpr std::size_t kMaxNameBytes = 20;
 
@@ -53,7 +54,7 @@
 
 RequestArrived RequestGenerator::next_request(Micros now) {
   const int spread = std::max(1, std::min(options_.gateways_per_tenant, int(options_.gateways)));
-  // Gateways in a row share their tenants, `spread` of them at a time.
+  // Each set of `spread` consecutive gateways shares its tenants.
   const std::size_t gateway_set = gateway_index_ / std::size_t(spread);
   const std::size_t tenants = std::max<std::size_t>(1, options_.tenants_per_gateway);
   const std::size_t tenant = draw_tenant();
@@ -70,7 +71,7 @@
   return request;
 }
 
-// Each tenant once at first, so that a gateway has met all of them.
+// Returns each tenant once at first, so that a gateway has received requests of all of them.
 std::size_t RequestGenerator::draw_tenant() {
   const std::size_t tenants = std::max<std::size_t>(1, options_.tenants_per_gateway);
   const double draw = std::uniform_real_distribution<>(0, 1)(random_);
--- a/scale/request_generator.hpp
+++ b/scale/request_generator.hpp
@@ -1,5 +1,5 @@
-// Draws the requests that come to one simulated gateway: when, and of which tenant. Owned by
-// SimulatedGateway; all calls come from its event loop.
+// Generates the requests that arrive at one simulated gateway, with random times and tenants. Owned
+// by SimulatedGateway; all calls are made on its event loop.
 #pragma once
 
 #include <cstddef>
@@ -13,19 +13,21 @@
 
 namespace quota_gateway::scale {
 
+// Calls a handler whenever a request is due.
 class RequestGenerator {
  public:
-  // May call next_request() and set_rate().
+  // Called when a request is due. May call next_request() and set_rate().
   using DueHandler = std::function<void()>;
 
-  // `random` is shared with the gateway: a generator of its own would take 2.5 KB more at each of
+  // `random` is shared with the gateway: a separate generator would take another 2.5 KB at each of
   // thousands of gateways.
   RequestGenerator(const FleetOptions& options, std::size_t gateway_index, net::Timers& timers,
                    std::mt19937_64& random, DueHandler on_due);
 
-  // Requests per second from now on, at random moments; 0: none. Never calls on_due from within.
+  // Sets the requests per second, at random times; 0 stops them. Never calls `on_due` before it
+  // returns.
   void set_rate(double requests_per_s);
-  // The request that is due, as it arrives at the given time of the gateway's clock.
+  // Returns the request that is due, arriving at `now` of the gateway's clock.
   RequestArrived next_request(Micros now);
 
  private:
@@ -38,7 +40,7 @@
   std::mt19937_64& random_;
   const DueHandler on_due_;
   double requests_per_s_ = 0;
-  // A timer that was set before the last of these is out of date.
+  // Number of rate changes so far. A timer that was set before the last one is ignored.
   int rate_changes_ = 0;
   std::uint64_t last_request_ = 0;
 };
--- a/scale/resp_command.cpp
+++ b/scale/resp_command.cpp
@@ -15,7 +15,7 @@
   std::size_t value = 0;
 };
 
-// Takes a line such as "$12\r\n" off the front.
+// Parses a line such as "$12\r\n" at the beginning of the input and removes it.
 Length take_length(std::string_view& input, char type) {
   const std::size_t end = input.find(kLineEnd);
   if (end == std::string_view::npos) {
--- a/scale/resp_command.hpp
+++ b/scale/resp_command.hpp
@@ -1,5 +1,5 @@
-// Reads the counter's commands: RESP arrays of bulk strings. A pure function, called by
-// FakeCounter's connections.
+// Parses the commands of the counter protocol, which are RESP arrays of bulk strings. A pure
+// function, called by FakeCounter's connections.
 #pragma once
 
 #include <cstddef>
@@ -9,17 +9,18 @@
 
 namespace quota_gateway::scale {
 
+// The result of parsing.
 struct RespCommand {
   enum class Status : std::uint8_t { kComplete, kIncomplete, kMalformed };
   Status status = Status::kIncomplete;
-  // Views into what was received. Only of a complete command, as is `size`.
+  // Views into the received bytes. Like `size`, set only for a complete command.
   std::vector<std::string_view> words = {};
-  // Bytes of the whole command.
+  // Bytes of the complete command.
   std::size_t size = 0;
 };
 
-// The command at the beginning of what was received. Anything but an array of bulk strings, each
-// count and size at most 16 KB, is malformed.
+// Parses the command at the beginning of the received bytes. Anything but an array of bulk strings
+// is malformed, and so is a count or size above 16,384.
 RespCommand parse_resp_command(std::string_view received);
 
 }  // namespace quota_gateway::scale
--- a/scale/scenario.hpp
+++ b/scale/scenario.hpp
@@ -1,5 +1,5 @@
-// What a scenario of the scale tests is, and the sizes that it is run at. The program in main.cpp
-// collects the scenarios, asks each for its memory and runs it with a Report.
+// The definition of a scenario of the scale tests, and the sizes at which it runs. The program in
+// main.cpp collects the scenarios, determines the memory of each and runs it with a Report.
 #pragma once
 
 #include <cstddef>
@@ -12,7 +12,7 @@
 
 class Report;
 
-// The operators' target; a run is a fraction of it.
+// The operators' target sizes; a run covers a fraction of them.
 struct Target {
   std::size_t gateways = 7'400;
   std::size_t servers = 170'000;
@@ -26,49 +26,53 @@
   double restarts_per_day = 14'000;
   double failures_per_day = 660;
   double config_changes_per_day = 36'000;
-  // In which a configuration change is in force everywhere.
+  // Seconds within which a configuration change must be in effect everywhere.
   double max_propagation_s = 7;
-  // What control may take at a gateway: the part of a core, megabytes and bytes per second.
+  // What control traffic may use at a gateway: CPU cores, megabytes and bytes per second.
   double control_cpu_cores = 0.016;
   double control_memory_mb = 256;
   double control_bytes_per_s = 2e3;
-  // Milliseconds that a gateway may add, for 99 in 100 requests.
+  // Milliseconds that a gateway may add to 99 of 100 requests.
   double max_added_latency_ms = 4.5;
 };
 
+// The options of a run.
 struct Options {
-  // Of all random draws; printed with each result.
+  // Seed of all random draws; printed with each result.
   std::uint64_t seed = 1;
-  // The size of CI: the same code at sizes that take seconds.
+  // The CI size: the same code with sizes that take seconds.
   bool small = false;
   // 0: the scenario's own size.
   std::size_t gateways = 0;
   // 0: the scenario's own size.
   std::size_t servers = 0;
-  // That a scenario may take; 0: its own bound.
+  // Time limit of a scenario; 0: the scenario's own limit.
   double seconds = 0;
-  // The real gateway; empty: no processes are started.
+  // Path of the real gateway; empty: no gateway processes are started.
   std::string gateway_program;
 };
 
+// A named measurement that the program can run.
 struct Scenario {
   std::string name;
   std::string description;
-  // Bytes that it needs at these options, of all processes together. Asked before anything starts.
+  // Returns the bytes that the scenario needs with these options, in all processes together. Called
+  // before anything starts.
   std::function<std::uint64_t(const Options&)> memory;
-  // Adds its figures and notes to the report. Throws std::runtime_error if it cannot go on.
+  // Adds the scenario's measurements and notes to the report. Throws std::runtime_error if it
+  // cannot continue.
   std::function<void(const Options&, Report&)> run;
 };
 
-// Each appends the scenarios of one file.
+// Each of these functions appends the scenarios of one source file.
 
-// The decision module alone.
+// Slopes of the decision module alone.
 void add_module_slopes(std::vector<Scenario>& scenarios);
-// Real gateway processes against fakes.
+// Slopes of real gateway processes against fakes.
 void add_process_slopes(std::vector<Scenario>& scenarios);
-// Simulated gateways against fakes.
+// Slopes of simulated gateways against fakes.
 void add_fleet_slopes(std::vector<Scenario>& scenarios);
-// What happens to a fleet of simulated gateways.
+// Events that affect a fleet of simulated gateways.
 void add_events(std::vector<Scenario>& scenarios);
 
 }  // namespace quota_gateway::scale
--- a/scale/scenario_selection.cpp
+++ b/scale/scenario_selection.cpp
@@ -15,7 +15,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr double kMemoryFraction = 0.5;  // of the machine's, that a scenario may take
+constexpr double kMemoryFraction = 0.5;  // of the machine's memory that a scenario may take
 constexpr std::uint64_t kMegabyte = 1'000'000;
 
 bool matches(const Scenario& scenario, const std::string& name) {
@@ -31,20 +31,22 @@
   const bool known = std::any_of(scenarios.begin(), scenarios.end(),
                                  [&](const Scenario& scenario) { return matches(scenario, name); });
   if (!known) {
-    throw UsageError("unknown scenario '" + name + "'; 'list' tells those there are");
+    throw UsageError("unknown scenario '" + name + "'; 'list' prints the names of all scenarios");
   }
 }
 
-// In bytes.
+// Returns the machine's memory in bytes.
 std::uint64_t machine_memory() {
   struct sysinfo info {};
   if (::sysinfo(&info) != 0) {
-    throw std::system_error(errno, std::generic_category(), "the machine's memory is not known");
+    throw std::system_error(errno, std::generic_category(),
+                            "cannot determine the memory of this machine");
   }
   return std::uint64_t(info.totalram) * info.mem_unit;
 }
 
-// In bytes. A size that can't be had at all, such as one past the descriptors, is bad input too.
+// Returns the scenario's memory in bytes. A size that this machine cannot provide at all, such as
+// one that needs too many descriptors, is reported as a usage error.
 std::uint64_t memory_of(const Scenario& scenario, const Options& options) {
   try {
     return scenario.memory(options);
@@ -96,14 +98,14 @@
 }
 
 void check_memory(const std::vector<Scenario>& scenarios, const Options& options) {
-  const double most = kMemoryFraction * double(machine_memory());
+  const double max_bytes = kMemoryFraction * double(machine_memory());
   for (const Scenario& scenario : scenarios) {
     const std::uint64_t needed = memory_of(scenario, options);
-    if (double(needed) > most) {
+    if (double(needed) > max_bytes) {
       throw UsageError("scenario '" + scenario.name + "' would take about " +
                        std::to_string(needed / kMegabyte) +
                        " MB at this size; half of this machine's memory is " +
-                       std::to_string(std::uint64_t(most) / kMegabyte) + " MB");
+                       std::to_string(std::uint64_t(max_bytes) / kMegabyte) + " MB");
     }
   }
 }
@@ -113,7 +115,7 @@
     return gateway_program_beside();
   }
   if (!std::filesystem::is_regular_file(given) || !is_executable(given)) {
-    throw UsageError("--gateway: '" + given + "' is no program");
+    throw UsageError("--gateway: '" + given + "' is not an executable file");
   }
   return given;
 }
--- a/scale/simulated_fleet.cpp
+++ b/scale/simulated_fleet.cpp
@@ -62,8 +62,8 @@
   const std::size_t needed = descriptors_needed(options_);
   if (needed > allowed) {
     throw std::runtime_error(std::to_string(options_.gateways) + " gateways need " +
-                             std::to_string(needed) + " descriptors, " + std::to_string(allowed) +
-                             " are allowed");
+                             std::to_string(needed) + " file descriptors, but only " +
+                             std::to_string(allowed) + " are allowed for this process");
   }
   const std::size_t groups = std::clamp<std::size_t>(options_.groups, 1, options_.gateways);
   groups_.resize(groups);
@@ -84,8 +84,8 @@
   }
 }
 
-// A loop ends with all that is on it, as a process does: the clients cannot be ended one by one,
-// since handlers that are pending refer to them.
+// Ends the event loop with everything on it, as the end of a process does. The clients cannot be
+// destroyed one by one, because pending handlers refer to them.
 void SimulatedFleet::restart(std::size_t group) {
   Group& restarted = groups_.at(group);
   restarted.thread->run([&] { restarted.gateways->add_to(ended_); });
--- a/scale/simulated_fleet.hpp
+++ b/scale/simulated_fleet.hpp
@@ -1,5 +1,6 @@
-// A fleet of simulated gateways, in groups that each have a thread of their own. Owned by TestFleet
-// or by a test, whose thread makes all calls; they run on the groups' event loops.
+// A fleet of simulated gateways in groups, each with a thread of its own. Owned by TestFleet or by
+// a test. All calls are made from the owner's thread; the gateways run on the event loops of their
+// groups.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +21,7 @@
 
 class SimulatedGateway;
 
-// The gateways of one event loop. Public for EventLoopThread::emplace() alone.
+// The gateways of one event loop. Public only for EventLoopThread::emplace().
 class SimulatedGatewayGroup {
  public:
   SimulatedGatewayGroup(boost::asio::io_context& io, const FleetOptions& options,
@@ -39,32 +40,35 @@
   std::vector<std::unique_ptr<SimulatedGateway>> gateways_;
 };
 
+// Owns the groups and their threads.
 class SimulatedFleet {
  public:
-  // Starts the gateways. Throws std::runtime_error if the process may not have the descriptors.
+  // Starts the gateways. Throws std::runtime_error if the process may not have enough descriptors.
   explicit SimulatedFleet(FleetOptions options);
 
-  // The gateways of the group end without shutdown and start anew at once, with the persisted list.
+  // Ends the gateways of the group without shutdown and immediately starts new ones, with the
+  // persisted list.
   void restart(std::size_t group);
   std::size_t groups() const { return groups_.size(); }
-  // Requests per second at each gateway.
+  // Sets the requests per second at each gateway.
   void set_request_rate(double requests_per_s);
-  // From now on FleetState::converged counts gateways that have known just those of the servers
+  // From now on, FleetState::converged counts gateways that have known exactly those of `servers`
   // that are up.
   void expect(const std::vector<ListedServer>& servers);
 
   FleetState state() const;
-  // Of the gateways that the group has now.
+  // Returns the state of the current gateways of the group.
   FleetState state_of(std::size_t group) const;
-  // Waits until the state fulfils the condition; false if it has not within the timeout.
+  // Waits until the state satisfies the condition. Returns false if it does not within `timeout`.
   bool wait_until(const std::function<bool(const FleetState&)>& condition, Micros timeout) const;
-  // For each gateway that is at the revision or past it, the microseconds from `since` until then.
+  // Returns, for each gateway that has applied `revision` or a later one, the microseconds from
+  // `since` until it applied its latest list.
   std::vector<double> delays(std::int64_t revision, Micros since) const;
 
  private:
   struct Group {
     std::unique_ptr<EventLoopThread> thread;
-    // On the thread.
+    // Lives on the thread's event loop.
     SimulatedGatewayGroup* gateways = nullptr;
     std::size_t first_gateway = 0;
     std::size_t size = 0;
@@ -73,10 +77,10 @@
   void start(Group& group);
 
   FleetOptions options_;
-  // Null until expect().
+  // Null until expect() is called.
   std::shared_ptr<const UpServers> expected_;
   std::vector<Group> groups_;
-  // Of gateways that were restarted.
+  // What remains of the state of gateways that were restarted.
   FleetState ended_;
 };
 
--- a/scale/simulated_gateway.cpp
+++ b/scale/simulated_gateway.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// If discovery has not responded by then, the persisted list is used.
+// If discovery has not responded within this time, the gateway uses the persisted list.
 constexpr Micros kDiscoveryResponseTimeout = 500'000;
 constexpr Micros kCounterConnectTimeout = 250'000;
-// Keeps the random numbers of two gateways with different seeds apart.
+// Keeps the seeds of gateways in fleets with different seeds apart.
 constexpr std::uint64_t kSeedStride = 1'000'003;
 
 }  // namespace
@@ -90,7 +90,8 @@
   }
 }
 
-// Slice by slice, as EndpointListApplier does, so that other gateways of the loop run between them.
+// Applies lists slice by slice, as EndpointListApplier does, so that other gateways on the event
+// loop run between the slices.
 void SimulatedGateway::apply_next_slice(EndpointListUpdate::Kind kind) {
   EndpointListUpdate update;
   update.kind = kind;
@@ -114,7 +115,7 @@
 }
 
 void SimulatedGateway::on_request_due() {
-  // Like the real gateway, which does not accept clients before it has a list.
+  // The real gateway does not accept clients before it has a list either.
   if (!progress_.has_had_list()) {
     return;
   }
@@ -154,7 +155,7 @@
   push(reply);
 }
 
-// The events of one turn of the loop are handed over together.
+// Events that occur in one iteration of the event loop are passed to the module together.
 void SimulatedGateway::push(Event event) {
   events_.push_back(std::move(event));
   if (has_scheduled_events_) {
--- a/scale/simulated_gateway.hpp
+++ b/scale/simulated_gateway.hpp
@@ -1,9 +1,9 @@
 // A simulated gateway: the real decision module with the real clients of discovery and of the
-// counter, but without sockets to clients and servers. A RequestGenerator stands for the clients,
-// and attempts end by a timer. Thousands of them fit in one process.
+// counter, but without sockets to clients and servers. A RequestGenerator replaces the clients, and
+// a timer ends each attempt. Thousands of simulated gateways fit in one process.
 //
-// It does what src/net/server does in the real gateway: hands events to the module in batches and
-// carries out its actions. Owned by a SimulatedGatewayGroup; all calls come from its event loop.
+// Like src/net/server in the real gateway, it passes events to the module in batches and performs
+// the module's actions. Owned by a SimulatedGatewayGroup; all calls are made on its event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,11 +27,11 @@
 
 namespace quota_gateway::scale {
 
-// Handlers of its timers and clients refer to it, so that it is destroyed only together with its
-// event loop.
+// Must not be destroyed before its event loop ends, because handlers of its timers and clients
+// refer to it.
 class SimulatedGateway {
  public:
-  // Keeps a reference to the options. Starts at once.
+  // Keeps a reference to the options. Starts immediately.
   SimulatedGateway(boost::asio::io_context& io, const FleetOptions& options, std::size_t index);
 
   void set_request_rate(double requests_per_s) { requests_.set_rate(requests_per_s); }
@@ -65,7 +65,7 @@
   void perform(const Fail& action);
   void perform(const SetTimer& action);
   void perform(const AddToCounter& action);
-  // Servers are not checked and log lines not written here.
+  // Health checks are not sent and log lines are not written in the simulation.
   static void perform(const SendHealthCheck&) {}
   static void perform(const LogLine&) {}
 
@@ -75,7 +75,7 @@
   net::Clock clock_;
   net::Timers timers_;
   Gateway module_;
-  // Null once it is used.
+  // Null after it has been used.
   std::shared_ptr<const net::EndpointList> persisted_list_;
   net::EndpointTable endpoint_table_;
   bool is_applying_lists_ = false;
@@ -85,7 +85,7 @@
   std::vector<Event> events_;
   bool has_scheduled_events_ = false;
   GatewayTotals totals_;
-  // Null without a counter.
+  // Null if there is no counter.
   std::shared_ptr<net::CounterClient> counter_;
   net::DiscoveryClient discovery_;
 };
--- a/scale/slope_sizes.cpp
+++ b/scale/slope_sizes.cpp
@@ -6,7 +6,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr double kMostBytes = 1e18;
+constexpr double kMaxBytes = 1e18;
 
 }  // namespace
 
@@ -40,7 +40,7 @@
 }
 
 std::uint64_t to_bytes(double estimate) {
-  return std::uint64_t(std::min(estimate, kMostBytes));
+  return std::uint64_t(std::min(estimate, kMaxBytes));
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/slope_sizes.hpp
+++ b/scale/slope_sizes.hpp
@@ -1,5 +1,5 @@
-// The sizes at which slopes are measured, and the memory that a size is estimated to take. Called
-// by the slopes of the decision module and of gateway processes; keeps no state.
+// The sizes at which slopes are measured, and the conversion of memory estimates. Used by the
+// slopes of the decision module and of gateway processes; keeps no state.
 #pragma once
 
 #include <cstddef>
@@ -13,21 +13,24 @@
 // The operators' target for one gateway, rounded.
 constexpr double kRequestsPerGatewayPerS = 257;
 constexpr std::size_t kTenantsPerGateway = 176;
-// Zones over which listed servers are spread, in turn.
+// Zones over which listed servers are distributed in turn.
 constexpr std::size_t kZones = Target{}.zones;
-// Servers of a zone that change at once.
+// Servers of a zone that change at the same time.
 constexpr std::size_t kSliceEntries = 500;
 
-// Up to four sizes that end at `largest`: a thousandth, a hundredth, a tenth and all of it. Sizes
-// that round to the same number are given once.
+// Returns up to four sizes: a thousandth, a hundredth, a tenth and all of `largest`. Sizes that
+// round to the same number are returned once.
 std::vector<std::size_t> sizes_up_to(std::size_t largest);
 
-// Listed servers, in ascending order: by --servers, or else up to the operators' target.
+// Returns numbers of listed servers in ascending order, up to --servers or else up to the
+// operators' target; with --small, fewer.
 std::vector<std::size_t> server_counts(const Options& options);
-// Classes of the settings, in ascending order, up to 100,000.
+// Returns numbers of classes in the settings in ascending order, up to 100,000; with --small,
+// fewer.
 std::vector<std::size_t> class_counts(const Options& options);
 
-// A whole number of bytes; an estimate beyond all machines is cut to 1e18, which still fits.
+// Converts an estimate to whole bytes. Larger estimates are reduced to 1e18, which exceeds any
+// machine's memory and fits the type.
 std::uint64_t to_bytes(double estimate);
 
 }  // namespace quota_gateway::scale
--- a/scale/test_fleet.cpp
+++ b/scale/test_fleet.cpp
@@ -14,7 +14,8 @@
 
 constexpr Micros kMicrosPerMilli = 1'000;
 
-// Addresses that differ, so that lists are as long as real ones; nothing listens there.
+// Returns distinct addresses, so that encoded lists are as long as real ones; nothing listens at
+// them.
 std::string unused_address(std::size_t server) {
   constexpr std::size_t kValuesPerByte = 250;
   const std::size_t second = 1 + server / (kValuesPerByte * kValuesPerByte);
@@ -127,17 +128,17 @@
   return selected;
 }
 
-std::size_t TestFleet::replay(const std::vector<Disruption>& day, Micros length,
+std::size_t TestFleet::replay(const std::vector<Disruption>& disruptions, Micros length,
                               std::optional<Micros> step) {
   const auto started_at = std::chrono::steady_clock::now();
   std::size_t changes = 0;
-  auto next = day.begin();
-  while (next != day.end() && next->at < length) {
+  auto next = disruptions.begin();
+  while (next != disruptions.end() && next->at < length) {
     const Micros publish_at = step ? (next->at / *step + 1) * *step : next->at;
-    // The last moment whose disturbances belong to this change.
+    // Disruptions up to this time belong to the same change.
     const Micros last_at = step ? publish_at - 1 : publish_at;
     std::vector<ListedServer> entries;
-    for (; next != day.end() && next->at < length && next->at <= last_at; ++next) {
+    for (; next != disruptions.end() && next->at < length && next->at <= last_at; ++next) {
       if (changes_server(*next)) {
         entries.push_back(listed_server(next->subject, phase_after(next->change)));
       }
--- a/scale/time_budget.hpp
+++ b/scale/time_budget.hpp
@@ -1,5 +1,5 @@
-// How long a scenario may go on by the wall clock. Each scenario that has several points makes one
-// when it begins and leaves out the points that would begin after it.
+// The wall-clock time limit of a scenario. A scenario with several measurement points creates a
+// TimeBudget when it begins and skips the points that would begin after it is exhausted.
 #pragma once
 
 #include <chrono>
@@ -8,12 +8,13 @@
 
 namespace quota_gateway::scale {
 
+// A deadline that starts with its construction.
 class TimeBudget {
  public:
-  // Starts now, and lasts for what --seconds says, or else for `default_seconds`.
+  // Starts now and lasts for the time given by --seconds, or else for `default_seconds`.
   TimeBudget(const Options& options, double default_seconds);
 
-  // Below 0 once the time is up.
+  // Negative after the end of the time limit.
   double seconds_left() const;
   bool is_exhausted() const { return seconds_left() <= 0; }
 
