--- a/src/net/config/config_error.hpp
+++ b/src/net/config/config_error.hpp
@@ -1,4 +1,4 @@
-// What is wrong with a configuration file.
+// The error that describes an invalid configuration file.
 #pragma once
 
 #include <stdexcept>
@@ -10,7 +10,8 @@
 // what() is one line for the log: "configuration: KEY: PROBLEM".
 class ConfigError : public std::runtime_error {
  public:
-  // `key`: the path of the value at fault, such as "limits.sockets"; empty: the file as a whole.
+  // `key`: path of the invalid value, such as "limits.sockets"; empty if the error concerns the
+  // complete file.
   ConfigError(std::string key, const std::string& problem)
       : std::runtime_error("configuration: " + (key.empty() ? "" : key + ": ") + problem),
         key_(std::move(key)) {}
--- a/src/net/config/config_key_check.cpp
+++ b/src/net/config/config_key_check.cpp
@@ -9,7 +9,7 @@
 
 using nlohmann::json;
 
-// `path`: the keys that lead to both values, each with a point behind it.
+// `path`: the keys that lead to both values, each followed by a dot.
 void check_value(const json& previous, const json& current, const std::string& path);
 
 void check_object(const json& previous, const json& current, const std::string& path) {
@@ -18,13 +18,13 @@
       continue;
     }
     if (!current.is_object() || !current.contains(key) || current[key].is_null()) {
-      throw ConfigError(path + key, "missing, but in the configuration in force");
+      throw ConfigError(path + key, "missing, although the configuration in force has it");
     }
     check_value(value, current[key], path + key + ".");
   }
 }
 
-// Of the first of `objects`, the keys that all others have too.
+// Returns the entries of the first object whose keys occur in all objects.
 json common_keys(const json& objects) {
   json common = objects[0];
   for (const json& other : objects) {
@@ -37,13 +37,13 @@
   return common;
 }
 
-bool is_same_kind(const json& one, const json& other) {
+bool has_same_type(const json& one, const json& other) {
   return one.is_array() == other.is_array() && one.is_number() == other.is_number() &&
          one.is_string() == other.is_string() && one.is_boolean() == other.is_boolean();
 }
 
-// Of lists of objects, such as the classes, each current entry needs the keys that all previous
-// ones have.
+// In an array of objects, such as the request classes, each object in `current` must have the keys
+// that all objects in `previous` have.
 void check_value(const json& previous, const json& current, const std::string& path) {
   if (previous.is_object()) {
     return check_object(previous, current, path);
@@ -57,8 +57,8 @@
     }
     return;
   }
-  if (!is_same_kind(previous, current)) {
-    throw ConfigError(path, "not of the same kind as in the configuration in force");
+  if (!has_same_type(previous, current)) {
+    throw ConfigError(path, "the type differs from that in the configuration in force");
   }
 }
 
--- a/src/net/config/config_key_check.hpp
+++ b/src/net/config/config_key_check.hpp
@@ -1,13 +1,13 @@
-// Compares a changed configuration file with the one in force, before it is applied at SIGHUP.
+// Compares a changed configuration file with the one in force before SIGHUP applies it.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace quota_gateway::net {
 
-// Throws ConfigError if a key that `previous` has is missing in `current` or has a value of another
-// kind. Most keys have a default, which is right for a gateway that never had them, but not what
-// the writer of a changed file meant.
+// Throws ConfigError if a key of `previous` is missing in `current` or has a value of another type.
+// Most keys are optional, but a key that disappears from a changed file is probably a mistake, and
+// its default value is not what the author of the file intended.
 void check_keys_kept(const nlohmann::json& previous, const nlohmann::json& current);
 
 }  // namespace quota_gateway::net
--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -1,8 +1,8 @@
-// Reads a gateway's configuration file, in which the list of endpoints may be far larger than all
-// the rest: 170,000 of them as a JSON tree took 400 MB. So the file is read in chunks, and the
-// endpoints never become part of a tree.
+// Reads a gateway's configuration file. Its list of endpoints can be far larger than the rest of
+// the file: as a JSON tree, 170,000 endpoints took 400 MB. Therefore the file is read in chunks,
+// and the endpoints are never stored in a JSON tree.
 //
-// main.cpp owns a loader while it reads the file, at the start at once and at SIGHUP a chunk at a
+// At startup the complete file is read in one step. At SIGHUP, ConfigReloader reads one chunk at a
 // time between other work. parse_config() then reads the tree.
 #pragma once
 
@@ -15,10 +15,11 @@
 namespace quota_gateway::net {
 
 struct ConfigFile {
-  // All of the file, but for the members of `known`: of these, one of each shape, which is its keys
-  // and the kinds of their values. So check_keys_kept() can compare two files.
+  // The complete file, except that the array `known.members` contains only one endpoint of each
+  // shape (see ParsedEndpointEntry). These samples allow check_keys_kept() to compare two files.
   nlohmann::json tree;
-  // The file's list of endpoints under `known`. Without members if they were only checked.
+  // The endpoint list in section `known` of the file. It has no endpoints if these were only
+  // checked.
   EndpointList known_endpoints;
 };
 
@@ -26,16 +27,16 @@
  public:
   enum class EndpointRetention {
     kKeep,
-    kCheckOnly,  // for a file whose endpoints are not used, as at SIGHUP
+    kCheckOnly,  // for a file from which the endpoints are not needed, as at SIGHUP
   };
 
   // `file` must outlive the loader.
   ConfigLoader(std::istream& file, EndpointRetention endpoint_retention);
 
-  // Reads and parses the next chunk, which takes about a millisecond. False: the end of the file
-  // was reached before. Throws ConfigError or another std::exception with a message of one line.
+  // Reads and parses the next chunk, which takes about a millisecond. Returns false if there was no
+  // more text to read. Throws ConfigError or another std::exception with a one-line message.
   bool parse_chunk();
-  // Call it once, after parse_chunk() returned false. Throws as that does.
+  // Call it once, after parse_chunk() has returned false. Throws the same exceptions.
   ConfigFile finish();
 
  private:
--- a/src/net/config/config_parser.cpp
+++ b/src/net/config/config_parser.cpp
@@ -18,13 +18,13 @@
 constexpr int kHexadecimal = 16;
 constexpr std::size_t kMinSockets = 64;
 
-// Where endpoint lists are polled, a list counts as current for so many times the interval
-// `AskWithinUs` after a poll that failed.
+// Where endpoint lists are polled, a list stays valid for this many intervals of `AskWithinUs`
+// after a failed poll.
 constexpr double kListValidityIntervals = 4;
-// The longest pause between polls, as a fraction of that time, so that two polls fit into it.
+// Longest pause between polls as a fraction of that validity time. Two polls fit into it.
 constexpr double kMaxBackoffFraction = 0.4;
 
-std::string text_value(const json& tree, const std::string& key) {
+std::string string_value(const json& tree, const std::string& key) {
   const auto it = tree.find(key);
   if (it == tree.end() || !it->is_string()) {
     throw ConfigError(key, "missing or not a string");
@@ -40,7 +40,7 @@
                             const std::string& key, std::int64_t default_value) {
   const std::int64_t value = section.value(key, default_value);
   if (value <= 0) {
-    throw ConfigError(section_name + "." + key, "not above 0");
+    throw ConfigError(section_name + "." + key, "must be greater than 0");
   }
   return value;
 }
@@ -57,19 +57,19 @@
 
 void check_classes(const std::vector<ClassSettings>& classes) {
   if (classes.empty()) {
-    throw ConfigError("settings.Classes", "no class");
+    throw ConfigError("settings.Classes", "must contain at least one request class");
   }
   std::set<std::string> names;
   for (const ClassSettings& request_class : classes) {
-    const std::string where = "settings.Classes '" + request_class.name + "'";
+    const std::string location = "settings.Classes '" + request_class.name + "'";
     if (request_class.name.empty() || !names.insert(request_class.name).second) {
-      throw ConfigError(where, "the name is empty or not unique");
+      throw ConfigError(location, "the name is empty or not unique");
     }
     if (request_class.deadline <= 0) {
-      throw ConfigError(where, "the deadline (GiveUpUs) is not above 0");
+      throw ConfigError(location, "the deadline (GiveUpUs) must be greater than 0");
     }
     if (request_class.latency_objective <= 0) {
-      throw ConfigError(where, "the latency objective (ObjectiveUs) is not above 0");
+      throw ConfigError(location, "the latency objective (ObjectiveUs) must be greater than 0");
     }
   }
 }
@@ -78,7 +78,7 @@
   for (const PlanSettings& plan : plans) {
     if (plan.quota_rate < 0 || plan.quota_burst < 0 || plan.max_concurrent_attempts < 0 ||
         plan.ceiling_rate < 0 || plan.ceiling_burst < 0) {
-      throw ConfigError("settings.TiersOfService '" + plan.name + "'", "a limit is below 0");
+      throw ConfigError("settings.TiersOfService '" + plan.name + "'", "a limit is negative");
     }
   }
 }
@@ -86,23 +86,24 @@
 void check_settings(const Settings& settings) {
   if (settings.gateway_count < 1 || settings.gateway_index < 0 ||
       settings.gateway_index >= settings.gateway_count) {
-    throw ConfigError("settings.Position", "not below the number of gateways (ReplicasOfMe)");
+    throw ConfigError("settings.Position",
+                      "must be at least 0 and below the number of gateways (ReplicasOfMe)");
   }
   if (settings.max_attempts < 1) {
-    throw ConfigError("settings.Limits.MaxAttempts", "not above 0");
+    throw ConfigError("settings.Limits.MaxAttempts", "must be greater than 0");
   }
   check_classes(settings.classes);
   check_plans(settings.plans);
 }
 
 void parse_addresses(const json& tree, GatewayConfig& config) {
-  config.listen_address = parse_socket_address(text_value(tree, "listen"));
-  config.discovery_address = parse_socket_address(text_value(tree, "discovery"));
+  config.listen_address = parse_socket_address(string_value(tree, "listen"));
+  config.discovery_address = parse_socket_address(string_value(tree, "discovery"));
   if (has_value(tree, "counter")) {
-    config.counter_address = parse_socket_address(text_value(tree, "counter"));
+    config.counter_address = parse_socket_address(string_value(tree, "counter"));
   }
   if (has_value(tree, "mgmt")) {
-    config.admin_address = parse_socket_address(text_value(tree, "mgmt"));
+    config.admin_address = parse_socket_address(string_value(tree, "mgmt"));
   }
 }
 
@@ -137,10 +138,10 @@
     throw ConfigError("", "not a JSON object");
   }
   GatewayConfig config;
-  config.name = text_value(tree, "name");
+  config.name = string_value(tree, "name");
   parse_addresses(tree, config);
   if (tree.contains("seed")) {
-    config.seed = parse_seed(text_value(tree, "seed"));
+    config.seed = parse_seed(string_value(tree, "seed"));
   }
   parse_limits(tree, config);
   if (!tree.contains("settings")) {
--- a/src/net/config/config_parser.hpp
+++ b/src/net/config/config_parser.hpp
@@ -1,4 +1,5 @@
-// The gateway's configuration from the JSON tree of its file (see config_loader.hpp), checked.
+// Parses and validates the gateway's configuration from the JSON tree of its file (see
+// config_loader.hpp).
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,9 +8,9 @@
 
 namespace quota_gateway::net {
 
-// Reads all but `known`, the list of endpoints, and what the environment may set. Throws
-// ConfigError on a value that no gateway can run with, and another std::exception on a value of the
-// wrong kind.
+// Reads all values except for the endpoint list in section `known` and the values set by
+// environment variables. Throws ConfigError on an invalid value and another std::exception on a
+// value of the wrong type.
 GatewayConfig parse_config(const nlohmann::json& tree);
 
 }  // namespace quota_gateway::net
--- a/src/net/config/gateway_config.hpp
+++ b/src/net/config/gateway_config.hpp
@@ -1,5 +1,5 @@
-// Everything that one gateway process is configured with, as read from its configuration file and
-// environment (see config_loader.hpp). GatewayServer owns the values once it is constructed.
+// The configuration of one gateway process, read from its configuration file and environment
+// variables (see config_loader.hpp). GatewayServer takes the values when it is constructed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,29 +14,31 @@
 namespace quota_gateway::net {
 
 struct GatewayConfig {
-  // Of the gateway, unique in its site; both processes of a hot restart bear it.
+  // Name of the gateway, unique within its site. Both processes of a hot restart have the same
+  // name.
   std::string name;
   boost::asio::ip::tcp::endpoint listen_address;
   boost::asio::ip::tcp::endpoint discovery_address;
-  // None: there is no quota counter.
+  // No value if there is no quota counter.
   std::optional<boost::asio::ip::tcp::endpoint> counter_address;
-  // None: no admin server listens.
+  // No value if the admin server is disabled.
   std::optional<boost::asio::ip::tcp::endpoint> admin_address;
-  // Of the decision module's random numbers.
+  // Seed of the decision module's random numbers.
   std::uint64_t seed = 0;
-  // File descriptors that the process may have open.
+  // Maximum number of open file descriptors of the process.
   std::size_t max_sockets = 1024;
   std::size_t memory_limit_mb = 192;
-  // The directory in which the two processes of a hot restart find each other. Empty: no hot
-  // restart.
+  // Directory of the socket through which the two processes of a hot restart find each other. Empty
+  // if hot restart is disabled.
   std::string hot_restart_directory;
   Settings settings;
-  // A server closes a connection that has been idle for this long.
+  // Idle time after which a server closes a connection.
   Micros connection_idle_timeout = 15'000'000;
   Micros connect_timeout = 250'000;
-  // The longest pause between two calls while discovery rejects them. 0: discovery's default.
+  // Longest pause between two requests while discovery rejects them, us. If it is 0, lists are
+  // treated as pushed (see WatchMode).
   Micros max_discovery_backoff = 0;
-  // The endpoint list that the gateway starts with, until discovery has answered.
+  // The endpoint list of the configuration file, which applies until discovery has sent one.
   EndpointList persisted_endpoints;
 };
 
--- a/src/net/discovery/discovery_client.cpp
+++ b/src/net/discovery/discovery_client.cpp
@@ -18,6 +18,7 @@
 
 constexpr Micros kInitialRejectionBackoff = 1'000'000;  // us
 constexpr unsigned kStatusOk = 200;
+// Limit of the bytes after the response header that are buffered but cannot be parsed yet.
 constexpr std::size_t kMaxUnparsedBytes = 64 << 10;
 
 WatchMode watch_mode(const DiscoveryOptions& options) {
@@ -50,8 +51,8 @@
   connect();
 }
 
-// Another agent may not know our revision, and what changed in between would be missed. So it is
-// asked for the complete list.
+// Requests a complete list from the new agent, which may not know the revision in force. A request
+// for the changes since that revision could then miss some of them.
 void DiscoveryClient::switch_agent(tcp::endpoint agent) {
   agent_ = std::move(agent);
   request_complete_list_ = true;
@@ -59,7 +60,7 @@
   intake_.reset();
   reconnect_backoff_.reset();
   rejection_backoff_.reset();
-  disconnect({Reason::kAgentChanged, "moving to another agent"});
+  disconnect({Reason::kAgentChanged, "switching to another agent"});
 }
 
 // ---- Connection
@@ -91,8 +92,8 @@
   });
 }
 
-// Even if a complete list is needed, a limited connection asks for changes: complete lists may be
-// what fails, while changes to the list in force would still be accepted.
+// A connection with a receive limit requests changes even if a complete list is needed, because
+// only the complete lists may be failing while changes can still be accepted.
 void DiscoveryClient::send_request(Generation generation) {
   request_ = "GET /catalog/members?watch=1";
   if (!agent_changed_ && (!request_complete_list_ || receive_limit_.is_limited())) {
@@ -164,8 +165,9 @@
   }
 }
 
-// Waits a backoff beyond Retry-After, since many gateways are given the same one. Where lists are
-// pushed no queue of requests has to be kept short.
+// Where lists are polled, adds a random backoff to Retry-After, because many gateways receive the
+// same value and would otherwise all return at the same time. An agent that pushes lists has no
+// request queue to protect, so its Retry-After is ignored and the reconnect backoff applies.
 void DiscoveryClient::on_request_rejected() {
   if (mode_ == WatchMode::kPolled) {
     const Micros wait = response_->retry_after() + rejection_backoff_.next();
@@ -175,7 +177,8 @@
                            "status " + std::to_string(response_->status()));
 }
 
-// A list ends where its brackets do, not where its line does: it may come indented.
+// The end of a list is found by its closing bracket and not by a line feed, because the JSON text
+// may be indented.
 void DiscoveryClient::on_body(std::string_view piece) {
   while (!piece.empty()) {
     if (!intake_.is_in_progress()) {
@@ -184,7 +187,7 @@
         continue;
       }
       if (piece.front() != '{') {
-        throw WatchResponseError(Reason::kInvalidResponse, "the response is no endpoint list");
+        throw WatchResponseError(Reason::kInvalidResponse, "the response is not an endpoint list");
       }
       intake_.begin(clock_.now());
     }
@@ -197,12 +200,13 @@
   }
 }
 
-// Between two lists. An empty line is a heartbeat.
+// Returns whether the byte between two lists is white space. Discovery sends an empty line as a
+// heartbeat, so a line feed shows that the watch is healthy.
 bool DiscoveryClient::skip_separator(char byte) {
   if (byte == '\n') {
     on_healthy();
   }
-  return is_json_space(byte);
+  return is_json_whitespace(byte);
 }
 
 void DiscoveryClient::on_list() {
@@ -289,7 +293,7 @@
   return intake_.is_in_progress() ? reject_list(cause, now) : reconnect_backoff_.next();
 }
 
-// Returns how long to wait before the next request.
+// Rejects the list in progress and returns the time until the next request.
 Micros DiscoveryClient::reject_list(const WatchDisconnect& cause, Micros now) {
   const ListIntake::Rejection rejection = intake_.reject(list_failure(cause.reason), now);
   if (!rejection.retry_wait) {
--- a/src/net/discovery/discovery_client.hpp
+++ b/src/net/discovery/discovery_client.hpp
@@ -1,4 +1,4 @@
-// Holds a watch on discovery's endpoint list and reports each update. Owned by GatewayServer.
+// Watches discovery's endpoint list and reports each update. Owned by GatewayServer.
 #pragma once
 
 #include <array>
@@ -24,40 +24,41 @@
 namespace quota_gateway::net {
 
 struct DiscoveryOptions {
-  // The discovery agent.
+  // Address of the discovery agent.
   boost::asio::ip::tcp::endpoint agent;
-  // Of the endpoint list that the gateway has already; the watch asks for what changed since.
+  // Revision of the endpoint list that the gateway already has. The watch requests the changes
+  // since this revision.
   std::int64_t revision = 0;
-  // Of the random draws of backoffs.
+  // Seed of the random backoffs.
   std::uint64_t seed = 0;
-  // None: lists are pushed (see WatchMode). Else they are polled, and this is the longest backoff,
-  // in us, while discovery rejects requests.
+  // Without a value, lists are pushed (see WatchMode). With a value, lists are polled, and the
+  // value is the longest backoff while discovery rejects requests, in us.
   std::optional<Micros> max_rejection_backoff = std::nullopt;
-  // What a list may take, and what rejected lists may cost.
+  // Size limits of a list and limits on the traffic that rejected lists cause.
   ListLimits limits = {};
 };
 
 struct DiscoveryCallbacks {
-  // A list was accepted: a complete one, or changes to the one in force.
+  // Called with each accepted list, which is either complete or holds changes to the list in force.
   std::function<void(EndpointList)> on_update;
-  // The agent has sent some of a response with status 200, whether it holds a list or not. Called
-  // for each piece, before an on_update from it.
+  // Called for each received piece of a response with status 200, whether it contains a list or
+  // not, and before the on_update calls for that piece.
   std::function<void()> on_response = [] {};
 };
 
-// Reconnects by itself, at the last revision that it has, until it is destroyed together with its
-// event loop; the handlers of its timers refer to it.
+// Reconnects automatically and resumes the watch at the last accepted revision. Must live as long
+// as the event loop runs, because the handlers of its timers refer to it.
 class DiscoveryClient {
  public:
   DiscoveryClient(boost::asio::io_context& io, Timers& timers, const Clock& clock,
                   DiscoveryOptions options, DiscoveryCallbacks callbacks);
   void start();
-  // Watches another agent from now on. The list in force stays until the new agent has sent one.
-  // Must not be called from within a callback.
+  // Disconnects from the current agent and watches another one. The list in force stays until the
+  // new agent has sent a list. Must not be called from within a callback.
   void switch_agent(boost::asio::ip::tcp::endpoint agent);
 
  private:
-  // Counts connections and disconnections; handlers of earlier generations do nothing.
+  // Incremented by each connect and disconnect. Handlers of earlier generations do nothing.
   using Generation = int;
 
   void connect();
@@ -88,14 +89,15 @@
   const DiscoveryCallbacks callbacks_;
   boost::asio::ip::tcp::endpoint agent_;
 
-  // Of the list in force.
+  // Revision of the list in force.
   std::int64_t revision_ = 0;
-  // Whether to ask for a complete list, rather than for what changed.
+  // Whether to request a complete list instead of the changes since revision_.
   bool request_complete_list_ = false;
-  // Whether the agent may not know our revision.
+  // Whether the agent was replaced and has not sent a complete list yet. The new agent may not know
+  // revision_.
   bool agent_changed_ = false;
 
-  // The connection.
+  // State of the current connection.
   Generation connection_generation_ = 0;
   boost::asio::ip::tcp::socket socket_;
   ReceiveLimit receive_limit_;
@@ -105,11 +107,11 @@
   std::string request_;
 
   ListIntake intake_;
-  // After a watch that broke or was never established: a matter of this gateway.
+  // Backoff after a watch that broke or could not be established, which concerns only this gateway.
   Backoff reconnect_backoff_;
-  // After a rejection by a discovery that has no capacity, for any gateway.
+  // Backoff after discovery has rejected a request. Discovery then lacks capacity for all gateways.
   Backoff rejection_backoff_;
-  // Until the next request, if this one was rejected.
+  // Wait before the next request, us, if the current one was rejected.
   std::optional<Micros> rejection_wait_;
   DiscoveryOutageLog outage_log_;
 };
--- a/src/net/discovery/discovery_outage_log.hpp
+++ b/src/net/discovery/discovery_outage_log.hpp
@@ -1,5 +1,5 @@
-// The log lines about discovery: both ends of each time without a healthy watch, and lists that
-// were rejected. Owned by DiscoveryClient.
+// Writes the log lines about discovery: the begin and the end of each outage of the watch, and each
+// rejected endpoint list. Owned by DiscoveryClient.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,18 @@
 
 class DiscoveryOutageLog {
  public:
-  // `revision`: of the list in force. A line is written at most every 10 s.
+  // Logs the cause of a disconnection, at most one line every 10 s. `revision`: revision of the
+  // list in force.
   void on_disconnected(const WatchDisconnect& cause, std::int64_t revision, Micros now);
-  // Call it before on_disconnected(), which then writes no line of its own. `retry_wait`: until the
-  // next request, us.
+  // Logs each rejected list. Call it before on_disconnected(), which then does not log the
+  // disconnection. `retry_wait`: time until the next request, us.
   void on_list_rejected(const ListIntake::Rejection& rejection, const WatchDisconnect& cause,
                         std::int64_t revision, Micros retry_wait, Micros now);
-  // The watch is healthy.
+  // Logs the duration of the outage that ends, if there was one.
   void on_healthy(Micros now);
 
  private:
-  // None while the watch is healthy.
+  // Start of the current outage; no value while the watch is healthy.
   std::optional<Micros> disconnected_at_;
   LogRateLimit log_limit_;
 };
--- a/src/net/discovery/endpoint_entry_parser.cpp
+++ b/src/net/discovery/endpoint_entry_parser.cpp
@@ -36,7 +36,8 @@
 }};
 constexpr FieldSpec kUnknownField;
 
-// Far above any time in milliseconds, and exact as a double.
+// Exclusive limit of the absolute value of a number. Integers below it are exact as a double, and
+// it is far above any time in milliseconds.
 constexpr std::int64_t kNumberLimit = std::int64_t(1) << 52;
 
 const FieldSpec& field_of(const std::string& key) {
@@ -55,12 +56,12 @@
   if (phase == "up") {
     return EndpointState::kUp;
   }
-  throw EndpointListError("unknown phase " + phase);
+  throw EndpointListError("an endpoint entry has the unknown phase " + phase);
 }
 
-// Receives the events of nlohmann's parser, whose names the public functions have. A tree of the
-// entry would take twice the time. One handler parses many entries, so that its strings keep their
-// memory.
+// Handles the events of nlohmann's SAX parser, which defines the names of the event functions.
+// Building a tree of the entry would take twice the time. One handler parses many entries so that
+// its strings keep their allocated memory.
 class EntryHandler {
  public:
   void reset() {
@@ -79,17 +80,18 @@
 
   std::uint64_t shape() const { return shape_; }
 
-  // Once an entry has been parsed.
+  // Checks and returns the parsed entry. Call it after the events of one entry.
   const ListedEndpoint& finish() {
     if (!has_id_ || !has_phase_) {
-      throw EndpointListError("an endpoint has no id or no phase");
+      throw EndpointListError("an endpoint entry has no field 'id' or no field 'phase'");
     }
     CompactEndpointEntry& entry = endpoint_.entry;
     entry.state = parse_state(phase_);
     if (has_address_) {
       endpoint_.address = parse_socket_address(address_);
     } else if (entry.state != EndpointState::kRemoved) {
-      throw EndpointListError("no address of '" + entry.server + "'");
+      throw EndpointListError("no field 'host_port' in the entry of endpoint '" + entry.server +
+                              "'");
     }
     return endpoint_;
   }
@@ -111,7 +113,7 @@
     return number(value, in_range ? std::int64_t(value) : kNumberLimit);
   }
 
-  // Swaps the text out of the parser, which saves a copy.
+  // Swaps the text out of the parser to avoid a copy.
   bool string(std::string& value) {
     add_to_shape('s');
     if (expects(FieldType::kNumber)) {
@@ -136,7 +138,7 @@
   }
 
  private:
-  // Whether the next value is that of a known field of this type.
+  // Whether the next value belongs to a known field of this type.
   bool expects(FieldType type) const { return depth_ == 1 && field_->type == type; }
 
   void add_to_shape(std::uint64_t value) {
@@ -144,7 +146,8 @@
   }
 
   [[noreturn]] void throw_wrong_type() const {
-    throw EndpointListError("an endpoint with another type of " + std::string(field_->key));
+    throw EndpointListError("an endpoint entry has a value of the wrong type in field " +
+                            std::string(field_->key));
   }
 
   bool other_value(char type) {
@@ -167,7 +170,7 @@
     return true;
   }
 
-  // `truncated`: the value without its fraction.
+  // `truncated`: the value without its fraction, or kNumberLimit if it is out of range.
   bool number(double value, std::int64_t truncated) {
     add_to_shape('0');
     if (expects(FieldType::kText)) {
@@ -203,7 +206,7 @@
 
   void set_number(double value, std::int64_t truncated) {
     if (std::abs(truncated) >= kNumberLimit) {
-      throw EndpointListError("a number of an endpoint is out of range");
+      throw EndpointListError("a number in an endpoint entry is out of range");
     }
     switch (field_->field) {
       case Field::kCell:
@@ -222,7 +225,7 @@
 
   int depth_ = 0;
   std::uint64_t shape_ = 0;
-  // Of the last key of the entry itself.
+  // The field of the last key at the top level of the entry.
   const FieldSpec* field_ = &kUnknownField;
   bool has_id_ = false;
   bool has_phase_ = false;
--- a/src/net/discovery/endpoint_entry_parser.hpp
+++ b/src/net/discovery/endpoint_entry_parser.hpp
@@ -11,12 +11,12 @@
 struct ParsedEndpointEntry {
   // Valid until the next call on the same thread.
   const ListedEndpoint& endpoint;
-  // Hash of the keys and the types of the values, nested ones too, in their order.
+  // Hash of all keys and value types in their order, including nested ones.
   std::uint64_t shape = 0;
 };
 
-// A key that appears twice counts as it appears last; unknown keys are skipped. Throws
-// EndpointListError or InvalidSocketAddress.
+// `text`: one JSON object. If a key occurs twice, the last occurrence applies; unknown keys are
+// ignored. Throws EndpointListError or InvalidSocketAddress.
 ParsedEndpointEntry parse_endpoint_entry(std::string_view text);
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -3,11 +3,11 @@
 namespace quota_gateway::net {
 
 std::size_t memory_bytes(const ListedEndpoint& endpoint) {
-  // Characters that std::string stores within itself.
+  // Characters that std::string stores without an allocation.
   constexpr std::size_t kInlineCapacity = 15;
-  // What an allocation takes beyond its content, about.
+  // Approximate bytes that an allocation takes beyond its content.
   constexpr std::size_t kAllocationOverhead = 24;
-  // A block of the deque is allocated for several endpoints.
+  // One block of the deque holds several endpoints, so each bears a share of the block's overhead.
   std::size_t bytes = sizeof(ListedEndpoint) + kAllocationOverhead / 3;
   for (const std::string* text : {&endpoint.entry.server, &endpoint.entry.zone}) {
     if (text->capacity() > kInlineCapacity) {
--- a/src/net/discovery/endpoint_list.hpp
+++ b/src/net/discovery/endpoint_list.hpp
@@ -1,4 +1,4 @@
-// The endpoint list that discovery sends: its endpoints in little memory, and its errors.
+// The endpoint list that discovery sends, in a compact form, and the errors of parsing it.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,14 +12,15 @@
 
 namespace quota_gateway::net {
 
-// The decision module's EndpointEntry without the hardware generation, which nothing reads;
-// converts to one where it is needed. A list may name 170,000 endpoints: each byte here is 170 KB.
+// The decision module's EndpointEntry without the hardware generation, which the decision module
+// does not read. Converts to an EndpointEntry implicitly. A list may contain 170,000 endpoints, so
+// each byte of this struct takes 170 KB per list.
 struct CompactEndpointEntry {
   std::string server;
   std::string zone;
   std::int64_t cell = 0;
   double weight = 1;
-  // Of the server's process, us; 0: long ago.
+  // Start time of the server's process, us. 0 counts as started in the distant past.
   Micros started_at = 0;
   EndpointState state = EndpointState::kUp;
 
@@ -28,30 +29,31 @@
 
 struct ListedEndpoint {
   CompactEndpointEntry entry;
-  // Port 0: the list names no address, which only a removed endpoint may lack.
+  // Port 0 if the list has no address for the endpoint, which is valid only for a removed endpoint.
   boost::asio::ip::tcp::endpoint address;
 };
 
-// A vector of so many would take twice their memory or more while it grows.
+// A deque, because a growing vector of 170,000 endpoints would temporarily take at least twice
+// their memory.
 using ListedEndpoints = std::deque<ListedEndpoint>;
 
-// Memory that the endpoint takes in ListedEndpoints, bytes, estimated.
+// Estimates the memory that the endpoint takes in ListedEndpoints, in bytes.
 std::size_t memory_bytes(const ListedEndpoint& endpoint);
 
 struct EndpointList {
   std::int64_t revision = 0;
-  // Whether the list names all endpoints; else only those that changed.
+  // Whether the list contains all endpoints. Otherwise it contains only those that changed.
   bool complete = false;
   ListedEndpoints endpoints;
 };
 
-// The list is not of the form that discovery documents.
+// The list does not have the format that discovery documents.
 class EndpointListError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The list exceeds what may be kept or waited for, whatever else would follow.
+// The list exceeds a size limit, so it is rejected before the rest of it arrives.
 class EndpointListTooLarge : public EndpointListError {
  public:
   using EndpointListError::EndpointListError;
--- a/src/net/discovery/endpoint_list_parser.cpp
+++ b/src/net/discovery/endpoint_list_parser.cpp
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-EndpointListParser::EndpointListParser(std::vector<std::string> path, EndpointListLimits limits,
-                                       Retain retain)
+EndpointListParser::EndpointListParser(std::vector<std::string> path,
+                                       EndpointListParserLimits limits, Retain retain)
     : limits_(limits), retain_(retain), path_length_(path.size()), scanner_(std::move(path)) {}
 
 std::size_t EndpointListParser::parse_chunk(std::string_view chunk) {
@@ -35,20 +35,20 @@
   }
   bytes_consumed_ -= chunk.size() - used;
   if (!done_ && bytes_consumed_ > limits_.text_bytes) {
-    throw EndpointListTooLarge("it has no end");
+    throw EndpointListTooLarge("the text of the list exceeds its size limit");
   }
   return used;
 }
 
 void EndpointListParser::consume_surrounding(char byte) {
-  if (!scanner_.in_string() && is_json_space(byte)) {
-    // One space is as good as many, which could fill the memory.
+  if (!scanner_.in_string() && is_json_whitespace(byte)) {
+    // Stores each run of white space as one space, so that white space cannot fill the memory.
     if (!surrounding_.empty() && surrounding_.back() != ' ') {
       surrounding_ += ' ';
     }
   } else {
     if (surrounding_.empty() && byte != '{') {
-      throw EndpointListError("it is no JSON object");
+      throw EndpointListError("the text is not a JSON object");
     }
     surrounding_ += byte;
     const JsonPathScanner::Event event = scanner_.consume(byte);
@@ -56,13 +56,13 @@
     done_ = event == JsonPathScanner::Event::kObjectClosed;
   }
   if (surrounding_.size() > limits_.surrounding_bytes) {
-    throw EndpointListTooLarge("the text around its endpoints has no end");
+    throw EndpointListTooLarge("the text outside the array of endpoints exceeds its size limit");
   }
 }
 
-// Between two entries of the array.
+// Consumes a byte of the array that is outside its entries.
 void EndpointListParser::consume_separator(char byte) {
-  if (is_json_space(byte)) {
+  if (is_json_whitespace(byte)) {
     return;
   }
   if (byte == ']' && expected_ != Expected::kEntry) {
@@ -71,7 +71,7 @@
     return;
   }
   if (byte != ',' || expected_ != Expected::kCommaOrEnd) {
-    throw EndpointListError("something else is among its endpoints");
+    throw EndpointListError("unexpected character in the array of endpoints");
   }
   expected_ = Expected::kEntry;
 }
@@ -81,8 +81,8 @@
   return entry_depth_ > 0 || begins_entry;
 }
 
-// Of an entry that begins here or began in an earlier chunk. Returns how much of the chunk belongs
-// to it.
+// Consumes an entry that begins with this chunk or began in an earlier one. Returns how many bytes
+// of the chunk belong to the entry.
 std::size_t EndpointListParser::consume_entry(std::string_view chunk) {
   for (std::size_t i = 0; i < chunk.size(); ++i) {
     if (!closes_entry(chunk[i])) {
@@ -100,7 +100,7 @@
   }
   partial_entry_ += chunk;
   if (partial_entry_.size() > kMaxEntryBytes) {
-    throw EndpointListTooLarge("an endpoint of it has no end");
+    throw EndpointListTooLarge("an endpoint entry exceeds its size limit");
   }
   return chunk.size();
 }
@@ -161,7 +161,7 @@
   list.complete = enclosing.value("complete", false);
   const json& array = enclosing.at("members");
   if (!array.is_array() && !array.is_null()) {
-    throw EndpointListError("its endpoints are no array");
+    throw EndpointListError("field 'members' is not an array");
   }
   list.endpoints = std::move(endpoints_);
   return list;
--- a/src/net/discovery/endpoint_list_parser.hpp
+++ b/src/net/discovery/endpoint_list_parser.hpp
@@ -17,55 +17,57 @@
 
 namespace quota_gateway::net {
 
-// What a list may take; beyond it the parser throws EndpointListTooLarge.
-struct EndpointListLimits {
-  // Memory of the endpoints.
+// Size limits of a list. The parser throws EndpointListTooLarge if the list exceeds one of them.
+struct EndpointListParserLimits {
+  // Estimated memory of all endpoints.
   std::size_t memory_bytes = std::numeric_limits<std::size_t>::max();
-  // The whole text.
+  // Length of the complete text.
   std::size_t text_bytes = std::numeric_limits<std::size_t>::max();
-  // The text but for the endpoints.
+  // Length of the text outside the array of endpoints, where each run of white space counts as one
+  // byte.
   std::size_t surrounding_bytes = std::numeric_limits<std::size_t>::max();
 };
 
 // Consumes one JSON object. Each entry of the array of endpoints is parsed as soon as its closing
-// bracket has arrived; the text around the array is kept and parsed at the end. After an exception
-// only bytes_consumed() and endpoint_count() may be called, and header() if it has had a value.
+// bracket has arrived; the text around the array is kept and parsed at the end. After an exception,
+// only bytes_consumed(), endpoint_count() and header() may be called.
 class EndpointListParser {
  public:
-  // What to keep of the entries. A sample is the text of one entry of each shape (see
-  // ParsedEndpointEntry); samples stay in surrounding_json().
+  // What to keep of the entries. Samples are the texts of one entry of each shape (see
+  // ParsedEndpointEntry); they are included in surrounding_json().
   enum class Retain { kEndpoints, kEndpointsAndSamples, kSamplesOnly };
 
   // `path`: the keys from the object down to the array of endpoints.
-  explicit EndpointListParser(std::vector<std::string> path, EndpointListLimits limits = {},
+  explicit EndpointListParser(std::vector<std::string> path, EndpointListParserLimits limits = {},
                               Retain retain = Retain::kEndpoints);
 
-  // Returns how many bytes belong to the object: all, or those up to its end. Throws
+  // Parses the chunk up to the end of the object and returns the number of bytes parsed. Throws
   // EndpointListError, or another std::exception on malformed text.
   std::size_t parse_chunk(std::string_view chunk);
   // Whether the object has ended.
   bool is_done() const { return done_; }
-  // Bytes of all chunks so far, up to the object's end.
+  // Total bytes parsed so far.
   std::size_t bytes_consumed() const { return bytes_consumed_; }
   std::size_t endpoint_count() const { return endpoint_count_; }
 
-  // The fields that precede the endpoints.
+  // The fields that precede the array of endpoints. A field that is absent there has no value.
   struct Header {
     std::optional<std::int64_t> revision;
     std::optional<bool> complete;
   };
-  // None before the array of endpoints has begun and after it has ended. Throws std::exception on
+  // Has a value only while the array of endpoints is being parsed. Throws std::exception on
   // malformed text.
   std::optional<Header> header() const;
 
-  // Once done: the object without its endpoints. Throws nlohmann::json::exception.
+  // Requires is_done(). Returns the object without its endpoints, except for samples. Throws
+  // nlohmann::json::exception.
   nlohmann::json surrounding_json() const { return nlohmann::json::parse(surrounding_); }
-  // Once done, and once only. `enclosing`: the object in surrounding_json() that the array of
-  // endpoints is in. Throws EndpointListError or nlohmann::json::exception.
+  // Requires is_done() and may be called only once. `enclosing`: the object in surrounding_json()
+  // that contains the array of endpoints. Throws EndpointListError or nlohmann::json::exception.
   EndpointList take_list(const nlohmann::json& enclosing);
 
  private:
-  // What may come next in the array of endpoints.
+  // Tokens that are valid next in the array of endpoints.
   enum class Expected { kEntryOrEnd, kEntry, kCommaOrEnd };
 
   void consume_surrounding(char byte);
@@ -75,7 +77,7 @@
   bool closes_entry(char byte);
   void add_entry(std::string_view text);
 
-  const EndpointListLimits limits_;
+  const EndpointListParserLimits limits_;
   const Retain retain_;
   const std::size_t path_length_;
   JsonPathScanner scanner_;
@@ -84,9 +86,9 @@
   bool done_ = false;
 
   Expected expected_ = Expected::kEntryOrEnd;
-  // Of an entry that began in an earlier chunk.
+  // Text of an entry that began in an earlier chunk.
   std::string partial_entry_;
-  // Open brackets of the entry; 0 between entries.
+  // Number of open brackets in the current entry; 0 between entries.
   int entry_depth_ = 0;
   JsonStringTracker entry_strings_;
 
@@ -97,7 +99,7 @@
   std::unordered_set<std::uint64_t> sampled_shapes_;
 };
 
-// Parses a list that is already a tree. Throws as the parser's functions do.
+// Parses a list from a JSON tree. Throws the same exceptions as EndpointListParser.
 EndpointList parse_endpoint_list(const nlohmann::json& list);
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/endpoint_store.cpp
+++ b/src/net/discovery/endpoint_store.cpp
@@ -23,7 +23,7 @@
   EndpointRecord& added = record(slot);
   added.used = true;
   added.id = endpoint.entry.server;
-  added.zone = names_.acquire(endpoint.entry.zone);
+  added.zone = interned_strings_.acquire(endpoint.entry.zone);
   by_id_.insert(id_hash(slot), slot, [this](Slot other) { return id_hash(other); });
   if (endpoint.address.port() != 0) {
     set_address(slot, endpoint.address);
@@ -46,21 +46,23 @@
 
 bool EndpointStore::update(Slot slot, const ListedEndpoint& endpoint, ListSequence sequence) {
   EndpointRecord& updated = record(slot);
-  const bool moved = endpoint.address.port() != 0 && !is_at(updated, endpoint.address);
+  const bool moved = endpoint.address.port() != 0 && !has_address(updated, endpoint.address);
   const bool restarted = updated.started_at != endpoint.entry.started_at;
   if (moved) {
     clear_address(slot);
     set_address(slot, endpoint.address);
   }
-  // The new zone first: the old one may be the same, with no other user.
-  const std::uint32_t zone = names_.acquire(endpoint.entry.zone);
-  names_.release(std::exchange(updated.zone, zone));
+  // Acquires the new zone before releasing the old one. If both are the same string and no other
+  // record uses it, releasing it first would delete it.
+  const std::uint32_t zone = interned_strings_.acquire(endpoint.entry.zone);
+  interned_strings_.release(std::exchange(updated.zone, zone));
   up_count_ -= updated.up;
   set_fields(updated, endpoint, sequence);
   return moved || restarted;
 }
 
-// All but the id, and but for the zone and the address, whose names and index are kept besides.
+// Sets all fields except for the id, the zone and the address. The caller sets these because they
+// are interned or indexed.
 void EndpointStore::set_fields(EndpointRecord& record, const ListedEndpoint& endpoint,
                                ListSequence sequence) {
   const CompactEndpointEntry& entry = endpoint.entry;
@@ -77,14 +79,14 @@
   EndpointRecord& removed = record(slot);
   EndpointEntry entry;
   entry.server = removed.id;
-  entry.zone = names_[removed.zone];
+  entry.zone = interned_strings_[removed.zone];
   entry.cell = removed.cell;
   entry.weight = removed.weight;
   entry.started_at = removed.started_at;
   entry.state = EndpointState::kRemoved;
   by_id_.erase(id_hash(slot), slot, [this](Slot other) { return id_hash(other); });
   clear_address(slot);
-  names_.release(removed.zone);
+  interned_strings_.release(removed.zone);
   up_count_ -= removed.up;
   --size_;
   removed = EndpointRecord();
@@ -102,17 +104,17 @@
   const auto state = record.draining ? EndpointState::kDraining : EndpointState::kUp;
   return state == entry.state && record.started_at == entry.started_at &&
          record.cell == entry.cell && record.weight == entry.weight &&
-         is_at(record, endpoint.address) && names_[record.zone] == entry.zone;
+         has_address(record, endpoint.address) && interned_strings_[record.zone] == entry.zone;
 }
 
-bool EndpointStore::is_at(const EndpointRecord& record, const tcp::endpoint& address) const {
+bool EndpointStore::has_address(const EndpointRecord& record, const tcp::endpoint& address) const {
   return record.port == address.port() &&
          host_of(address.address()) == Host{record.host, record.host_is_interned};
 }
 
 tcp::endpoint EndpointStore::address_of(const EndpointRecord& record) const {
   if (record.host_is_interned) {
-    return {boost::asio::ip::make_address(names_[record.host]), record.port};
+    return {boost::asio::ip::make_address(interned_strings_[record.host]), record.port};
   }
   return {boost::asio::ip::address_v4(record.host), record.port};
 }
@@ -121,7 +123,7 @@
   EndpointRecord& moved = record(slot);
   const boost::asio::ip::address host = address.address();
   moved.host_is_interned = !host.is_v4();
-  moved.host = host.is_v4() ? host.to_v4().to_uint() : names_.acquire(host.to_string());
+  moved.host = host.is_v4() ? host.to_v4().to_uint() : interned_strings_.acquire(host.to_string());
   moved.port = address.port();
   by_address_.insert(address_hash(slot), slot, [this](Slot other) { return address_hash(other); });
 }
@@ -133,24 +135,24 @@
   }
   by_address_.erase(address_hash(slot), slot, [this](Slot other) { return address_hash(other); });
   if (cleared.host_is_interned) {
-    names_.release(cleared.host);
+    interned_strings_.release(cleared.host);
   }
   cleared.host = 0;
   cleared.port = 0;
   cleared.host_is_interned = false;
 }
 
-// None for an address that no endpoint here has.
+// Returns no value for an IPv6 address that no endpoint has.
 std::optional<EndpointStore::Host> EndpointStore::host_of(
     const boost::asio::ip::address& address) const {
   if (address.is_v4()) {
     return Host{address.to_v4().to_uint(), false};
   }
-  const std::optional<std::uint32_t> name = names_.find(address.to_string());
-  if (!name) {
+  const std::optional<std::uint32_t> interned_host = interned_strings_.find(address.to_string());
+  if (!interned_host) {
     return std::nullopt;
   }
-  return Host{*name, true};
+  return Host{*interned_host, true};
 }
 
 std::uint64_t EndpointStore::hash_address(Host host, std::uint16_t port) {
--- a/src/net/discovery/endpoint_store.hpp
+++ b/src/net/discovery/endpoint_store.hpp
@@ -1,5 +1,5 @@
-// The endpoints in force as compact records, found by id and by address. Owned by EndpointTable,
-// which decides what changes.
+// Stores the endpoints in force as compact records, indexed by id and by address. Owned by
+// EndpointTable, which decides which records change.
 #pragma once
 
 #include <array>
@@ -17,7 +17,7 @@
 
 namespace quota_gateway::net {
 
-// Numbers the lists in the order of their arrival.
+// Sequence number of a list, in the order of arrival.
 using ListSequence = std::uint32_t;
 
 struct EndpointRecord {
@@ -25,32 +25,34 @@
   std::int64_t cell = 0;
   double weight = 1;
   Micros started_at = 0;
-  // Interned.
+  // Id of the interned zone name.
   std::uint32_t zone = 0;
-  // The newest list that names the endpoint.
+  // The newest list that contains the endpoint.
   ListSequence listed_by = 0;
-  // An IPv4 address, or the interned text of another one.
+  // An IPv4 address or, if host_is_interned, the id of the interned text of an IPv6 address.
   std::uint32_t host = 0;
-  // 0: no address is known.
+  // 0 if the address is unknown.
   std::uint16_t port = 0;
   bool host_is_interned : 1 = false;
   bool used : 1 = false;
-  // Neither draining nor without an address.
+  // The endpoint is not draining and its address is known.
   bool up : 1 = false;
   bool draining : 1 = false;
 };
-static_assert(sizeof(EndpointRecord) <= 72, "at 170,000 endpoints each byte counts");
+static_assert(sizeof(EndpointRecord) <= 72,
+              "each byte of a record takes 170 KB with 170,000 endpoints");
 
 class EndpointStore {
  public:
-  // Of a record, which stays there until it is removed. Slots are reused.
+  // Position of a record, which does not change until the record is removed. Slots are reused.
   using Slot = SlotIndex::Slot;
 
-  // Of an endpoint whose id is new.
+  // Adds a record. Requires that no record has the endpoint's id.
   void insert(const ListedEndpoint& endpoint, ListSequence sequence);
-  // Returns whether the endpoint has moved or restarted, so that connections to it are stale.
+  // Returns whether the endpoint's address or start time has changed, so that connections to it are
+  // stale.
   bool update(Slot slot, const ListedEndpoint& endpoint, ListSequence sequence);
-  // Returns what the record was, with the state kRemoved.
+  // Returns the entry of the removed endpoint, with state kRemoved.
   EndpointEntry remove(Slot slot);
   void set_listed_by(Slot slot, ListSequence sequence) { record(slot).listed_by = sequence; }
 
@@ -58,29 +60,32 @@
     return (*chunks_[slot / kChunkSize])[slot % kChunkSize];
   }
   std::optional<Slot> find(const std::string& id) const;
-  // The first endpoint with another id at the same address of whose record `matches` holds.
+  // Finds the first endpoint that has the same address and another id and for whose record
+  // `matches` returns true.
   template <typename Matches>
   std::optional<Slot> find_other_at_address(const ListedEndpoint& endpoint,
                                             const Matches& matches) const;
   bool is_unchanged(const EndpointRecord& record, const ListedEndpoint& endpoint) const;
-  bool is_at(const EndpointRecord& record, const boost::asio::ip::tcp::endpoint& address) const;
-  // With port 0 if none is known.
+  bool has_address(const EndpointRecord& record,
+                   const boost::asio::ip::tcp::endpoint& address) const;
+  // Returns port 0 if the address is unknown.
   boost::asio::ip::tcp::endpoint address_of(const EndpointRecord& record) const;
 
-  // All slots are below this one; some may be unused.
+  // Upper bound of the slots, exclusive. Slots below it may be unused.
   Slot slot_count() const { return slot_count_; }
   std::size_t size() const { return size_; }
   std::size_t up_count() const { return up_count_; }
 
  private:
-  // As EndpointRecord has it.
+  // The host of an address in the representation of EndpointRecord.
   struct Host {
     std::uint32_t value = 0;
     bool is_interned = false;
     bool operator==(const Host&) const = default;
   };
 
-  // Records that are allocated together. One array of all would have to be moved as it grows.
+  // Number of records that are allocated together. A single array of all records would be copied
+  // each time it grows.
   static constexpr std::size_t kChunkSize = 256;
   using Chunk = std::array<EndpointRecord, kChunkSize>;
 
@@ -101,8 +106,8 @@
   std::size_t up_count_ = 0;
   SlotIndex by_id_;
   SlotIndex by_address_;
-  // Zones, and hosts that are no IPv4 addresses: many endpoints share each.
-  StringInterner names_;
+  // Zone names and IPv6 addresses. Many endpoints share each of these strings.
+  StringInterner interned_strings_;
 };
 
 template <typename Matches>
--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -5,26 +5,26 @@
 namespace quota_gateway::net {
 namespace {
 
-// Of two endpoints listed at one address, the one with the stronger claim is there: the one that
-// started last, and of equals the one listed last.
-struct AddressClaim {
+// Decides between two endpoints that are listed at the same address. The endpoint that started
+// later has precedence; if both started at the same time, the endpoint listed later has precedence.
+struct AddressPrecedence {
   Micros started_at = 0;
   ListSequence listed_by = 0;
 };
 
-AddressClaim claim_of(const EndpointRecord& record) {
+AddressPrecedence precedence_of(const EndpointRecord& record) {
   return {record.started_at, record.listed_by};
 }
 
-AddressClaim claim_of(const ListedEndpoint& endpoint, ListSequence sequence) {
+AddressPrecedence precedence_of(const ListedEndpoint& endpoint, ListSequence sequence) {
   return {endpoint.entry.started_at, sequence};
 }
 
-bool is_weaker(const AddressClaim& claim, const AddressClaim& other) {
-  if (claim.started_at != other.started_at) {
-    return claim.started_at < other.started_at;
+bool has_lower_precedence(const AddressPrecedence& precedence, const AddressPrecedence& other) {
+  if (precedence.started_at != other.started_at) {
+    return precedence.started_at < other.started_at;
   }
-  return claim.listed_by < other.listed_by;
+  return precedence.listed_by < other.listed_by;
 }
 
 }  // namespace
@@ -32,7 +32,7 @@
 void EndpointTable::enqueue(EndpointList list) {
   if (list.complete) {
     pending_.clear();
-    newer_.clear();
+    newest_listing_.clear();
   }
   PendingList& added = pending_.emplace_back();
   added.list = std::move(list);
@@ -40,12 +40,12 @@
 }
 
 EndpointChanges EndpointTable::apply() {
-  items_ = 0;
+  visited_items_ = 0;
   while (!pending_.empty() && !is_slice_full()) {
     advance(next_pending());
   }
   if (pending_.empty()) {
-    newer_.clear();
+    newest_listing_.clear();
   }
   return std::exchange(changes_, {});
 }
@@ -60,10 +60,11 @@
 }
 
 bool EndpointTable::is_slice_full() const {
-  return changes_.entries.size() >= kMaxChangesPerSlice || items_ >= kMaxItemsPerSlice;
+  return changes_.entries.size() >= kMaxChangesPerSlice || visited_items_ >= kMaxItemsPerSlice;
 }
 
-// What is urgent in any list comes before what is not in the first.
+// Returns the first list with urgent changes, or the oldest list if no list has any left. Urgent
+// changes of all lists are applied before other changes.
 EndpointTable::PendingList& EndpointTable::next_pending() {
   for (PendingList& pending : pending_) {
     if (pending.phase < Phase::kOther) {
@@ -82,7 +83,7 @@
   while (pending.position < count && !is_slice_full()) {
     process_item(pending);
     ++pending.position;
-    ++items_;
+    ++visited_items_;
   }
   if (pending.position == count) {
     pending.phase = phase_after(pending);
@@ -133,12 +134,13 @@
   }
 }
 
-// The first list is applied. To free a long one at once would take milliseconds.
+// Frees the oldest list after it has been applied. This is done in slices, because freeing a long
+// list in one step would take milliseconds.
 void EndpointTable::release(PendingList& pending) {
   ListedEndpoints& endpoints = pending.list.endpoints;
   while (!endpoints.empty() && !is_slice_full()) {
     endpoints.pop_back();
-    ++items_;
+    ++visited_items_;
   }
   if (endpoints.empty()) {
     pending_.pop_front();
@@ -156,7 +158,8 @@
   ++pending.remaining;
 }
 
-// Applies what must not wait. Returns whether the endpoint needs the later phases.
+// Applies a removal, a draining, a move or a restart. Returns whether the later phases must process
+// the endpoint too.
 bool EndpointTable::apply_urgent(const ListedEndpoint& endpoint, const PendingList& pending) {
   const CompactEndpointEntry& entry = endpoint.entry;
   const auto slot = store_.find(entry.server);
@@ -164,13 +167,14 @@
     return false;
   }
   if (!slot) {
-    remember_newer(entry.server, pending.sequence);
+    record_newest_listing(entry.server, pending.sequence);
     return true;
   }
   store_.set_listed_by(*slot, pending.sequence);
   const EndpointRecord& record = store_.at(*slot);
   if (store_.is_unchanged(record, endpoint)) {
-    // A complete list names the others at its address as well, or they are removed as unlisted.
+    // Other endpoints at the address need no check if the list is complete: either the list
+    // contains them, so they are processed themselves, or they are removed as unlisted.
     return !pending.list.complete;
   }
   if (entry.state == EndpointState::kRemoved) {
@@ -178,15 +182,15 @@
     return true;
   }
   const bool restarted = record.started_at != entry.started_at;
-  const bool moved = endpoint.address.port() != 0 && !store_.is_at(record, endpoint.address);
+  const bool moved = endpoint.address.port() != 0 && !store_.has_address(record, endpoint.address);
   if (entry.state == EndpointState::kDraining || restarted || moved) {
     update(*slot, endpoint, pending.sequence);
   }
   return true;
 }
 
-// Servers get new ids when they are replaced, all day long, so what a complete list leaves out is
-// not kept.
+// Removes the endpoint if a complete list does not contain it. Replaced servers get new ids all the
+// time, so keeping unlisted endpoints would let the table grow without bound.
 void EndpointTable::remove_if_unlisted(Slot slot, ListSequence sequence) {
   const EndpointRecord& record = store_.at(slot);
   if (record.used && record.listed_by < sequence) {
@@ -194,8 +198,8 @@
   }
 }
 
-// Without this, requests to the endpoint that was at an address would go to the new one there,
-// which may be warming up.
+// Removes older endpoints at the endpoint's address. Otherwise requests for an older endpoint would
+// reach the new one at that address, which may still be warming up.
 void EndpointTable::remove_replaced(const ListedEndpoint& endpoint, ListSequence sequence) {
   const CompactEndpointEntry& entry = endpoint.entry;
   if (entry.state == EndpointState::kRemoved || endpoint.address.port() == 0) {
@@ -205,7 +209,7 @@
     return;
   }
   const auto is_older = [&](const EndpointRecord& other) {
-    return is_weaker(claim_of(other), claim_of(endpoint, sequence));
+    return has_lower_precedence(precedence_of(other), precedence_of(endpoint, sequence));
   };
   while (const auto other = store_.find_other_at_address(endpoint, is_older)) {
     changes_.replaced.push_back(store_.at(*other).id);
@@ -213,16 +217,17 @@
   }
 }
 
-bool EndpointTable::is_outranked(const ListedEndpoint& endpoint, ListSequence sequence) const {
+bool EndpointTable::has_newer_at_address(const ListedEndpoint& endpoint,
+                                         ListSequence sequence) const {
   const auto is_newer = [&](const EndpointRecord& other) {
-    return is_weaker(claim_of(endpoint, sequence), claim_of(other));
+    return has_lower_precedence(precedence_of(endpoint, sequence), precedence_of(other));
   };
   return endpoint.address.port() != 0 &&
          store_.find_other_at_address(endpoint, is_newer).has_value();
 }
 
-// By now all records that existed before are as the list describes them, so others at the address
-// are those that stay.
+// The earlier phases have already brought moved, restarted and removed records up to date with the
+// list. Therefore other endpoints at the same address are ones that stay in force.
 void EndpointTable::apply_other(const ListedEndpoint& endpoint, ListSequence sequence) {
   const std::string& id = endpoint.entry.server;
   const auto slot = store_.find(id);
@@ -235,7 +240,7 @@
     }
     return;
   }
-  if (is_outranked(endpoint, sequence)) {
+  if (has_newer_at_address(endpoint, sequence)) {
     if (slot) {
       changes_.replaced.push_back(id);
       remove(*slot, sequence);
@@ -250,22 +255,22 @@
   }
 }
 
-// Whether a later list names the endpoint.
+// Whether a later list contains the endpoint.
 bool EndpointTable::is_superseded(const std::string& id, std::optional<Slot> slot,
                                   ListSequence sequence) const {
   if (slot) {
     return store_.at(*slot).listed_by > sequence;
   }
-  if (newer_.empty()) {
+  if (newest_listing_.empty()) {
     return false;
   }
-  const auto found = newer_.find(id);
-  return found != newer_.end() && found->second > sequence;
+  const auto found = newest_listing_.find(id);
+  return found != newest_listing_.end() && found->second > sequence;
 }
 
-void EndpointTable::remember_newer(const std::string& id, ListSequence sequence) {
+void EndpointTable::record_newest_listing(const std::string& id, ListSequence sequence) {
   if (pending_.front().sequence < sequence) {
-    newer_[id] = sequence;
+    newest_listing_[id] = sequence;
   }
 }
 
@@ -282,7 +287,7 @@
 }
 
 void EndpointTable::remove(Slot slot, ListSequence sequence) {
-  remember_newer(store_.at(slot).id, sequence);
+  record_newest_listing(store_.at(slot).id, sequence);
   changes_.entries.push_back(store_.remove(slot));
   changes_.stale_connections.push_back(changes_.entries.back().server);
 }
--- a/src/net/discovery/endpoint_table.hpp
+++ b/src/net/discovery/endpoint_table.hpp
@@ -1,6 +1,6 @@
-// The endpoints in force, and the endpoint lists that are yet to be applied to them. Owned by
-// ConnectionPool. A list is applied in slices, so that the event loop runs between them; each slice
-// returns what has changed and nothing else.
+// The endpoints in force and the queue of endpoint lists to apply to them. Owned by ConnectionPool.
+// A list is applied in slices so that the event loop runs between them. Each slice returns only the
+// endpoints that it has changed.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -17,61 +17,64 @@
 
 namespace quota_gateway::net {
 
-// What a slice of a list has changed, in the order in which it happened.
+// The changes made by one slice, in the order in which they were made.
 struct EndpointChanges {
-  // New, changed or, with the state kRemoved, gone.
+  // New and changed endpoints, and removed endpoints with state kRemoved.
   std::vector<EndpointEntry> entries;
-  // Ids of those that are gone, moved or restarted: connections to them must not be used any more.
+  // Ids of endpoints that were removed, moved to another address or restarted. Existing connections
+  // to them must not be used for further requests.
   std::vector<std::string> stale_connections;
-  // Ids of those that are gone since another endpoint has their address now.
+  // Ids of endpoints that were removed because another endpoint now has their address.
   std::vector<std::string> replaced;
 };
 
 struct EndpointStatus {
-  // Neither draining nor without an address.
+  // The endpoint is not draining and its address is known.
   bool up = false;
   Micros started_at = 0;
-  // Port 0: no address is known.
+  // Port 0 if the address is unknown.
   boost::asio::ip::tcp::endpoint address;
 };
 
 class EndpointTable {
  public:
-  // Changes of one slice. A slice and its handling by the decision module delay all requests.
+  // Maximum number of changes in one slice. All requests wait while a slice is applied and the
+  // decision module processes it.
   static constexpr std::size_t kMaxChangesPerSlice = 512;
 
-  // Adds a list behind those that are not applied yet. A complete list supersedes these.
+  // Appends a list to the queue. A complete list first discards all lists that are still queued.
   void enqueue(EndpointList list);
-  // Applies the next slice of the lists. Removed, draining, moved, restarted and replaced endpoints
-  // come first, also those of later lists; if several lists name an endpoint, the newest counts.
+  // Applies the next slice of the queued lists. Removed, draining, moved, restarted and replaced
+  // endpoints of all queued lists come first. If several lists contain an endpoint, the newest list
+  // applies.
   EndpointChanges apply();
-  // Whether all lists are applied.
+  // Whether all lists have been applied.
   bool is_idle() const { return pending_.empty(); }
 
-  // None: no such endpoint is in force.
+  // Returns no value if the endpoint is not in force.
   std::optional<EndpointStatus> find(const std::string& id) const;
-  // Of the endpoints in force.
+  // Number of endpoints in force.
   std::size_t size() const { return store_.size(); }
   std::size_t up_count() const { return store_.up_count(); }
 
  private:
   using Slot = EndpointStore::Slot;
 
-  // In this order.
+  // Phases of applying a list, in this order.
   enum class Phase {
-    kUrgent,    // each endpoint of the list: what must not wait
-    kUnlisted,  // each slot, if the list is complete: what the list leaves out
-    kReplaced,  // each endpoint that remains: others at its address
-    kOther,     // each endpoint that remains: everything else
-    kRelease,   // the memory of the list
+    kUrgent,    // applies removals, draining, moves and restarts of the listed endpoints
+    kUnlisted,  // for a complete list: visits all slots and removes the endpoints not listed
+    kReplaced,  // removes older endpoints at the addresses of the remaining listed endpoints
+    kOther,     // applies all other changes of the remaining listed endpoints
+    kRelease,   // frees the memory of the list
   };
   struct PendingList {
     EndpointList list;
     ListSequence sequence = 0;
     Phase phase = Phase::kUrgent;
-    // Endpoints, or slots, of the phase that are done.
+    // Number of endpoints, or slots, that the current phase has processed.
     std::size_t position = 0;
-    // Endpoints that remain after the urgent phase; they are moved to the front.
+    // Number of endpoints that the phases after kUrgent process. kUrgent moves them to the front.
     std::size_t remaining = 0;
   };
 
@@ -90,24 +93,24 @@
   void apply_other(const ListedEndpoint& endpoint, ListSequence sequence);
 
   bool is_superseded(const std::string& id, std::optional<Slot> slot, ListSequence sequence) const;
-  void remember_newer(const std::string& id, ListSequence sequence);
-  bool is_outranked(const ListedEndpoint& endpoint, ListSequence sequence) const;
+  void record_newest_listing(const std::string& id, ListSequence sequence);
+  bool has_newer_at_address(const ListedEndpoint& endpoint, ListSequence sequence) const;
   void insert(const ListedEndpoint& endpoint, ListSequence sequence);
   void update(Slot slot, const ListedEndpoint& endpoint, ListSequence sequence);
   void remove(Slot slot, ListSequence sequence);
 
-  // Endpoints or slots of one slice, as most of them may turn out to be unchanged.
+  // Maximum number of endpoints or slots that one slice visits, including unchanged ones.
   static constexpr std::size_t kMaxItemsPerSlice = 4 * kMaxChangesPerSlice;
 
   EndpointStore store_;
   std::deque<PendingList> pending_;
-  // Endpoints without a record that a list names which has others before it: these must not bring
-  // back what they say of them.
-  std::unordered_map<std::string, ListSequence> newer_;
+  // For endpoints that have no record and are listed by a list with older lists still queued: the
+  // sequence of the newest such list. The older lists must not add these endpoints again.
+  std::unordered_map<std::string, ListSequence> newest_listing_;
   ListSequence last_sequence_ = 0;
-  // Of the slice that is under way.
+  // Changes and visited items of the current slice.
   EndpointChanges changes_;
-  std::size_t items_ = 0;
+  std::size_t visited_items_ = 0;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/json_scanner.cpp
+++ b/src/net/discovery/json_scanner.cpp
@@ -9,10 +9,10 @@
 namespace quota_gateway::net {
 namespace {
 
-// Only so much of a string is kept; a key that is searched for is shorter.
+// Strings are truncated to this length. The keys of the path are shorter.
 constexpr std::size_t kMaxKeyBytes = 256;
 
-// A key may be written with escapes and has to be found all the same.
+// Resolves JSON escapes, so that keys with escapes match the path too.
 std::string unescape_key(const std::string& text) {
   if (text.size() >= kMaxKeyBytes || text.find('\\') == std::string::npos) {
     return text;
@@ -62,8 +62,8 @@
   if (bracket != '[' || !is_at_path()) {
     return Event::kNone;
   }
-  if (std::exchange(found_, true)) {
-    throw EndpointListError("there are two arrays of endpoints");
+  if (std::exchange(array_found_, true)) {
+    throw EndpointListError("the object contains more than one array of endpoints");
   }
   return Event::kArrayOpened;
 }
--- a/src/net/discovery/json_scanner.hpp
+++ b/src/net/discovery/json_scanner.hpp
@@ -1,5 +1,5 @@
-// Follows JSON text byte by byte without building a tree. Used by EndpointListParser, which finds
-// the array of endpoints by it.
+// Scans JSON text byte by byte without building a tree. EndpointListParser uses it to find the
+// array of endpoints.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,11 @@
 
 namespace quota_gateway::net {
 
-constexpr bool is_json_space(char byte) {
+constexpr bool is_json_whitespace(char byte) {
   return byte == ' ' || byte == '\t' || byte == '\r' || byte == '\n';
 }
 
-// Whether a byte of JSON text lies within a string.
+// Tracks whether the current position in JSON text is inside a string.
 class JsonStringTracker {
  public:
   bool in_string() const { return in_string_; }
@@ -34,22 +34,22 @@
   bool escaped_ = false;
 };
 
-// Follows one JSON object and finds the array at a path of keys in it. Brackets are counted but not
-// matched: whoever needs well-formed text parses it afterwards.
+// Scans one JSON object and finds the array at a path of keys in it. Counts brackets without
+// checking that their types match, so the caller must still parse the text to validate it.
 class JsonPathScanner {
  public:
   enum class Event {
     kNone,
-    kArrayOpened,   // the array at the path begins behind this byte
-    kObjectClosed,  // the object ends with this byte
+    kArrayOpened,   // this byte opens the array at the path
+    kObjectClosed,  // this byte closes the object
   };
 
-  // `path`: the keys from the object down to the array.
+  // `path`: the keys that lead from the object to the array.
   explicit JsonPathScanner(std::vector<std::string> path);
 
   bool in_string() const { return strings_.in_string(); }
-  // The next byte, which must not be white space outside a string. The array's content may be left
-  // out. Throws EndpointListError if there is a second array at the path.
+  // Consumes the next byte. The caller must skip white space outside strings and may skip the
+  // content of the array. Throws EndpointListError if there is a second array at the path.
   Event consume(char byte);
 
  private:
@@ -57,12 +57,12 @@
   bool is_at_path() const;
 
   const std::vector<std::string> path_;
-  // The last key at each depth, as far down as the path goes. The object's own keys are at depth 1.
+  // The last key at each depth up to the length of the path. The object's own keys are at depth 1.
   std::vector<std::string> keys_;
   std::string last_string_;
   JsonStringTracker strings_;
   std::size_t depth_ = 0;
-  bool found_ = false;
+  bool array_found_ = false;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/list_intake.cpp
+++ b/src/net/discovery/list_intake.cpp
@@ -7,14 +7,15 @@
 namespace {
 
 constexpr std::size_t kMaxSurroundingBytes = 64 << 10;
-// An endpoint's text, indented, takes four times its memory.
+// The indented text of an endpoint takes four times the memory of the endpoint.
 constexpr std::size_t kTextBytesPerMemoryByte = 8;
 
-// A list that trickles always has more to come, and one of 22 MB can't arrive within the longest
-// pause. So each byte earns a list more time, that is half a MB a second, but never more than so
-// much ahead.
+// A list that trickles in never exceeds the longest pause, and a list of 22 MB cannot arrive within
+// one such pause. Therefore a list must arrive at a minimum rate of half a MB per second: each byte
+// extends the deadline by 2 us. The deadline is never further ahead than 1 s or the longest pause,
+// whichever is longer.
 constexpr Micros kMicrosPerByte = 2;
-constexpr Micros kMaxEarnedTime = 1'000'000;
+constexpr Micros kMaxTimeCredit = 1'000'000;
 
 }  // namespace
 
@@ -22,7 +23,7 @@
     : limits_(limits), max_pause_(max_pause), retry_policy_(limits, seed) {}
 
 void ListIntake::begin(Micros now) {
-  const EndpointListLimits parser_limits{
+  const EndpointListParserLimits parser_limits{
       limits_.memory_bytes, kTextBytesPerMemoryByte * limits_.memory_bytes, kMaxSurroundingBytes};
   parser_.emplace(std::vector<std::string>{"members"}, parser_limits);
   ++begun_count_;
@@ -31,13 +32,14 @@
   last_progress_at_.reset();
 }
 
-// A list that does not say so before its endpoints may be complete.
+// A list whose field 'complete' does not precede its endpoints may be complete.
 bool ListIntake::may_be_complete(const Header& header) {
   return header.complete.value_or(true);
 }
 
-// While lists fail again and again, one that would fail too is abandoned as soon as it can be
-// distinguished from one that may be accepted.
+// While reads are restricted, stops reading a list as soon as its header or its size shows that it
+// must not be read completely. A list of changes is read completely, unless the last rejected list
+// held changes too.
 bool ListIntake::enforce_read_scope() {
   if (scope_ == ListReadScope::kUnlimited) {
     return false;
@@ -52,20 +54,21 @@
     }
     if (complete && scope_ == ListReadScope::kProbe && rejected_header_ &&
         rejected_header_->revision == header->revision) {
-      throw EndpointListError("the same list as the one rejected before");
+      throw EndpointListError("the list has the same revision as the one rejected before");
     }
   }
   if (parser_->bytes_consumed() >= retry_policy_.max_bytes(scope_)) {
-    throw EndpointListError("a complete list, too soon after a rejected one");
+    throw EndpointListError("a list of this size arrived too soon after a rejected one");
   }
   return false;
 }
 
 EndpointList ListIntake::finish() {
   EndpointList list = parser_->take_list(parser_->surrounding_json());
-  // A discovery that has lost its own list would take every endpoint from all gateways at once.
+  // Rejects an empty list, because a discovery service that has lost its data would otherwise
+  // remove all endpoints from all gateways at the same time.
   if (list.complete && list.endpoints.empty()) {
-    throw EndpointListError("the list is empty");
+    throw EndpointListError("the complete list has no endpoints");
   }
   parser_.reset();
   if (list.complete || (rejected_header_ && !may_be_complete(*rejected_header_))) {
@@ -82,19 +85,19 @@
 bool ListIntake::on_progress(std::size_t bytes, Micros now) {
   const bool first = !last_progress_at_;
   last_progress_at_ = now;
-  const Micros earned_until =
-      (first ? now + max_pause_ : pace_deadline_) + Micros(bytes) * kMicrosPerByte;
-  pace_deadline_ = std::min(earned_until, now + std::max(kMaxEarnedTime, max_pause_));
+  const Micros credited_until =
+      (first ? now + max_pause_ : throughput_deadline_) + Micros(bytes) * kMicrosPerByte;
+  throughput_deadline_ = std::min(credited_until, now + std::max(kMaxTimeCredit, max_pause_));
   return first;
 }
 
 Micros ListIntake::deadline() const {
-  return std::min(last_progress_at_.value_or(0) + max_pause_, pace_deadline_);
+  return std::min(last_progress_at_.value_or(0) + max_pause_, throughput_deadline_);
 }
 
 void ListIntake::extend_deadline(Micros now, Micros grace) {
   last_progress_at_ = std::max(last_progress_at_.value_or(0), now - max_pause_ + grace);
-  pace_deadline_ = std::max(pace_deadline_, now + grace);
+  throughput_deadline_ = std::max(throughput_deadline_, now + grace);
 }
 
 ListIntake::Rejection ListIntake::reject(ListFailure failure, Micros now) {
--- a/src/net/discovery/list_intake.hpp
+++ b/src/net/discovery/list_intake.hpp
@@ -1,6 +1,6 @@
-// The endpoint list that is arriving on a watch: how much of it may be read, by when more of it
-// must arrive, and what follows if it is rejected. Owned by DiscoveryClient, which reads the bytes;
-// no I/O, no clock.
+// Receives one endpoint list at a time from a watch: parses it, limits how much of it may be read
+// and how slowly it may arrive, and schedules the next request after a rejected list. Owned by
+// DiscoveryClient, which reads the bytes; no I/O, no clock.
 #pragma once
 
 #include <cstddef>
@@ -16,54 +16,55 @@
 
 class ListIntake {
  public:
-  // `max_pause`: the longest time without any more of a list, us. `seed`: of random waits.
+  // `max_pause`: longest time without further bytes of a list, us. `seed`: seed of the random
+  // waits.
   ListIntake(const ListLimits& limits, Micros max_pause, std::uint64_t seed);
 
-  // How much of a complete list that arrives now may be read.
+  // How much may be read of a complete list that arrives now.
   ListReadScope read_scope(Micros now) const { return retry_policy_.read_scope(now); }
 
   void begin(Micros now);
-  // A list has begun, and was neither finished, rejected nor abandoned.
+  // Whether a list has begun and has not been finished, rejected or abandoned.
   bool is_in_progress() const { return parser_.has_value(); }
-  // How many lists have begun so far.
+  // Number of lists that have begun so far.
   int begun_count() const { return begun_count_; }
 
-  // The following calls need a list in progress.
+  // The calls from here to reject() require a list in progress.
 
-  // Returns how many bytes belong to the list. Throws std::exception on malformed text,
-  // EndpointListTooLarge on a list beyond the limits.
+  // Parses the piece up to the end of the list and returns the number of bytes parsed. Throws
+  // std::exception on malformed text, EndpointListTooLarge on a list that exceeds the limits.
   std::size_t consume(std::string_view piece) { return parser_->parse_chunk(piece); }
-  // Whether all of the list has been consumed.
+  // Whether the end of the list has been consumed.
   bool is_complete() const { return parser_->is_done(); }
-  // After a piece that doesn't end the list. Throws EndpointListError if no more of the list may be
-  // read. Returns true once it turns out that all of it may be read, although less was certain
-  // before.
+  // Call it after each piece that does not end the list. Throws EndpointListError if no more of the
+  // list may be read. Returns true when the header of the list has lifted the read limit.
   bool enforce_read_scope();
-  // Once all is consumed: accepts the list. Throws std::exception on a malformed or empty one,
-  // which remains in progress.
+  // Requires is_complete(). Accepts and returns the list. Throws std::exception on a malformed list
+  // or a complete list without endpoints; such a list remains in progress.
   EndpointList finish();
 
-  // More of the list has arrived, and it has not ended. Returns whether this is its first progress.
+  // Call it when bytes have arrived that do not end the list. Returns whether this is the first
+  // call for the list.
   bool on_progress(std::size_t bytes, Micros now);
-  // When more of the list must have arrived. Needs progress.
+  // The time by which further bytes of the list must arrive. Requires a call of on_progress().
   Micros deadline() const;
-  // Moves the deadline to `grace` from now at the least.
+  // Moves the deadline to no earlier than now + `grace`.
   void extend_deadline(Micros now, Micros grace);
 
   struct Rejection {
     std::size_t bytes = 0;
     std::size_t endpoints = 0;
-    // Only the first bytes of the list were to be read.
+    // Whether only the first bytes of the list were allowed to be read (ListReadScope::kProbe).
     bool was_probe = false;
-    // Time until the next request, us; none while a further list costs little.
+    // Time until the next request, us. No value while rejected lists do not restrict requests yet.
     std::optional<Micros> retry_wait;
   };
   // Rejects the list in progress.
   Rejection reject(ListFailure failure, Micros now);
 
-  // Drops the list in progress, if any, which has no consequences.
+  // Discards the list in progress, if any, without counting it as a failure.
   void abandon() { parser_.reset(); }
-  // Besides forgets all failures: the next list comes from another agent.
+  // Discards the list in progress and all failures, for a switch to another agent.
   void reset();
 
  private:
@@ -78,11 +79,12 @@
   int begun_count_ = 0;
   ListReadScope scope_ = ListReadScope::kUnlimited;
   bool header_checked_ = false;
-  // Of the last rejected list.
+  // Header of the last rejected list.
   std::optional<Header> rejected_header_;
-  // Of the list in progress.
+  // When bytes of the list in progress last arrived.
   std::optional<Micros> last_progress_at_;
-  Micros pace_deadline_ = 0;
+  // Deadline that follows from the minimum throughput of a list.
+  Micros throughput_deadline_ = 0;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/list_retry_policy.hpp
+++ b/src/net/discovery/list_retry_policy.hpp
@@ -1,5 +1,5 @@
-// Limits what rejected endpoint lists may cost: how many bytes of the next list may be read, and
-// when to ask for it. Owned by DiscoveryClient, which reports each list that it rejects or accepts.
+// Limits the traffic that rejected endpoint lists cause: how many bytes of the next list may be
+// read, and when to request it. Owned by ListIntake, which reports each rejected or accepted list.
 #pragma once
 
 #include <cstddef>
@@ -11,96 +11,100 @@
 
 namespace quota_gateway::net {
 
-// Together these keep a lasting fault under 2 KB a second once the waits have grown: two times
-// `bytes_per_second`, and a request with the first bytes of its response each 2 to 4 s.
+// Together these limits keep the traffic of a persistent fault below 2 KB per second once the waits
+// have grown: twice `bytes_per_second`, plus one request with the first bytes of its response every
+// 2 to 4 s.
 struct ListLimits {
-  // Memory that the endpoints of one list may use.
+  // Maximum memory of the endpoints of one list.
   std::size_t memory_bytes = 32 << 20;
-  // Bytes of rejected lists that restrict nothing yet; replenished at `bytes_per_second`.
+  // Bytes of rejected lists after which reads are restricted. The allowance is replenished at
+  // `bytes_per_second`.
   std::size_t unrestricted_bytes = 4 << 20;
-  // Consecutive lists that stop or trickle and restrict nothing yet.
+  // Number of consecutive lists that stop or arrive too slowly after which reads are restricted.
   int max_unfinished_lists = 8;
-  // What rejected lists may cost in the long run.
+  // Long-term rate of bytes read from rejected lists of any size, and again from small lists.
   double bytes_per_second = 400;
-  // The first wait for a further complete list after one that was too large, us.
+  // First wait before another complete list is read after one that was too large, us.
   Micros initial_wait = 4'000'000;
-  // The longest wait between two requests while restricted, us.
+  // Longest wait between two requests while restricted, us.
   Micros max_request_interval = 4'000'000;
-  // Bytes of a list that show what it is.
+  // Bytes at the start of a list that show whether it is complete, and its revision.
   std::size_t probe_bytes = 1024;
-  // Bytes of a list of some hundred endpoints.
+  // Size of a list of a few hundred endpoints.
   std::size_t small_list_bytes = 64 << 10;
 };
 
-// For a gateway whose configuration allows `memory_mb`. A list gets a sixth of it: while a list
-// arrives, the one in force stays.
+// Returns the limits for a gateway with a memory limit of `memory_mb`. A list may take a sixth of
+// it, because the list in force stays in memory while another list arrives.
 ListLimits list_limits_for_memory(std::size_t memory_mb);
 
-// How much of the next complete list may be read.
+// How much may be read of the next complete list.
 enum class ListReadScope {
-  kProbe,      // enough to see what the list is
-  kSmallList,  // a list of some hundred endpoints
+  kProbe,      // only enough to read the header of the list
+  kSmallList,  // a list of a few hundred endpoints
   kUnlimited,
 };
 
 // Why a list was rejected.
 enum class ListFailure {
-  kMalformed,   // it could not be parsed, or its connection broke
-  kUnfinished,  // it stopped or trickled
+  kMalformed,   // the list could not be parsed, or the connection broke
+  kUnfinished,  // the list stopped or arrived too slowly
   kTooLarge,
 };
 
-// While the fault lasts, three kinds of attempts go on. Often: what changed since the list in
-// force, of which only so much is read that a complete list shows itself as one. Seldom, with waits
-// that double up to what `bytes_per_second` allows: a small list, and one of any size. So a change
-// that arrives as one is accepted as ever, and the end of a fault is noticed after no more than
-// about the time that it lasted, for a small list within minutes.
+// While lists keep failing, three kinds of attempts continue. Frequent requests ask for the changes
+// since the list in force and read only enough of the response to recognize a complete list. Reads
+// of a small complete list and reads of a complete list of any size are rarer; their waits double
+// up to what `bytes_per_second` allows. So changes are still accepted, and a complete list is
+// accepted again within about the time that the fault lasted, a small list within minutes.
 class ListRetryPolicy {
  public:
-  // `seed`: of the random draws that spread the waits.
+  // `seed`: seed of the random waits.
   ListRetryPolicy(const ListLimits& limits, std::uint64_t seed);
 
-  // Whether so many lists were rejected that only part of the next one may be read.
+  // Whether rejected lists have used up the allowance, so that requests and reads are limited.
   bool is_restricted() const;
 
-  // How much of a complete list that arrives now may be read.
+  // How much may be read of a complete list that arrives now.
   ListReadScope read_scope(Micros now) const;
-  // The same in bytes.
+  // Maximum number of bytes that `scope` allows to read.
   std::size_t max_bytes(ListReadScope scope) const;
 
-  // A list was rejected after `bytes_read`; `scope` is what applied to it.
+  // Call it after a list was rejected. `bytes_read`: bytes read of that list; `scope`: the scope
+  // that applied to it.
   void on_failure(ListReadScope scope, std::size_t bytes_read, ListFailure failure, Micros now);
-  // A list of changes was accepted.
+  // Call it after a list of changes was accepted.
   void on_partial_list();
-  // A complete list was accepted, or the lists come from another agent now: forgets all failures.
+  // Discards all failures. Call it after a complete list was accepted or another agent was chosen.
   void reset();
 
-  // Time until the next request while restricted, us. Each call lengthens the next ones.
+  // Returns the time until the next request while restricted, us. The waits grow with each call up
+  // to `max_request_interval`.
   Micros next_wait(Micros now);
 
  private:
-  // When lists of one size may be read again.
+  // When complete lists of one size class may be read again.
   struct Schedule {
     Micros wait = 0;
     Micros next_at = 0;
   };
 
   static constexpr Micros kInitialInterval = 60'000;  // us
-  // Bytes of a request and the first of its response, which each attempt costs at the least.
-  static constexpr std::size_t kMinCost = 1600;
+  // Minimum traffic of an attempt in bytes: a request and the first bytes of its response.
+  static constexpr std::size_t kMinAttemptBytes = 1600;
 
   Micros draw_wait(Micros max_wait);
-  void postpone(Schedule& schedule, Micros initial_wait, double cost, Micros now);
+  void postpone(Schedule& schedule, Micros initial_wait, double traffic_bytes, Micros now);
 
   const ListLimits limits_;
   std::mt19937_64 random_;
-  // Bytes of rejected lists, less what was replenished up to `failed_at_`.
-  double wasted_bytes_ = 0;
-  Micros failed_at_ = 0;
+  // Bytes of rejected lists minus the bytes replenished until the last failure.
+  double rejected_bytes_ = 0;
+  Micros last_failure_at_ = 0;
   Micros request_interval_ = kInitialInterval;
   int unfinished_lists_ = 0;
-  Schedule any_size_;
-  Schedule small_lists_;
+  Schedule any_size_schedule_;
+  Schedule small_list_schedule_;
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/receive_limit.cpp
+++ b/src/net/discovery/receive_limit.cpp
@@ -7,7 +7,7 @@
 
 using boost::asio::ip::tcp;
 
-// Of the receive buffer.
+// Sizes of the socket's receive buffer.
 constexpr int kProbeBufferBytes = 1152;
 constexpr int kSmallListBufferBytes = 16384;
 constexpr int kUnlimitedBufferBytes = 1 << 20;
--- a/src/net/discovery/receive_limit.hpp
+++ b/src/net/discovery/receive_limit.hpp
@@ -1,4 +1,4 @@
-// How much the system accepts ahead from a discovery agent. Owned by DiscoveryClient.
+// Limits how much data the kernel buffers from a discovery agent. Owned by DiscoveryClient.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -7,16 +7,17 @@
 
 namespace quota_gateway::net {
 
-// What an agent has sent has gone over the network, read or not, and the system would accept
-// megabytes ahead. So before a list of which little may be read, the receive buffer is made small.
+// The kernel would receive megabytes ahead of the reader, and those bytes use the network even if
+// they are never read. Therefore the receive buffer is made small before a response of which only
+// little may be read.
 class ReceiveLimit {
  public:
-  // Whether little of what the connection brings may be read.
+  // Whether the current connection has a limit.
   bool is_limited() const { return limited_; }
 
-  // Of a new connection, whose socket is open and not connected yet.
+  // Sets the limit for a new connection. The socket must be open and not connected yet.
   void apply(boost::asio::ip::tcp::socket& socket, ListReadScope scope);
-  // All of a list may be read after all.
+  // Removes the limit once a list may be read completely.
   void lift(boost::asio::ip::tcp::socket& socket);
 
  private:
--- a/src/net/discovery/slot_index.hpp
+++ b/src/net/discovery/slot_index.hpp
@@ -1,5 +1,5 @@
-// A hash index of numbered slots, 4 to 11 bytes a slot. The caller owns the records in the slots
-// and computes their hashes. Used by EndpointStore.
+// A hash index of numbered slots that takes 4 to 11 bytes per slot. The caller owns the records in
+// the slots and computes their hashes. Used by EndpointStore.
 #pragma once
 
 #include <algorithm>
@@ -11,11 +11,11 @@
 
 namespace quota_gateway::net {
 
-// Open addressing with linear probing. Several slots may have the same hash. One table that grows
-// would move all its content at once, which takes 20 ms at 170,000 slots; the shards grow one by
-// one.
+// Open addressing with linear probing in 256 shards. Several slots may have the same hash. A single
+// table would rehash all slots when it grows, which takes 20 ms for 170,000 slots, whereas each
+// shard grows on its own.
 //
-// `hash_of(slot)` returns the hash with which a slot was inserted.
+// `hash_of(slot)` must return the hash with which the slot was inserted.
 class SlotIndex {
  public:
   using Slot = std::uint32_t;
@@ -29,7 +29,7 @@
     ++shard.used;
   }
 
-  // The slot must have been inserted with this hash.
+  // Requires that the slot was inserted with this hash.
   void erase(std::uint64_t hash, Slot slot, const auto& hash_of) {
     Shard& shard = shards_[shard_of(hash)];
     Cells& cells = shard.cells;
@@ -39,7 +39,8 @@
       gap = (gap + 1) & mask;
     }
     --shard.used;
-    // The cells behind the gap move up, unless that would put them before their first position.
+    // Moves later cells of the probe sequence into the gap, except for cells that would then lie
+    // before the position that their hash selects.
     for (std::size_t i = (gap + 1) & mask; cells[i] != 0; i = (i + 1) & mask) {
       const std::size_t home = hash_of(cells[i] - 1) & mask;
       if (((i - home) & mask) < ((i - gap) & mask)) {
@@ -51,7 +52,8 @@
     cells[gap] = 0;
   }
 
-  // The first slot of that hash, or of one that collides with it, for which `matches(slot)` holds.
+  // Returns the first slot for which `matches(slot)` is true. Slots whose hashes collide with
+  // `hash` are passed to `matches` too.
   std::optional<Slot> find(std::uint64_t hash, const auto& matches) const {
     const Cells& cells = shards_[shard_of(hash)].cells;
     if (cells.empty()) {
@@ -67,7 +69,7 @@
   }
 
  private:
-  // Each a slot + 1, or 0 if it is empty; a power of two of them.
+  // Each cell holds slot + 1, or 0 if it is empty. The number of cells is a power of two.
   using Cells = std::vector<std::uint32_t>;
   struct Shard {
     Cells cells;
--- a/src/net/discovery/socket_address.cpp
+++ b/src/net/discovery/socket_address.cpp
@@ -15,12 +15,12 @@
   const char* const end = text.data() + text.size();
   const auto [parsed_end, ec] = std::from_chars(text.data() + colon + 1, end, port);
   if (ec != std::errc() || parsed_end != end || port > std::numeric_limits<std::uint16_t>::max()) {
-    throw InvalidSocketAddress("bad port in address '" + text + "'");
+    throw InvalidSocketAddress("invalid port in address '" + text + "'");
   }
   boost::system::error_code invalid_host;
   const auto host = boost::asio::ip::make_address(text.substr(0, colon), invalid_host);
   if (invalid_host) {
-    throw InvalidSocketAddress("bad address '" + text + "'");
+    throw InvalidSocketAddress("invalid host in address '" + text + "'");
   }
   return {host, static_cast<std::uint16_t>(port)};
 }
--- a/src/net/discovery/socket_address.hpp
+++ b/src/net/discovery/socket_address.hpp
@@ -1,4 +1,4 @@
-// Socket addresses as they are written in endpoint lists and in the gateway's configuration.
+// Parses socket addresses as written in endpoint lists and in the gateway's configuration.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,8 +12,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// From "HOST:PORT", where HOST is an IPv4 or IPv6 address without brackets.
-// Throws InvalidSocketAddress.
+// Parses "HOST:PORT", where HOST is an IPv4 address or an IPv6 address without brackets. Throws
+// InvalidSocketAddress.
 boost::asio::ip::tcp::endpoint parse_socket_address(const std::string& text);
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/watch_disconnect.cpp
+++ b/src/net/discovery/watch_disconnect.cpp
@@ -2,7 +2,8 @@
 
 namespace quota_gateway::net {
 
-// What was not understood is a gap, which only a complete list closes.
+// A rejected or incomprehensible response may have held changes. Only a complete list can make up
+// for them.
 bool needs_complete_list(WatchDisconnectReason reason) {
   switch (reason) {
     case WatchDisconnectReason::kAgentChanged:
--- a/src/net/discovery/watch_disconnect.hpp
+++ b/src/net/discovery/watch_disconnect.hpp
@@ -1,4 +1,4 @@
-// Why a watch on discovery ends, and what follows from it for the next request.
+// The reasons for which a watch on discovery ends, and their consequences for the next request.
 #pragma once
 
 #include <stdexcept>
@@ -21,11 +21,11 @@
 
 struct WatchDisconnect {
   WatchDisconnectReason reason = WatchDisconnectReason::kConnectionFailed;
-  // Of what failed, for the log.
+  // Description of the failure, for the log.
   std::string detail;
 };
 
-// The agent's response ends the watch. what() is the detail for the log.
+// An error in the agent's response that ends the watch. what() is the detail for the log.
 class WatchResponseError : public std::runtime_error {
  public:
   WatchResponseError(WatchDisconnectReason reason, const std::string& detail)
@@ -36,10 +36,10 @@
   WatchDisconnectReason reason_;
 };
 
-// Whether changes may have been missed, so that the next request must be for a complete list.
+// Whether changes may have been missed, so that the next request must ask for a complete list.
 bool needs_complete_list(WatchDisconnectReason reason);
 
-// What the end of the watch says of a list that was in progress.
+// Returns why a list in progress was rejected when the watch ended for this reason.
 ListFailure list_failure(WatchDisconnectReason reason);
 
 }  // namespace quota_gateway::net
--- a/src/net/discovery/watch_response_parser.cpp
+++ b/src/net/discovery/watch_response_parser.cpp
@@ -12,14 +12,14 @@
 
 namespace http = boost::beast::http;
 
-constexpr Micros kMaxRetryAfter = 30'000'000;  // us that are honoured
+constexpr Micros kMaxRetryAfter = 30'000'000;  // us; longer values are reduced to this
 constexpr double kMicrosPerSecond = 1e6;
 
 }  // namespace
 
 WatchResponseParser::WatchResponseParser() {
   parser_.eager(true);
-  parser_.body_limit(boost::none);  // a watch has no end; each list has one
+  parser_.body_limit(boost::none);  // a watch is unbounded; the size of each list is limited
 }
 
 void WatchResponseParser::consume(std::string_view bytes) {
--- a/src/net/discovery/watch_response_parser.hpp
+++ b/src/net/discovery/watch_response_parser.hpp
@@ -1,5 +1,5 @@
-// Parses the HTTP response to a watch, whose body goes on for as long as the watch does. Owned by
-// DiscoveryClient, one for each connection; no I/O.
+// Parses the HTTP response to a watch. The body of the response continues until the watch ends.
+// Owned by DiscoveryClient, one for each connection; no I/O.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -19,20 +19,20 @@
   // Consumes the next bytes of the connection. Throws WatchResponseError if they are not HTTP.
   void consume(std::string_view bytes);
 
-  // Whether all of the header has been consumed.
+  // Whether the complete header has been consumed.
   bool is_header_done() const { return parser_.is_header_done(); }
-  // Whether all of the response has been consumed: the agent has ended the watch.
+  // Whether the complete response has been consumed, which means that the agent ended the watch.
   bool is_done() const { return parser_.is_done(); }
 
-  // The following calls need the header.
+  // status(), retry_after() and take_body() require is_header_done().
 
   unsigned status() const { return parser_.get().result_int(); }
-  // For how long the agent asks to be left alone, us, at most 30 s. 0 if it does not say so.
+  // Value of the Retry-After header, us, at most 30 s. 0 if the header is missing or invalid.
   Micros retry_after() const;
-  // The bytes of the body that have come since the last call.
+  // Returns the bytes of the body that have been parsed since the last call.
   std::string take_body();
 
-  // Bytes that are consumed once more of the response has come.
+  // Number of buffered bytes that cannot be parsed until more of the response arrives.
   std::size_t unparsed_bytes() const { return unparsed_.size(); }
 
  private:
--- a/src/net/discovery/watch_timing.cpp
+++ b/src/net/discovery/watch_timing.cpp
@@ -3,9 +3,10 @@
 namespace quota_gateway::net {
 namespace {
 
-// Discovery takes what an agent beside this gateway has as known at once, also when the agent comes
-// back, and 250 ms later nothing new may go to a draining endpoint. So the response time and the
-// backoff together stay under that, and so does a list's pause.
+// Discovery assumes that the gateway knows a change as soon as the agent next to it does, also when
+// the agent has just restarted. 250 ms later no new request may go to a draining endpoint.
+// Therefore the response timeout plus the longest backoff, and also the longest pause within a
+// list, are shorter than 250 ms.
 constexpr WatchTiming kPushedTiming = {.response_timeout = 120'000,
                                        .initial_backoff = 20'000,
                                        .max_backoff = 60'000,
--- a/src/net/discovery/watch_timing.hpp
+++ b/src/net/discovery/watch_timing.hpp
@@ -1,5 +1,5 @@
-// How long a watch on discovery may be silent and how soon it is established again, by the way in
-// which lists reach the gateway. Used by DiscoveryClient and its parts.
+// Timeouts and backoffs of a watch on discovery, depending on how lists reach the gateway. Used by
+// DiscoveryClient and its components.
 #pragma once
 
 #include "quota_gateway/gateway.hpp"
@@ -7,25 +7,25 @@
 namespace quota_gateway::net {
 
 enum class WatchMode {
-  kPushed,  // by an agent beside this gateway, which answers at once and at no cost
-  kPolled,  // by a discovery for many gateways, in which requests wait in a queue
+  kPushed,  // an agent next to this gateway, which responds immediately and can be called freely
+  kPolled,  // a discovery service shared by many gateways, in which requests wait in a queue
 };
 
 // All in us.
 struct WatchTiming {
-  // From connecting to the first byte of a response.
+  // Time from the start of connecting to the first byte of the response.
   Micros response_timeout = 0;
-  // Of the waits between attempts to establish the watch.
+  // Range of the backoff between attempts to establish the watch.
   Micros initial_backoff = 0;
   Micros max_backoff = 0;
-  // The longest time without any more of a list that has begun.
+  // Longest time without further bytes of a list that has begun.
   Micros max_list_pause = 0;
 };
 
 WatchTiming watch_timing(WatchMode mode);
 
-// A timer that fires later than this shows that this process was delayed, not the agent. What came
-// meanwhile is still unread, so only time in which the event loop ran may count as silence.
+// If a timer fires later than this, the gateway process itself was delayed. Bytes that arrived
+// during the delay are still unread, so the delay must not count as silence of the agent.
 inline constexpr Micros kMaxTimerDelay = 30'000;  // us
 
 }  // namespace quota_gateway::net
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -1,5 +1,5 @@
-// ConfigLoader and check_keys_kept() on files with a list of endpoints of any size, and the program
-// with such files.
+// Tests ConfigLoader and check_keys_kept() with endpoint lists of various sizes, and the gateway
+// program with large configuration files.
 #include "net/config/config_loader.hpp"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
          members + R"(]},"settings":{"members":[{"Name":"x"}]}})";
 }
 
-TEST(ConfigLoader, KeepsTheMembersAndOneOfEachShapeInTheTree) {
+TEST(ConfigLoader, KeepsAllEndpointsAndOneSamplePerShapeInTheTree) {
   const ConfigFile loaded = load(file(fleet(1000)));
   EXPECT_EQ(loaded.known_endpoints.revision, 41);
   EXPECT_TRUE(loaded.known_endpoints.complete);
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(ConfigLoader, ThrowsOnMalformedFilesAlsoIfMembersAreOnlyChecked) {
+TEST(ConfigLoader, ThrowsOnMalformedFilesEvenIfEndpointsAreOnlyChecked) {
   const std::string complete = file(fleet(1000));
   const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = complete;
@@ -62,8 +62,8 @@
   }
 }
 
-TEST(ConfigKeyCheck, AMemberWithoutAKeyThatAllMembersHadIsRejected) {
-  // Every member counts, not only the first, and a key that only some members had is optional.
+TEST(ConfigKeyCheck, AnEndpointWithoutAKeyThatAllEndpointsHadIsRejected) {
+  // All endpoints are checked, not only the first. A key that only some endpoints had is optional.
   const std::string with_cell =
       R"({"id":"a","phase":"up","host_port":"10.0.0.1:8","cell":1,"size":1.0})";
   const std::string without_cell = R"({"id":"b","phase":"up","host_port":"10.0.0.1:8","size":1.0})";
@@ -91,7 +91,7 @@
 }
 
 TEST(GatewayWithManyEndpoints, StartAndReloadStayWithinTheirMemory) {
-  // With the known list as a JSON tree the program took 401 MB at the start and 644 MB at SIGHUP.
+  // With section `known` as a JSON tree, the program took 401 MB at startup and 644 MB at SIGHUP.
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
@@ -111,13 +111,13 @@
   process.hang_up();
   ASSERT_NE(process.log_until("reloaded").find("reloaded"), std::string::npos);
   const std::size_t after_reload = memory_of(process.id(), "VmHWM");
-  std::cout << "170000 servers in a file of " << text.size() << " bytes: peak "
-            << (after_parsing >> 20) << " MiB when it is read, " << (in_service >> 20)
-            << " MiB in force, " << (after_reload >> 20) << " MiB after SIGHUP\n";
+  std::cout << "170000 endpoints in a file of " << text.size() << " bytes: peak memory "
+            << (after_parsing >> 20) << " MiB after reading, " << (in_service >> 20)
+            << " MiB in service, " << (after_reload >> 20) << " MiB after SIGHUP\n";
   EXPECT_LT(after_reload, kMemoryFactor * 256 << 20);
 }
 
-TEST(GatewayWithManyEndpoints, RejectsAFileWithAMalformedMemberAnywhere) {
+TEST(GatewayWithManyEndpoints, RejectsAReloadWithAMalformedEndpointAnywhere) {
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
--- a/tests/net/config/config_parser_test.cpp
+++ b/tests/net/config/config_parser_test.cpp
@@ -1,4 +1,4 @@
-// parse_config(): defaults, and what a configuration file must hold.
+// Tests parse_config(): default values and the validation of a configuration file.
 #include "net/config/config_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -26,7 +26,7 @@
   })");
 }
 
-// The key that ConfigError names after a change to a valid configuration.
+// Sets one value in a valid configuration. Returns the key of the ConfigError, or "accepted".
 std::string rejected_key(const std::string& pointer, const json& value) {
   json config = valid_config();
   config[json::json_pointer(pointer)] = value;
@@ -38,7 +38,7 @@
   return "accepted";
 }
 
-TEST(ConfigParser, WhatTheFileLeavesOutHasADefault) {
+TEST(ConfigParser, MissingKeysHaveDefaults) {
   const GatewayConfig config = parse_config(valid_config());
   EXPECT_EQ(config.name, "n0");
   EXPECT_EQ(config.listen_address.port(), 8080);
@@ -71,7 +71,7 @@
 }
 
 TEST(ConfigParser, TwoPollsFitIntoTheTimeForWhichAListIsValid) {
-  // A list counts as current for four times the poll interval.
+  // A list is valid for four poll intervals of 10 s, and the backoff is at most 0.4 times that.
   json file = valid_config();
   file["settings"]["Obligations"]["AskWithinUs"] = 10'000'000;
   EXPECT_EQ(parse_config(file).max_discovery_backoff, 0);
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -1,4 +1,4 @@
-// DiscoveryClient against a discovery agent on loopback.
+// Tests DiscoveryClient against a fake discovery agent on loopback.
 #include "net/discovery/discovery_client.hpp"
 
 #include <gtest/gtest.h>
@@ -50,8 +50,8 @@
 }
 
 TEST_F(DiscoveryClientTest, AcceptsIndentedLists) {
-  // A list that is cut where its lines end would be rejected and requested for ever. Brackets and
-  // quotes in a string end nothing.
+  // If a line feed ended a list, an indented list would be rejected and requested again forever.
+  // Brackets and escaped quotes inside a string must not end the list either.
   const auto indented = [](const std::string& line) {
     return nlohmann::json::parse(line).dump(2) + "\n\n";
   };
@@ -69,8 +69,9 @@
   EXPECT_EQ(fake.requests.size(), 1U);
 }
 
-TEST_F(DiscoveryClientTest, RequestsACompleteListAfterOneThatBreaksOff) {
-  // Heartbeats go on behind it: waiting for the end of the list would miss its changes.
+TEST_F(DiscoveryClientTest, RequestsACompleteListAfterATruncatedList) {
+  // Heartbeats continue after the truncated list. Waiting for the end of the list would lose its
+  // changes.
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
   const std::string complete_list = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   fake.first = complete_list;
@@ -90,7 +91,7 @@
 }
 
 TEST_F(DiscoveryClientTest, ReconnectsASilentWatch) {
-  // The watch stays open and sends nothing, not even its heartbeat.
+  // The connection stays open, but no data arrives, not even heartbeats.
   fake.unresponsive = true;
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 2; }));
   fake.unresponsive = false;
@@ -99,7 +100,7 @@
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListAfterAMalformedOne) {
-  // A change in what was not understood would otherwise be lost.
+  // Otherwise a change in the malformed list would be lost.
   fake.first = "{\"revision\":\"x\"}\n";
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() >= 2; }));
   fake.first = list_json(50, true, entry_json("s1", "127.0.0.1:9"));
@@ -108,7 +109,8 @@
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListFromAnotherAgent) {
-  // The other agent may not know the revision after which changes would be requested.
+  // The new agent may not know the revision of the list in force, so a request for the changes
+  // since that revision could miss some.
   fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   FakeDiscovery other(io);
@@ -121,7 +123,8 @@
 }
 
 TEST_F(DiscoveryClientTest, RejectsAnEmptyListAndRequestsAnother) {
-  // A discovery that has lost its list would otherwise take every endpoint from every gateway.
+  // Otherwise a discovery service that has lost its data would remove all endpoints from all
+  // gateways.
   fake.first = list_json(43, true, "");
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() >= 2; }));
   EXPECT_TRUE(updates.empty());
@@ -147,7 +150,7 @@
   discovery.start();
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
   const Micros rejected_at = clock.now();
-  EXPECT_TRUE(updates.empty());  // the known list stays in force
+  EXPECT_TRUE(updates.empty());  // the current list stays in force
   fake.rejection.clear();
   fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
@@ -155,9 +158,10 @@
 }
 
 TEST_F(DiscoveryClientTest, ReconnectsToAPushingAgentWithinTheGracePeriodHoweverItDisconnects) {
-  // Once an agent is back, all that it has counts as known to the gateway, and 250 ms later nothing
-  // new may go to a draining endpoint. However the agent disconnects, and however often, the next
-  // attempt is made before that.
+  // As soon as an agent is back, discovery assumes that the gateway knows the agent's list. 250 ms
+  // later no new request may go to a draining endpoint. Therefore the client must reconnect within
+  // that time, whether the agent accepts requests without responding or rejects them, and after any
+  // number of disconnections.
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
   for (const bool resets : {true, false}) {
     fake.unresponsive = resets;
@@ -173,9 +177,9 @@
   }
 }
 
-TEST_F(DiscoveryClientTest, ReplacesASilentWatchInTimeThoughItsAgentAcceptsWithoutResponding) {
-  // 6 s after the watch fell silent, all that it missed counts as known to the gateway. The time
-  // does not start anew with each connection.
+TEST_F(DiscoveryClientTest, ReconnectsInTimeIfTheAgentAcceptsConnectionsWithoutResponding) {
+  // 6 s after a watch fell silent, discovery assumes that the gateway knows all changes. The 6 s do
+  // not restart with each new connection.
   fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   const Micros silent_since = clock.now();
@@ -187,7 +191,7 @@
 }
 
 TEST_F(DiscoveryClientTest, DisconnectsFromAnUnresponsiveAgentWithinTheGracePeriod) {
-  // Otherwise a dead connection would be trusted while the agent behind it has long been back.
+  // Otherwise the client would keep waiting on a dead connection although the agent is back.
   fake.unresponsive = true;
   ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 3; }));
   const Micros back_at = clock.now();
--- a/tests/net/discovery/discovery_outage_log_test.cpp
+++ b/tests/net/discovery/discovery_outage_log_test.cpp
@@ -1,4 +1,4 @@
-// DiscoveryOutageLog: which lines a time without a healthy watch leaves in the log.
+// Tests DiscoveryOutageLog: which lines are logged for outages and rejected lists.
 #include "net/discovery/discovery_outage_log.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint lists parsed from JSON that arrives in pieces.
+// Tests EndpointListParser with JSON text that arrives in chunks.
 #include "net/discovery/endpoint_list_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -9,15 +9,16 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-EndpointList parse(const std::vector<std::string_view>& pieces, EndpointListLimits limits = {}) {
+EndpointList parse(const std::vector<std::string_view>& pieces,
+                   EndpointListParserLimits limits = {}) {
   EndpointListParser parser({"members"}, limits);
   for (const auto piece : pieces) {
     if (parser.parse_chunk(piece) != piece.size()) {
-      throw std::runtime_error("ended early");
+      throw std::runtime_error("text after the end of the list");
     }
   }
   if (!parser.is_done()) {
-    throw std::runtime_error("not over");
+    throw std::runtime_error("the list is incomplete");
   }
   return parser.take_list(parser.surrounding_json());
 }
@@ -34,8 +35,8 @@
   return text;
 }
 
-// With spaces, escapes and nesting; `revision` and `complete` come last, and `members` of another
-// object are not of the list.
+// A valid list with spaces, escapes, nested values and duplicate keys. `revision` and `complete`
+// follow the endpoints, and another object has its own array `members`.
 const std::string kUnusualList =
     R"({ "note":{"members":[{"id":7}],"revision":3}, "members":[)"
     R"({"id":"s}]\"{\\","host_port":"10.0.0.1:80","locality":"a\u00e9","phase":"up","size":2,)"
@@ -45,7 +46,7 @@
     R"({"id":"v6","host_port":"::1:9","phase":"up"}],"revision":43,"complete":true})";
 
 TEST(EndpointListParser, AcceptsAListInAnyTwoPiecesAndByteByByte) {
-  // The cuts go through entries, strings, escapes and keys.
+  // The cuts fall inside entries, strings, escapes and keys.
   const std::string expected =
       "43 complete\ns}]\"{\\ a\u00e9 0 0 2.000000 1500000 10.0.0.1 80\n"
       "second  -4 2 1.000000 0 0.0.0.0 0\nv6  0 0 1.000000 0 ::1 9";
@@ -115,7 +116,7 @@
 }
 
 TEST(EndpointListParser, ThrowsTooLargeOnEndlessTextInAnyPart) {
-  EndpointListLimits limits;
+  EndpointListParserLimits limits;
   limits.memory_bytes = 100'000;
   limits.text_bytes = 200'000;
   limits.surrounding_bytes = 10'000;
@@ -128,8 +129,8 @@
   const std::vector<EndlessText> endless_texts = {
       {begin + member, "," + member},  // entries
       {begin + R"({"id":")", "s"},     // a string in an entry
-      {begin, " "},                    // nothing
-      {begin + "{\"id\":", "[["},      // depth
+      {begin, " "},                    // white space between entries
+      {begin + "{\"id\":", "[["},      // nested arrays in an entry
       {R"({"x":")", "s"},              // a string before the entries
       {"{\"x\":", "["},
       {"{", "                "},
@@ -167,7 +168,7 @@
   EXPECT_EQ(parser.take_list(rest["known"]).endpoints.size(), 1000U);
 }
 
-TEST(ParseEndpointList, ThrowsOnWrongShapes) {
+TEST(ParseEndpointList, ThrowsOnInvalidLists) {
   for (const char* text :
        {"[]", "{}", R"({"revision":1,"members":[{}]})", R"({"revision":1,"members":[1]})",
         R"({"revision":1,"members":[{"id":"s","phase":"up","host_port":"nowhere:1"}]})",
@@ -178,7 +179,7 @@
 }
 
 TEST(EndpointListParser, CostIsLinearInTheEndpoints) {
-  // Prints the time and the memory that it takes.
+  // Also prints the processor time and the memory that parsing takes.
   constexpr std::size_t kChunkSize = 16384;
   const auto cost = [](int members) {
     std::string text = list_json(1, true, fleet(members));
@@ -194,8 +195,9 @@
     const auto spent = processor_time() - started_at;
     EXPECT_EQ(list.endpoints.size(), std::size_t(members));
     const std::size_t grown = resident() - std::min(before, resident());
-    std::cout << members << " members, " << bytes << " bytes: " << spent << " us, resident "
-              << grown / 1024 << " KiB more, " << sizeof(ListedEndpoint) << " bytes a member\n";
+    std::cout << members << " endpoints, " << bytes << " bytes: " << spent
+              << " us, resident memory grew by " << grown / 1024 << " KiB, "
+              << sizeof(ListedEndpoint) << " bytes per endpoint\n";
     return double(spent) / members;
   };
   cost(20'000);
--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -1,4 +1,5 @@
-// The endpoints in force: what a list changes, in slices, and which of two lists counts.
+// Tests EndpointTable: the changes that a list makes, the slices in which they are applied, and the
+// precedence of newer lists.
 #include "net/discovery/endpoint_table.hpp"
 
 #include <gtest/gtest.h>
@@ -18,7 +19,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-// Of this build against the program in service.
+// Factor by which this build is slower than the program in service.
 #ifdef __SANITIZE_ADDRESS__
 constexpr double kSlowdown = 10;
 #else
@@ -28,15 +29,15 @@
 constexpr int kZoneSize = 24'000;
 constexpr std::uint32_t kFirstHost = 0x0a000000;  // 10.0.0.0
 
-// At the address that is number `place` of the fleet's network.
-ListedEndpoint endpoint_at(const std::string& id, int place, Micros started_at = 0,
+// Returns an endpoint at the address kFirstHost + `host_index`.
+ListedEndpoint endpoint_at(const std::string& id, int host_index, Micros started_at = 0,
                            EndpointState state = EndpointState::kUp) {
   ListedEndpoint endpoint;
   endpoint.entry.server = id;
   endpoint.entry.zone = "a";
   endpoint.entry.started_at = started_at;
   endpoint.entry.state = state;
-  endpoint.address = {asio::ip::address_v4(kFirstHost + std::uint32_t(place)), 8081};
+  endpoint.address = {asio::ip::address_v4(kFirstHost + std::uint32_t(host_index)), 8081};
   return endpoint;
 }
 
@@ -55,7 +56,7 @@
   return {0, true, std::move(endpoints)};
 }
 
-// Endpoint i is "s-i" at place i, started at 1 + i.
+// Endpoint i has the id "s-i", host index i and start time 1 + i.
 ListedEndpoints many_endpoints(int count) {
   ListedEndpoints endpoints;
   for (int i = 0; i < count; ++i) {
@@ -79,7 +80,7 @@
 
 using Summaries = std::vector<std::string>;
 
-// Applies all lists.
+// Applies all queued lists and returns the changes of all slices.
 EndpointChanges apply_all(EndpointTable& table) {
   EndpointChanges all;
   while (!table.is_idle()) {
@@ -97,7 +98,7 @@
   return apply_all(table);
 }
 
-// What applying a list reports.
+// Applies a list and returns the summaries of the reported entries.
 Summaries reported(EndpointTable& table, EndpointList list) {
   Summaries summaries;
   for (const EndpointEntry& entry : apply_list(table, std::move(list)).entries) {
@@ -106,23 +107,24 @@
   return summaries;
 }
 
-// Processor time of this thread.
+// Returns the processor time of this thread in us.
 double cpu_us() {
   timespec now{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &now);
   return double(now.tv_sec) * 1e6 + double(now.tv_nsec) * 1e-3;
 }
 
-// The least of some runs: other programs on the machine can only add to it.
+// Returns the minimum over several runs, because other programs on the machine can only increase
+// the measured time.
 template <typename Operation>
-double least_cpu_us(int runs, const Operation& operation) {
-  double least = INFINITY;
+double min_cpu_us(int runs, const Operation& operation) {
+  double minimum = INFINITY;
   for (int i = 0; i < runs; ++i) {
     const double started_at = cpu_us();
     operation();
-    least = std::min(least, cpu_us() - started_at);
+    minimum = std::min(minimum, cpu_us() - started_at);
   }
-  return least;
+  return minimum;
 }
 
 TEST(EndpointTable, ACompleteListReportsNewChangedAndRemovedEndpointsOnly) {
@@ -177,7 +179,7 @@
 }
 
 TEST(EndpointTable, AnEndpointAtTheAddressOfAnotherReplacesIt) {
-  // Otherwise requests to the old process would reach the new one, which may be warming up.
+  // Otherwise requests to the old process would reach the new one, which may still be warming up.
   EndpointTable table;
   apply_list(table, complete_list({endpoint_at("old", 1, 5), endpoint_at("moves", 2, 9)}));
   auto applied = apply_list(table, partial_list({endpoint_at("new", 1, 6)}));
@@ -187,9 +189,9 @@
   applied = apply_list(table, partial_list({endpoint_at("moves", 1, 9)}));
   EXPECT_EQ(applied.replaced, Summaries{"new"});
   EXPECT_EQ(table.size(), 1U);
-  // One that started earlier than the one at the address is not there, whatever the list says.
+  // An endpoint that started earlier than the current endpoint at its address is ignored.
   EXPECT_EQ(reported(table, partial_list({endpoint_at("outdated", 1, 3)})), Summaries{});
-  // Of equals the one listed last is at the address, even if unchanged.
+  // If both started at the same time, the endpoint listed last has precedence, even if unchanged.
   apply_list(table, complete_list({endpoint_at("x", 1, 3), endpoint_at("y", 1, 3)}));
   EXPECT_EQ(table.size(), 2U);
   EXPECT_EQ(apply_list(table, partial_list({endpoint_at("x", 1, 3)})).replaced, Summaries{"y"});
@@ -238,12 +240,13 @@
 }
 
 TEST(EndpointTable, AppliesAListInSlicesWithUrgentChangesFirst) {
-  // Otherwise draining or removed endpoints would get requests while thousands of others are added.
+  // Otherwise draining or removed endpoints would still receive requests while thousands of
+  // endpoints are added.
   const int n = 5'000;
   const std::size_t size = n;
   EndpointTable table;
   apply_list(table, complete_list(many_endpoints(n)));
-  auto next = many_endpoints(2 * n);  // half of them are new, and come first
+  auto next = many_endpoints(2 * n);  // half of them are new and, once reversed, come first
   std::reverse(next.begin(), next.end());
   std::set<std::string> urgent;
   for (int i = 0; i < 100; ++i) {
@@ -254,7 +257,7 @@
     ListedEndpoint& restarted = next[2 * size - 1'000 - index];
     restarted.entry.started_at += 100'000'000;
     urgent.insert("+" + restarted.entry.server);
-    ListedEndpoint& replaced = next[size + index];  // another one has its address
+    ListedEndpoint& replaced = next[size + index];  // a new endpoint takes its address
     urgent.insert("-" + replaced.entry.server);
     replaced.entry.server.insert(0, "new-");
     replaced.entry.started_at += 100'000'000;
@@ -276,14 +279,15 @@
 }
 
 TEST(EndpointTable, PendingSlicesDoNotOverwriteANewerList) {
-  // A pending addition must not bring back an endpoint that is draining or removed by now.
+  // A pending addition from an older list must not restore an endpoint that a newer list drains or
+  // removes.
   const int n = 5'000;
   EndpointTable table;
   apply_list(table, complete_list({endpoint_at("there", -1)}));
   auto first = many_endpoints(n);
   first.push_back(endpoint_at("there", -1));
   table.enqueue(complete_list(first));
-  while (table.apply().entries.empty()) {  // until the additions have begun
+  while (table.apply().entries.empty()) {  // until the first additions
   }
   ASSERT_FALSE(table.is_idle());
   const std::string draining = numbered("s-", n - 1);
@@ -297,7 +301,7 @@
   for (const auto& entry : table.apply().entries) {
     next.push_back(summary(entry));
   }
-  EXPECT_EQ(next.at(0), "-there");  // not behind the first list's additions
+  EXPECT_EQ(next.at(0), "-there");  // before the remaining additions of the first list
   for (const auto& entry : apply_all(table).entries) {
     EXPECT_NE(summary(entry), "+" + draining);
     EXPECT_NE(summary(entry), "+" + removed);
@@ -307,8 +311,8 @@
   EXPECT_FALSE(table.find(replaced));
   EXPECT_FALSE(table.find("there"));
   EXPECT_EQ(table.find(moved)->address, endpoint_at("", 2 * n).address);
-  EXPECT_EQ(table.size(), std::size_t(n - 1));  // one is gone, and one in another's place
-  // An endpoint that was superseded once may come back.
+  EXPECT_EQ(table.size(), std::size_t(n - 1));  // one was removed, and one was replaced
+  // An endpoint whose addition was superseded can be added again by a later list.
   EXPECT_EQ(reported(table, partial_list({endpoint_at(removed, n - 2)})), Summaries{"+" + removed});
 }
 
@@ -323,18 +327,19 @@
   EXPECT_TRUE(table.find("last"));
 }
 
-// Random lists, and what a table must hold after them: a plain map that has each list at once.
+// Generates random lists and the expected content of the table: a plain map to which each list is
+// applied in one step.
 class RandomLists {
  public:
-  int pick(int n) { return int(random_() % unsigned(n)); }
+  int random_below(int n) { return int(random_() % unsigned(n)); }
 
   EndpointList next() {
     EndpointList list;
-    list.complete = pick(10) == 0;
-    const int size = pick(list.complete ? kIds : 1'500);
+    list.complete = random_below(10) == 0;
+    const int size = random_below(list.complete ? kIds : 1'500);
     std::set<int> ids;
     for (int i = 0; i < size; ++i) {
-      ids.insert(pick(kIds));
+      ids.insert(random_below(kIds));
     }
     for (const int id : ids) {
       list.endpoints.push_back(endpoint(id, list.complete));
@@ -348,13 +353,13 @@
  private:
   static constexpr int kIds = 6'000;
 
-  // Each id has two addresses of its own.
+  // Each id has one of two addresses, which no other id has.
   ListedEndpoint endpoint(int id, bool in_complete_list) {
-    const int place = id + 10'000 * pick(2);
-    const Micros started_at = 1 + pick(2);
-    ListedEndpoint endpoint = endpoint_at(numbered("s-", id), place, started_at);
-    endpoint.entry.zone = numbered("z", pick(5));
-    const int state = pick(10);
+    const int host_index = id + 10'000 * random_below(2);
+    const Micros started_at = 1 + random_below(2);
+    ListedEndpoint endpoint = endpoint_at(numbered("s-", id), host_index, started_at);
+    endpoint.entry.zone = numbered("z", random_below(5));
+    const int state = random_below(10);
     if (state == 0) {
       endpoint.entry.state = EndpointState::kDraining;
     }
@@ -408,16 +413,16 @@
   }
 }
 
-TEST(EndpointTable, MatchesAPlainMapForAnyListsAndSlices) {
-  // Over many reuses of slots, so that an index that loses or keeps an entry wrongly shows.
+TEST(EndpointTable, MatchesAPlainMapForRandomListsAndSlices) {
+  // Slots are reused many times, so an index that loses an entry or keeps a stale one is detected.
   RandomLists lists;
   EndpointTable table;
   ReportedEntries reported_entries;
   for (int round = 0; round < 300; ++round) {
     table.enqueue(lists.next());
-    // Else some slices are pending when the next list arrives.
+    // In the other rounds, some slices are still pending when the next list arrives.
     const bool apply_all_slices = round % 7 == 0;
-    int slices = lists.pick(4);
+    int slices = lists.random_below(4);
     while (!table.is_idle() && (apply_all_slices || slices > 0)) {
       apply_slice(table, reported_entries);
       --slices;
@@ -429,15 +434,15 @@
 }
 
 TEST(EndpointTableCost, OneChangeCostsTheSameAmongManyAsAmongFew) {
-  // One change took 13 ms through a set of all addresses at 20,000 servers. Caches make the rest of
-  // the difference.
+  // One change took 13 ms with 20,000 servers when a set of all addresses was built for each
+  // change. CPU caches account for the difference that is allowed here.
   constexpr int kChanges = 200;
   std::map<int, double> cost_us;
   for (const int n : {200, kFleetSize}) {
     EndpointTable table;
     apply_list(table, complete_list(many_endpoints(n)));
     std::int64_t i = 0;
-    const double total_us = least_cpu_us(5, [&] {
+    const double total_us = min_cpu_us(5, [&] {
       for (int change = 0; change < kChanges; ++change) {
         const auto server = int(i * 7'919 % n);
         const Micros started_at = 1 + n + i;
@@ -447,29 +452,29 @@
     });
     cost_us[n] = total_us / kChanges;
   }
-  std::cerr << "one change: " << cost_us[200] << " us at 200, " << cost_us[kFleetSize] << " us at "
-            << kFleetSize << '\n';
+  std::cerr << "one change: " << cost_us[200] << " us with 200 endpoints, " << cost_us[kFleetSize]
+            << " us with " << kFleetSize << '\n';
   EXPECT_LT(cost_us[kFleetSize], 8 * cost_us[200] + kSlowdown);
   EXPECT_LT(cost_us[kFleetSize], kSlowdown * 50);
 }
 
 TEST(EndpointTableCost, NoSliceTakesLong) {
-  // A slice delays all requests. At 170,000 endpoints: a first complete list, the same again, and a
-  // zone of 24,000 that restarts. Each has the least of three runs, slice by slice.
-  std::map<std::string, std::vector<double>> least;
+  // A slice delays all requests. With 170,000 endpoints, measures the first complete list, the same
+  // list again, and the restart of a zone of 24,000. Each slice has the minimum of three runs.
+  std::map<std::string, std::vector<double>> minimum;
   for (int run = 0; run < 3; ++run) {
     EndpointTable table;
     const auto slices = [&](const char* operation, EndpointList list) {
       table.enqueue(std::move(list));
-      std::vector<double>& least_us = least[operation];
+      std::vector<double>& min_slice_us = minimum[operation];
       for (std::size_t i = 0; !table.is_idle(); ++i) {
         const double started_at = cpu_us();
         table.apply();
         const double spent_us = cpu_us() - started_at;
-        if (i == least_us.size()) {
-          least_us.push_back(spent_us);
+        if (i == min_slice_us.size()) {
+          min_slice_us.push_back(spent_us);
         }
-        least_us[i] = std::min(least_us[i], spent_us);
+        min_slice_us[i] = std::min(min_slice_us[i], spent_us);
       }
     };
     slices("first", complete_list(many_endpoints(kFleetSize)));
@@ -480,23 +485,24 @@
     }
     slices("zone", zone);
   }
-  for (const auto& [operation, cost_us] : least) {
-    const double most = *std::max_element(cost_us.begin(), cost_us.end());
-    std::cerr << operation << ": " << cost_us.size() << " slices, longest " << most << " us, all "
-              << std::accumulate(cost_us.begin(), cost_us.end(), 0.0) / 1000 << " ms\n";
-    EXPECT_LT(most, kSlowdown * 4'000) << operation;
+  for (const auto& [operation, cost_us] : minimum) {
+    const double longest_slice_us = *std::max_element(cost_us.begin(), cost_us.end());
+    std::cerr << operation << ": " << cost_us.size() << " slices, longest " << longest_slice_us
+              << " us, total " << std::accumulate(cost_us.begin(), cost_us.end(), 0.0) / 1000
+              << " ms\n";
+    EXPECT_LT(longest_slice_us, kSlowdown * 4'000) << operation;
   }
 }
 
-TEST(EndpointTableCost, AnEndpointUsesLittleMemoryAndLeavesNone) {
+TEST(EndpointTableCost, EndpointsUseLittleMemoryAndReleaseIt) {
   const auto bytes = [] { return double(::mallinfo2().uordblks + ::mallinfo2().hblkhd); };
   const double before = bytes();
   EndpointTable table;
   apply_list(table, complete_list(many_endpoints(kFleetSize)));
-  const double each = (bytes() - before) / kFleetSize;
-  std::cerr << each << " bytes an endpoint\n";
-  EXPECT_LT(each, 110);
-  // Endpoints that come and go leave nothing behind.
+  const double bytes_per_endpoint = (bytes() - before) / kFleetSize;
+  std::cerr << bytes_per_endpoint << " bytes per endpoint\n";
+  EXPECT_LT(bytes_per_endpoint, 110);
+  // Replaced endpoints release their memory.
   for (int round = 1; round <= 5; ++round) {
     auto list = many_endpoints(kFleetSize / 10);
     for (ListedEndpoint& endpoint : list) {
@@ -508,7 +514,7 @@
               std::size_t(kFleetSize / 10));
   }
   EXPECT_EQ(table.size(), std::size_t(kFleetSize));
-  EXPECT_LE((bytes() - before) / kFleetSize, 1.1 * each);
+  EXPECT_LE((bytes() - before) / kFleetSize, 1.1 * bytes_per_endpoint);
 }
 
 }  // namespace
--- a/tests/net/discovery/list_intake_test.cpp
+++ b/tests/net/discovery/list_intake_test.cpp
@@ -1,4 +1,5 @@
-// Large, endless and trickling lists: DiscoveryClient with ListIntake against an agent on loopback.
+// Tests DiscoveryClient with ListIntake against a fake agent on loopback that sends large, endless
+// and slow lists.
 #include <gtest/gtest.h>
 
 #include "net/discovery/discovery_client.hpp"
@@ -9,8 +10,8 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-// Responds to each request with the pieces that `respond` returns, one after another, as fast as
-// the client reads them, or `pause` us apart; after an empty one nothing more comes.
+// Responds to each request with the pieces that `respond` returns, as fast as the client reads them
+// or with `pause` us before each piece. An empty piece ends the data but not the connection.
 class ListAgent : public Listener {
  public:
   using Pieces = std::function<std::string()>;
@@ -27,7 +28,7 @@
     }
   }
 
-  // On the wire, whether the client has read it or not.
+  // Bytes sent over the network, whether the client has read them or not.
   std::uint64_t bytes_sent_so_far() const {
     std::uint64_t bytes = bytes_on_closed_connections_;
     for (const auto& peer : peers) {
@@ -99,7 +100,7 @@
       [text, done = false]() mutable { return std::exchange(done, true) ? std::string() : text; };
 }
 
-// A list whose entries have no end.
+// Returns the pieces of a list with an endless number of entries.
 ListAgent::Pieces endless(std::int64_t revision, bool complete = true) {
   return [beginning = list_json(revision, complete, ""), entries = fleet(100),
           first = true]() mutable {
@@ -119,7 +120,7 @@
   };
 }
 
-// Waits are so many times shorter than in service, and bytes a second as many times more.
+// Factor by which waits are shorter and byte rates are higher than in service.
 constexpr int kSpeedup = 300;
 
 ListLimits accelerated_limits() {
@@ -145,9 +146,9 @@
   }
 
   void run(Micros duration) {
-    bool over = false;
-    timers.after(duration, [&] { over = true; });
-    ASSERT_TRUE(run_until(io, [&] { return over; }));
+    bool elapsed = false;
+    timers.after(duration, [&] { elapsed = true; });
+    ASSERT_TRUE(run_until(io, [&] { return elapsed; }));
   }
 
   asio::io_context io;
@@ -159,24 +160,25 @@
 };
 
 TEST_F(ListIntakeTest, AcceptsAListOf170000AtTheFirstRequest) {
-  // A list that is rejected for its size or its duration would be sent again, 20 times a second.
+  // If such a list were rejected for its size or its duration, the agent would send it again 20
+  // times per second.
   const std::string text = list_json(50, true, fleet(170'000));
   agent.respond = [all = in_pieces(text, 16384)](const std::string&) { return all; };
   const std::size_t before = resident();
   const auto processor_time_before = processor_time();
-  Micros turn_began_at = clock.now();
-  Micros longest_turn = 0;
+  Micros iteration_began_at = clock.now();
+  Micros longest_iteration = 0;
   start();
   ASSERT_TRUE(run_until(io, [&] {
     const Micros now = clock.now();
-    longest_turn = std::max(longest_turn, now - turn_began_at);
-    turn_began_at = now;
+    longest_iteration = std::max(longest_iteration, now - iteration_began_at);
+    iteration_began_at = now;
     return updates.size() == 1;
   }));
-  std::cout << "170000 members, " << text.size()
+  std::cout << "170000 endpoints, " << text.size()
             << " bytes: " << processor_time() - processor_time_before
-            << " us with the agent's part, resident " << (resident() - before) / 1024
-            << " KiB more, longest turn of the loop " << longest_turn << " us\n";
+            << " us including the agent, resident memory grew by " << (resident() - before) / 1024
+            << " KiB, longest iteration of the event loop " << longest_iteration << " us\n";
   EXPECT_EQ(updates[0].endpoints.size(), 170'000U);
   EXPECT_EQ(updates[0].revision, 50);
   agent.respond = [](const std::string&) { return once("\n"); };
@@ -185,7 +187,7 @@
   EXPECT_LT(resident() - before, kMemoryFactor * 40 << 20);
 }
 
-TEST_F(ListIntakeTest, ALargeListThatBreaksOffHasNoEffectAndIsRequestedAtOnce) {
+TEST_F(ListIntakeTest, ALargeTruncatedListHasNoEffectAndIsRequestedAgainImmediately) {
   const std::string text = list_json(50, true, fleet(60'000));
   agent.respond = [&](const std::string&) -> ListAgent::Pieces {
     if (agent.requests.size() > 1) {
@@ -218,11 +220,11 @@
   const double seconds = double(clock.now() - since) / 1e6 * kSpeedup;  // in service
   const auto bytes = double(agent.bytes_sent_so_far() - bytes_before);
   const auto requests = double(agent.requests.size() - requests_before);
-  std::cout << "in " << seconds << " s: " << bytes / seconds << " bytes a second, " << requests
-            << " requests; before " << bytes_before << " bytes, " << requests_before
+  std::cout << "in " << seconds << " s: " << bytes / seconds << " bytes per second, " << requests
+            << " requests; before that: " << bytes_before << " bytes, " << requests_before
             << " requests\n";
   EXPECT_LT(bytes / seconds, 2'000);
-  // At least every 4 s, on a machine that is four times too slow.
+  // At least one request every 4 s, or every 16 s on a machine that is four times slower.
   EXPECT_GT(requests, seconds / 16);
   EXPECT_TRUE(updates.empty());
 }
@@ -234,7 +236,8 @@
   agent.respond = [](const std::string&) { return once(list_json(51, true, fleet(200))); };
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 200U);
-  // And one of any size: of the same revision too, since a list that broke once may be correct now.
+  // A list of any size is accepted too, even with the revision of a rejected list, because a list
+  // that was faulty once may be correct now.
   updates.clear();
   agent.respond = [](const std::string&) { return endless(52); };
   agent.hang_up();
@@ -244,7 +247,8 @@
   };
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 1'500U);
-  // All failures are forgotten: a list that breaks now is requested at once.
+  // The accepted list has cleared all failures, so after a disconnection the next request follows
+  // immediately.
   agent.respond = [](const std::string&) { return once("\n"); };
   const auto requests_before = agent.requests.size();
   agent.hang_up();
@@ -254,8 +258,8 @@
 }
 
 TEST_F(ListIntakeTest, AcceptsChangesWhileCompleteListsFail) {
-  // Otherwise the list would be stale for as long as the fault lasts. Many changes at once, and
-  // then one by one.
+  // Otherwise the list in force would be stale for as long as the fault lasts. Tests one list with
+  // many changes and then several lists with one change each.
   agent.respond = [](const std::string&) { return endless(50); };
   ListLimits limits = accelerated_limits();
   limits.memory_bytes = 4 << 20;
@@ -271,11 +275,11 @@
   };
   const Micros available_at = clock.now();
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
-  std::cout << "24000 changes accepted after " << clock.now() - available_at << " us and "
+  std::cout << "24000 changes were accepted after " << clock.now() - available_at << " us and "
             << agent.requests.size() - requests_before << " requests\n";
   EXPECT_EQ(updates[0].endpoints.size(), 24'000U);
   EXPECT_EQ(agent.requests.back(), "/catalog/members?watch=1&after=41");
-  // Complete lists go on failing behind it.
+  // Complete lists continue to fail after that.
   agent.respond = [](const std::string&) { return endless(52); };
   agent.hang_up();
   run(500'000);
@@ -293,7 +297,7 @@
   }
 }
 
-TEST_F(ListIntakeTest, AnEndlessListOfChangesCostsUnderTwoKilobytesASecondToo) {
+TEST_F(ListIntakeTest, AnEndlessListOfChangesCostsUnderTwoKilobytesASecond) {
   agent.respond = [](const std::string&) { return endless(50, false); };
   start(accelerated_limits());
   run(5'000'000);
@@ -305,8 +309,8 @@
 }
 
 TEST(GatewayListIntake, AListBeyondTheMemoryLimitIsRejectedAndTheOneInForceStays) {
-  // The limit depends on the gateway's memory: 1 MB is too little for 2,000 endpoints, 32 MB are
-  // not.
+  // The limit depends on the gateway's memory limit. 1 MB is too little for 2,000 endpoints, 32 MB
+  // are enough.
   for (const std::size_t memory_mb : {1, 32}) {
     GatewayTestBed test_bed;
     FakeServer server(test_bed.io);
@@ -329,8 +333,9 @@
   }
 }
 
-TEST_F(ListIntakeTest, RejectsAListThatTricklesAndRequestsItLessAndLessOften) {
-  // It always has another byte, and would otherwise be requested 20 times a second.
+TEST_F(ListIntakeTest, RejectsASlowListAndRequestsItWithGrowingWaits) {
+  // A slow list never pauses for long enough to be detected by its pauses. Without growing waits it
+  // would be requested 20 times per second.
   agent.respond = [](const std::string&) { return in_pieces(list_json(50, true, fleet(100)), 1); };
   agent.pause = 5'000;
   ListLimits limits;
@@ -339,13 +344,13 @@
   ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() == 2; }));
   EXPECT_LT(agent.requested_at[1] - agent.requested_at[0], 2'000'000);
   ASSERT_TRUE(run_until(io, [&] { return agent.requests.size() == 12; }));
-  // 0.8 s with waits that don't grow.
+  // Without growing waits, this would take 0.8 s.
   EXPECT_GT(agent.requested_at[11] - agent.requested_at[7], 2'000'000);
   EXPECT_TRUE(updates.empty());
 }
 
-TEST_F(ListIntakeTest, RejectsALargeListThatBeginsToTrickle) {
-  // The time that a list has earned while it came fast is limited.
+TEST_F(ListIntakeTest, RejectsALargeListThatBecomesSlow) {
+  // The time credit that a list gains while it arrives fast is limited.
   agent.respond = [this](const std::string&) -> ListAgent::Pieces {
     return [this, piece_count = 0, next_fast_piece = endless(50)]() mutable {
       ++piece_count;
@@ -367,7 +372,7 @@
 TEST_F(ListIntakeTest, ALargeListMayTakeLongerThanASmallOne) {
   const std::string text = list_json(50, true, fleet(10'000));
   agent.respond = [&](const std::string&) { return in_pieces(text, 32768); };
-  agent.pause = 8'000;  // 43 times: past 150 ms and well over half a MB a second
+  agent.pause = 8'000;  // 43 pauses: more than 150 ms in total, well over half a MB per second
   start();
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(agent.requests.size(), 1U);
--- a/tests/net/discovery/list_retry_policy_test.cpp
+++ b/tests/net/discovery/list_retry_policy_test.cpp
@@ -1,4 +1,5 @@
-// ListRetryPolicy: what rejected endpoint lists cost, and how soon one may be read again.
+// Tests ListRetryPolicy: the traffic allowance of rejected endpoint lists and the waits until the
+// next request and the next read.
 #include "net/discovery/list_retry_policy.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +20,7 @@
   ListRetryPolicy policy{limits, 7};
 };
 
-TEST_F(ListRetryPolicyTest, SomeRejectedBytesRestrictNothingYet) {
+TEST_F(ListRetryPolicyTest, RejectedBytesWithinTheAllowanceRestrictNothing) {
   EXPECT_FALSE(policy.is_restricted());
   fail(kStart, limits.unrestricted_bytes, ListFailure::kMalformed);
   EXPECT_FALSE(policy.is_restricted());
@@ -29,7 +30,7 @@
   EXPECT_EQ(policy.read_scope(kStart), ListReadScope::kProbe);
 }
 
-TEST_F(ListRetryPolicyTest, SoManyUnfinishedListsRestrictAlsoIfTheyAreSmall) {
+TEST_F(ListRetryPolicyTest, ConsecutiveUnfinishedListsRestrictEvenIfTheyAreSmall) {
   for (int i = 1; i < limits.max_unfinished_lists; ++i) {
     fail(kStart, 100, ListFailure::kUnfinished);
   }
@@ -49,7 +50,7 @@
     while (policy.read_scope(now + wait) != ListReadScope::kUnlimited) {
       wait += 10'000;
     }
-    // The random part is up to half of the wait.
+    // The wait grows by a random part of up to a half.
     EXPECT_GE(wait, 2 * last_wait);
     EXPECT_LE(wait, 3 * last_wait + 10'000);
     last_wait *= 2;
@@ -68,13 +69,13 @@
   EXPECT_GE(grown_wait, limits.max_request_interval / 2);
 }
 
-TEST_F(ListRetryPolicyTest, AScopeSaysHowMuchMayBeRead) {
+TEST_F(ListRetryPolicyTest, EachScopeHasAByteLimit) {
   EXPECT_EQ(policy.max_bytes(ListReadScope::kProbe), limits.probe_bytes);
   EXPECT_EQ(policy.max_bytes(ListReadScope::kSmallList), limits.small_list_bytes);
   EXPECT_GT(policy.max_bytes(ListReadScope::kUnlimited), kLargeList);
 }
 
-TEST_F(ListRetryPolicyTest, AnAcceptedCompleteListForgetsAllFailures) {
+TEST_F(ListRetryPolicyTest, AnAcceptedCompleteListClearsAllFailures) {
   fail(kStart);
   ASSERT_TRUE(policy.is_restricted());
   policy.reset();
--- a/tests/net/discovery/socket_address_test.cpp
+++ b/tests/net/discovery/socket_address_test.cpp
@@ -1,4 +1,4 @@
-// parse_socket_address(): which addresses of endpoint lists and configurations are accepted.
+// Tests parse_socket_address(): which addresses are accepted in endpoint lists and configurations.
 #include "net/discovery/socket_address.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/net/discovery/watch_disconnect_test.cpp
+++ b/tests/net/discovery/watch_disconnect_test.cpp
@@ -1,4 +1,4 @@
-// What the end of a watch means for the next request and for a list in progress.
+// Tests the consequences of the end of a watch for the next request and for a list in progress.
 #include "net/discovery/watch_disconnect.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
   }
 }
 
-TEST(WatchDisconnect, AListThatBreaksOffCountsAsMalformed) {
+TEST(WatchDisconnect, AListCutOffByADisconnectionCountsAsMalformed) {
   EXPECT_EQ(list_failure(Reason::kListTooLarge), ListFailure::kTooLarge);
   EXPECT_EQ(list_failure(Reason::kListUnfinished), ListFailure::kUnfinished);
   EXPECT_EQ(list_failure(Reason::kConnectionFailed), ListFailure::kMalformed);
--- a/tests/net/discovery/watch_liveness_test.cpp
+++ b/tests/net/discovery/watch_liveness_test.cpp
@@ -1,4 +1,4 @@
-// WatchLiveness: when a watch counts as silent, and which time doesn't count as silence.
+// Tests WatchLiveness: when a watch counts as silent, and which delays do not count as silence.
 #include "net/discovery/watch_liveness.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 class WatchLivenessTest : public ::testing::Test {
  protected:
   WatchLivenessTest() { liveness.on_connecting(kConnectingAt); }
-  // A check that is made when it is due.
+  // Makes a check at the time when it is due.
   std::optional<Micros> check_at(Micros now) { return liveness.check(now, now); }
   WatchLiveness liveness{kResponseTimeout};
 };
@@ -40,15 +40,15 @@
   EXPECT_EQ(check_at(reconnecting_at), reconnecting_at + kResponseTimeout);
 }
 
-TEST_F(WatchLivenessTest, ACheckThatIsLateGivesTheLoopTimeToReadWhatHasCome) {
-  // Without this, a process that was stopped for a while would drop a healthy watch.
+TEST_F(WatchLivenessTest, ALateCheckLeavesTheEventLoopTimeToReadPendingData) {
+  // Otherwise a process that was stopped for a while would disconnect a healthy watch.
   const Micros due = kConnectingAt + kResponseTimeout;
   const Micros late = due + 30'001;
   EXPECT_EQ(liveness.check(late, due), late + 30'000);
   EXPECT_EQ(check_at(late + 30'000), std::nullopt);
 }
 
-TEST_F(WatchLivenessTest, ACheckThatIsALittleLateCounts) {
+TEST_F(WatchLivenessTest, ASlightlyLateCheckStillDetectsSilence) {
   const Micros due = kConnectingAt + kResponseTimeout;
   EXPECT_EQ(liveness.check(due + 30'000, due), std::nullopt);
 }
--- a/tests/net/discovery/watch_response_parser_test.cpp
+++ b/tests/net/discovery/watch_response_parser_test.cpp
@@ -1,4 +1,4 @@
-// WatchResponseParser: the HTTP response to a watch, in pieces of any size.
+// Tests WatchResponseParser with HTTP responses that arrive in pieces of any size.
 #include "net/discovery/watch_response_parser.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +17,7 @@
   return parser.retry_after();
 }
 
-TEST(WatchResponseParser, ReturnsTheBodyAsItComes) {
+TEST(WatchResponseParser, ReturnsTheBodyAsItArrives) {
   WatchResponseParser parser;
   parser.consume(kHeader);
   ASSERT_TRUE(parser.is_header_done());
@@ -46,7 +46,7 @@
   EXPECT_FALSE(parser.is_done());
 }
 
-TEST(WatchResponseParser, ABodyMayBeLongerThanTheDefaultLimitOfMessages) {
+TEST(WatchResponseParser, ABodyMayExceedTheDefaultBodyLimit) {
   // A watch that lasts for days sends more than the parser's default limit of 8 MB.
   WatchResponseParser parser;
   parser.consume(kHeader);
@@ -59,7 +59,7 @@
   EXPECT_EQ(body_size, std::size_t(16) << 20);
 }
 
-TEST(WatchResponseParser, ThrowsOnWhatIsNotHttp) {
+TEST(WatchResponseParser, ThrowsOnNonHttpData) {
   WatchResponseParser parser;
   try {
     parser.consume("SSH-2.0-OpenSSH_9.2\r\n\r\n");
@@ -75,7 +75,7 @@
   EXPECT_EQ(retry_after("Retry-After: 31\r\n"), 30'000'000);
 }
 
-TEST(WatchResponseParser, AMissingOrInvalidRetryAfterIsNone) {
+TEST(WatchResponseParser, AMissingOrInvalidRetryAfterIsZero) {
   EXPECT_EQ(retry_after(""), 0);
   EXPECT_EQ(retry_after("Retry-After: soon\r\n"), 0);
   EXPECT_EQ(retry_after("Retry-After: -1\r\n"), 0);
--- a/tests/support/bytes_sent.cpp
+++ b/tests/support/bytes_sent.cpp
@@ -1,4 +1,5 @@
-// On its own: the system's header knows more than the library's, and they don't go together.
+// In a file of its own, because tcp_info in <linux/tcp.h> has more fields than in the C library's
+// <netinet/tcp.h>, and the two headers cannot be included together.
 #include "support/bytes_sent.hpp"
 
 #include <linux/tcp.h>
