--- a/src/net/config/config_loader.hpp
+++ b/src/net/config/config_loader.hpp
@@ -1,6 +1,6 @@
 // Reads a gateway's configuration file. Its list of endpoints can be far larger than the rest of
 // the file: as a JSON tree, 170,000 endpoints took 400 MB. Therefore the file is read in chunks,
-// and the endpoints are never stored in a JSON tree.
+// and only samples of the endpoints become part of the JSON tree.
 //
 // At startup the complete file is read in one step. At SIGHUP, ConfigReloader reads one chunk at a
 // time between other work. parse_config() then reads the tree.
--- a/src/net/discovery/discovery_outage_log.hpp
+++ b/src/net/discovery/discovery_outage_log.hpp
@@ -1,4 +1,4 @@
-// Writes the log lines about discovery: the begin and the end of each outage of the watch, and each
+// Writes the log lines about discovery: the start and the end of each outage of the watch, and each
 // rejected endpoint list. Owned by DiscoveryClient.
 #pragma once
 
--- a/src/net/discovery/endpoint_table.cpp
+++ b/src/net/discovery/endpoint_table.cpp
@@ -63,8 +63,8 @@
   return changes_.entries.size() >= kMaxChangesPerSlice || visited_items_ >= kMaxItemsPerSlice;
 }
 
-// Returns the first list with urgent changes, or the oldest list if no list has any left. Urgent
-// changes of all lists are applied before other changes.
+// Returns the first list that has not finished the phases up to kReplaced, or the oldest list if
+// there is none. So the urgent changes of all lists are applied before any other changes.
 EndpointTable::PendingList& EndpointTable::next_pending() {
   for (PendingList& pending : pending_) {
     if (pending.phase < Phase::kOther) {
@@ -217,6 +217,7 @@
   }
 }
 
+// Whether another endpoint at the same address has precedence over this endpoint.
 bool EndpointTable::has_newer_at_address(const ListedEndpoint& endpoint,
                                          ListSequence sequence) const {
   const auto is_newer = [&](const EndpointRecord& other) {
--- a/src/net/discovery/endpoint_table.hpp
+++ b/src/net/discovery/endpoint_table.hpp
@@ -99,7 +99,8 @@
   void update(Slot slot, const ListedEndpoint& endpoint, ListSequence sequence);
   void remove(Slot slot, ListSequence sequence);
 
-  // Maximum number of endpoints or slots that one slice visits, including unchanged ones.
+  // Maximum number of endpoints or slots that one slice visits. It is higher than
+  // kMaxChangesPerSlice because most of them may be unchanged.
   static constexpr std::size_t kMaxItemsPerSlice = 4 * kMaxChangesPerSlice;
 
   EndpointStore store_;
--- a/src/net/discovery/list_intake.cpp
+++ b/src/net/discovery/list_intake.cpp
@@ -7,13 +7,15 @@
 namespace {
 
 constexpr std::size_t kMaxSurroundingBytes = 64 << 10;
-// The indented text of an endpoint takes four times the memory of the endpoint.
+// Ratio of the limit of a list's text to the limit of its memory. The indented text of an endpoint
+// takes four times the memory of the endpoint.
 constexpr std::size_t kTextBytesPerMemoryByte = 8;
 
-// A list that trickles in never exceeds the longest pause, and a list of 22 MB cannot arrive within
-// one such pause. Therefore a list must arrive at a minimum rate of half a MB per second: each byte
-// extends the deadline by 2 us. The deadline is never further ahead than 1 s or the longest pause,
-// whichever is longer.
+// A limit on pauses alone does not detect a list that arrives slowly but steadily, and a limit on
+// the total time would reject a list of 22 MB, which cannot arrive within the longest pause.
+// Therefore a list must arrive at a minimum rate of half a MB per second: each byte extends the
+// deadline by 2 us. The deadline is never further ahead than 1 s or the longest pause, whichever is
+// longer.
 constexpr Micros kMicrosPerByte = 2;
 constexpr Micros kMaxTimeCredit = 1'000'000;
 
--- a/src/net/discovery/list_intake.hpp
+++ b/src/net/discovery/list_intake.hpp
@@ -79,7 +79,7 @@
   int begun_count_ = 0;
   ListReadScope scope_ = ListReadScope::kUnlimited;
   bool header_checked_ = false;
-  // Header of the last rejected list.
+  // Header of the last rejected list other than a probe; empty if it was not parsed.
   std::optional<Header> rejected_header_;
   // When bytes of the list in progress last arrived.
   std::optional<Micros> last_progress_at_;
--- a/src/net/discovery/list_retry_policy.hpp
+++ b/src/net/discovery/list_retry_policy.hpp
@@ -22,7 +22,8 @@
   std::size_t unrestricted_bytes = 4 << 20;
   // Number of consecutive lists that stop or arrive too slowly after which reads are restricted.
   int max_unfinished_lists = 8;
-  // Long-term rate of bytes read from rejected lists of any size, and again from small lists.
+  // Long-term limit on the bytes read from rejected lists, per second. It applies separately to
+  // reads of any size and to reads of small lists.
   double bytes_per_second = 400;
   // First wait before another complete list is read after one that was too large, us.
   Micros initial_wait = 4'000'000;
--- a/src/net/discovery/watch_liveness.cpp
+++ b/src/net/discovery/watch_liveness.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // 6 s after a watch fell silent, discovery assumes that the gateway knows all changes. Heartbeats
-// arrive every 2 s. 3 s is more than one heartbeat interval and leaves time for a second attempt to
+// arrive every 2 s, so after 3 s one is missing and there is still time for a second attempt to
 // reconnect.
 constexpr Micros kMaxSilence = 3'000'000;  // us
 
