--- a/src/net/discovery/endpoint_list.cpp
+++ b/src/net/discovery/endpoint_list.cpp
@@ -7,7 +7,7 @@
   constexpr std::size_t kInlineCapacity = 15;
   // Approximate bytes that an allocation takes beyond its content.
   constexpr std::size_t kAllocationOverhead = 24;
-  // One block of the deque holds several endpoints, so each bears a share of the block's overhead.
+  // A block of the deque holds several endpoints, so its allocation overhead is divided among them.
   std::size_t bytes = sizeof(ListedEndpoint) + kAllocationOverhead / 3;
   for (const std::string* text : {&endpoint.entry.server, &endpoint.entry.zone}) {
     if (text->capacity() > kInlineCapacity) {
--- a/src/net/discovery/receive_limit.hpp
+++ b/src/net/discovery/receive_limit.hpp
@@ -8,8 +8,8 @@
 namespace quota_gateway::net {
 
 // The kernel would receive megabytes ahead of the reader, and those bytes use the network even if
-// they are never read. Therefore the receive buffer is made small before a response of which only
-// little may be read.
+// they are never read. Therefore the receive buffer is made small if only little of the next
+// response may be read.
 class ReceiveLimit {
  public:
   // Whether the current connection has a limit.
--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -25,7 +25,7 @@
 #else
 constexpr double kSlowdown = 1;
 #endif
-constexpr int kFleetSize = 170'000;  // endpoints, of which kZoneSize are in one zone
+constexpr int kFleetSize = 170'000;  // endpoints; kZoneSize of them are in one zone
 constexpr int kZoneSize = 24'000;
 constexpr std::uint32_t kFirstHost = 0x0a000000;  // 10.0.0.0
 
