--- a/src/net/client/client_callbacks.hpp
+++ b/src/net/client/client_callbacks.hpp
@@ -1,5 +1,5 @@
-// What the client listener and its user, the gateway server, exchange: responses in one direction,
-// callbacks in the other.
+// The types that the gateway server and the client listener exchange: the server passes responses
+// to the listener, and the listener reports events to the server through callbacks.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,33 @@
 
 namespace quota_gateway::net {
 
-// Identifies one client connection; never used twice.
+// Identifies one client connection. Ids are never reused.
 using ClientId = std::uint64_t;
 
 // A complete response to a client.
 struct ClientResponse {
   int status = 502;
-  std::optional<Micros> retry_after;  // in a Retry-After header, in which 1 ms is the least
+  std::optional<Micros> retry_after;  // sent as Retry-After; less than 1 ms is raised to 1 ms
   std::string body;
 };
 
-// What the listener reports, on the event loop, and never from within a call to the listener except
-// as said below. A callback may call any function of the listener, unless it says otherwise.
+// Events that the listener reports to the gateway server. The listener calls them from the event
+// loop, never from within a call of one of its own functions. A callback may call any function of
+// the listener, unless its comment excludes it.
 struct ClientListenerCallbacks {
-  // A valid request has arrived. Returns the id under which the other callbacks name the request,
-  // or nullopt to reject it because a request with its trace id is open. Of a long body only the
-  // beginning may be there; the rest comes by request_body_piece(). Must not respond to `client`
-  // before it has returned.
+  // A valid request has arrived. Returns the id by which the other callbacks refer to the request,
+  // or nullopt to reject the request because another one with the same trace id is in progress. If
+  // the body is long, the request may hold only its beginning; request_body_piece() fetches the
+  // rest. The callback must not respond to `client` before it returns.
   std::function<std::optional<std::uint64_t>(ClientId client, ClientRequest request)> on_request;
-  // The client of a request has disconnected before the response was complete. Not called for
+  // The client of a request has disconnected before its response was complete. Not called after
   // abort_response().
   std::function<void(std::uint64_t request)> on_client_disconnected;
-  // The piece that request_body_piece() asked for.
+  // The body piece that request_body_piece() requested has arrived.
   std::function<void(std::uint64_t request, const std::string& piece, bool last)> on_body_piece;
-  // The last piece of the response has been written to the socket; the next one may follow.
+  // The latest piece of the response has been written to the socket; the next one may be sent.
   std::function<void(std::uint64_t request)> on_piece_sent;
-  // Whether load balancers may send clients here, as /_health says.
+  // Whether /_health tells load balancers to send clients to this gateway.
   std::function<bool()> is_serving = [] { return true; };
 };
 
--- a/src/net/client/client_listener.cpp
+++ b/src/net/client/client_listener.cpp
@@ -14,10 +14,10 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// One in this many of the largest number of clients may rest between requests.
-constexpr std::size_t kRestingDivisor = 3;
-constexpr Micros kTimeoutCheckInterval = 250'000;
-constexpr Micros kAcceptRetryDelay = 20'000;
+// The maximum number of clients divided by this may be idle between requests.
+constexpr std::size_t kIdleSessionsDivisor = 3;
+constexpr Micros kTimeoutCheckInterval = 250'000;  // us
+constexpr Micros kAcceptRetryDelay = 20'000;       // us
 
 }  // namespace
 
@@ -37,8 +37,8 @@
   acceptor_.open(address.protocol());
   error_code ignored;
   acceptor_.set_option(tcp::acceptor::reuse_address(true), ignored);
-  // A process of this gateway that could not be asked for its socket may still listen here. Then
-  // both do, each with a queue of its own.
+  // Another process of this gateway that could not be asked for its socket may still listen at this
+  // address. With SO_REUSEPORT both processes listen, each with its own accept queue.
   const int enabled = 1;
   ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_REUSEPORT, &enabled, sizeof enabled);
   acceptor_.bind(address);
@@ -55,8 +55,8 @@
   accept();
 }
 
-// The socket stays open: its queue belongs to every process that holds it, and were it closed here,
-// this event loop would go on polling it for as long as the other process has it.
+// The socket stays open. The processes that hold it share one accept queue, and while another
+// process holds it, closing the descriptor here would not stop this event loop from polling it.
 void ClientListener::hand_over_new_clients() {
   is_accepting_ = false;
   context_.handing_over = true;
@@ -77,15 +77,15 @@
 
 void ClientListener::on_accepted(error_code ec, tcp::socket socket) {
   if (ec == asio::error::operation_aborted) {
-    return accept();  // new clients were handed over, and may have been taken back since
+    return accept();  // accepting was stopped, and may have been started again since then
   }
-  if (ec) {  // most likely out of descriptors, of which sessions that end free some
+  if (ec) {  // most likely out of file descriptors; sessions that end free some
     timers_.after(kAcceptRetryDelay, [this] { accept(); });
     return;
   }
   start_session(std::move(socket));
-  if (make_room()) {
-    accept();  // else once a session has ended
+  if (evict_if_over_limit()) {
+    accept();  // else on_session_closed() continues to accept
   }
 }
 
@@ -101,9 +101,9 @@
 
 // ---- The number of sessions
 
-// Where there are too many sessions, closes the one that is needed least. Without this, a crowd of
-// silent clients would keep others out. False if all are needed.
-bool ClientListener::make_room() {
+// If there are too many sessions, closes the one with the highest eviction rank, so that many
+// silent clients can't keep other clients out. Returns false if no session may be closed.
+bool ClientListener::evict_if_over_limit() {
   if (sessions_.size() <= max_clients_) {
     return true;
   }
@@ -114,13 +114,14 @@
   return evictable != nullptr;
 }
 
-// Load balancers may hold only so many connections to a gateway: a third of its descriptors here.
-// Where clients ask once and stay connected, all of these would soon be idle, and requests would
-// find none, wait and be lost while the gateway has next to nothing to do. So beyond a number, the
-// connection that has been idle longest is closed. The cost: where more clients than that do come
-// back in turn, each connects anew for each request.
+// Load balancers limit their connections to a gateway, here to a third of its file descriptors. If
+// clients send one request each and stay connected, all of these connections soon become idle, and
+// other requests find no connection, wait and are lost while the gateway has almost no load.
+// Therefore, if too many connections are idle, the one that has been idle longest is closed. The
+// drawback: if more clients than that send requests in turn, each of them must reconnect for each
+// request.
 void ClientListener::on_session_idle() {
-  if (const auto surplus = sessions_.find_surplus_resting(max_clients_ / kRestingDivisor)) {
+  if (const auto surplus = sessions_.find_surplus_idle(max_clients_ / kIdleSessionsDivisor)) {
     surplus->close_if_idle();
   }
 }
@@ -194,7 +195,7 @@
   if (!context_.handing_over && has_pending_connection(acceptor_)) {
     return false;
   }
-  return !sessions_.has_work(context_.clock.now());
+  return !sessions_.has_unfinished_work(context_.clock.now());
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/client/client_listener.hpp
+++ b/src/net/client/client_listener.hpp
@@ -1,5 +1,6 @@
-// Accepts client connections, bounds how many there are, and passes responses to the right one.
-// Owns the listening socket and the client sessions. Used by the gateway server, on its event loop.
+// Accepts client connections, limits their number, and passes each response to the session of its
+// client. Owns the listening socket and the client sessions. The gateway server uses the listener
+// on its event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,48 +21,54 @@
 
 namespace quota_gateway::net {
 
+// Listens at one address. All functions must be called on the event loop's thread.
 class ClientListener final : private ClientSessionOwner {
  public:
-  // `io`, `timers`, `clock` and `settings` must outlive the listener; `settings` may change.
+  // `io`, `timers`, `clock` and `settings` must outlive the listener. `settings` may change while
+  // the listener exists. `max_clients` limits the number of connections.
   ClientListener(boost::asio::io_context& io, Timers& timers, const Clock& clock,
                  const Settings& settings, std::size_t max_clients,
                  ClientListenerCallbacks callbacks);
 
-  // Opens `address`. Clients may connect, but none is accepted before start_accepting(). Throws
-  // boost::system::system_error if the address can't be opened.
+  // Binds to `address` and listens. Clients can connect, but no connection is accepted before
+  // start_accepting(). Throws boost::system::system_error if the address can't be bound.
   void listen(const boost::asio::ip::tcp::endpoint& address);
-  // In place of listen(): uses a socket that listens at `address` already. Takes over ownership.
+  // Uses a socket that already listens at `address`, in place of listen(). Takes ownership of it.
   void adopt(const boost::asio::ip::tcp::endpoint& address, int listening_socket);
   int listening_socket() { return acceptor_.native_handle(); }
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
   void start_accepting();
   bool is_accepting() const { return is_accepting_; }
-  // Leaves new clients to another process that listens on the same socket, and closes each present
-  // connection with its next response, so that its client connects to that process.
+  // Stops accepting, so that another process that listens on the same socket gets the new clients,
+  // and closes each existing connection with its next response, so that its client reconnects to
+  // that process.
   void hand_over_new_clients();
 
-  // Each of the following has no effect if the client has disconnected.
-  //
-  // The complete response to the request that the client waits for.
+  // The following functions have no effect if the client has disconnected.
+
+  // Sends the complete response to the client's pending request.
   void respond(ClientId client, const ClientResponse& response);
-  // Begins a 200 response whose body is streamed, with its first piece, which may be empty.
-  // `content_length` counts the whole body, where that is known. on_piece_sent follows; only then
-  // may send_body_piece() or finish_response() be called, and so on for each piece.
+  // Begins a 200 response with a streamed body and sends the first piece, which may be empty.
+  // `content_length` is the length of the complete body in bytes, if it is known. After each piece,
+  // send_body_piece() and finish_response() must not be called before on_piece_sent.
   void begin_response(ClientId client, std::optional<std::uint64_t> content_length,
                       const std::string& piece);
   void send_body_piece(ClientId client, std::string piece);
   void finish_response(ClientId client);
-  // Resets the connection amid a streamed response, so that the client notices.
+  // Resets the connection during a streamed response, so that the client notices that the response
+  // is incomplete.
   void abort_response(ClientId client);
-  // Asks for the next piece of the request's body; on_body_piece follows, never from within.
+  // Requests the next piece of the request's body. on_body_piece is called with it later, never
+  // from within this function.
   void request_body_piece(ClientId client);
 
-  // Closes connections between requests, and each other one with its next response. Goes on
-  // accepting.
+  // Closes the connections that are idle between requests now, and every other connection with its
+  // next response. The listener continues to accept connections.
   void drain();
-  // Whether nothing is being read, awaited, written, or still on its way to its reader, and nothing
-  // lies unread, also of clients that are not accepted yet.
+  // Whether no connection waits to be accepted (unless new clients were handed over) and no session
+  // has unfinished work: a first request that may still arrive, unread input, a request that is
+  // being received or answered, or a client that may not have read its last response.
   bool is_idle();
 
  private:
@@ -72,7 +79,7 @@
   void accept();
   void on_accepted(boost::system::error_code ec, boost::asio::ip::tcp::socket socket);
   void start_session(boost::asio::ip::tcp::socket socket);
-  bool make_room();
+  bool evict_if_over_limit();
   void enforce_timeouts();
 
   Timers& timers_;
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -20,18 +20,20 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// Unparsed bytes that a session may hold at any time, and memory that it keeps when it has none.
+// A session with no more unparsed bytes than this continues to read in any state. This is also the
+// capacity that it may keep in an empty buffer.
 constexpr std::size_t kMaxBufferedBytes = 4 << 10;
-// The same while its request awaits the response, for one session and for all together. Without
-// this, the end of a connection would stay unnoticed behind what its client sent ahead.
-constexpr std::size_t kMaxBufferedBytesAwaiting = 512 << 10;
-constexpr std::size_t kMaxBufferedBytesOfAll = 4 << 20;
-
-// Bytes of a streamed response in the kernel. With megabytes there, slow clients would seem stuck
-// until much of it is sent, and all of it is memory.
+// Limits on unparsed bytes while a request awaits its response, for one session and for all
+// sessions together. They are higher because a session notices the end of its connection by reading
+// all the input that its client has sent ahead.
+constexpr std::size_t kMaxBufferedBytesAwaitingResponse = 512 << 10;
+constexpr std::size_t kMaxTotalBufferedBytes = 4 << 20;
+
+// Size of the socket's send buffer for a streamed response. With megabytes in the kernel, a slow
+// client would appear stuck until much of the data has been sent, and memory use would grow.
 constexpr int kSendBufferBytes = 256 << 10;
 
-constexpr Micros kDisconnectCheckInterval = 50'000;
+constexpr Micros kDisconnectCheckInterval = 50'000;  // us
 
 constexpr std::string_view kContinueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -50,7 +52,7 @@
   if (is_reading_ || is_in(SessionState::kClosed)) {
     return;
   }
-  if (is_too_far_ahead()) {
+  if (exceeds_read_ahead_limit()) {
     return watch_for_disconnect();
   }
   is_reading_ = true;
@@ -61,13 +63,13 @@
                      [this, self = shared_from_this()](error_code ec) { on_readable(ec); });
 }
 
-bool ClientSession::is_too_far_ahead() const {
+bool ClientSession::exceeds_read_ahead_limit() const {
   if (is_in(SessionState::kReading) || reader_.buffered_bytes() <= kMaxBufferedBytes) {
     return false;
   }
   return !is_in(SessionState::kAwaitingResponse) || reader_.is_body_incomplete() ||
-         reader_.buffered_bytes() > kMaxBufferedBytesAwaiting ||
-         context_.owner.buffered_bytes() > kMaxBufferedBytesOfAll;
+         reader_.buffered_bytes() > kMaxBufferedBytesAwaitingResponse ||
+         context_.owner.buffered_bytes() > kMaxTotalBufferedBytes;
 }
 
 std::size_t ClientSession::read_limit() const {
@@ -109,8 +111,9 @@
   }
 }
 
-// No more is read of a client that has sent too much ahead, so its disconnect stays behind the
-// unread bytes. Without this, its request would be forwarded although it has gone.
+// The session stops reading if its client has sent too much ahead, so it can't notice a disconnect
+// by reading. It polls the socket instead, as otherwise the request of a client that has
+// disconnected would be forwarded.
 void ClientSession::watch_for_disconnect() {
   if (!is_in(SessionState::kAwaitingResponse) || is_watching_disconnect_) {
     return;
@@ -198,7 +201,7 @@
   enter(SessionState::kAwaitingResponse);
   request_ = context_.callbacks.on_request(client_, std::move(request));
   if (!request_) {
-    reject(http::status::conflict, "a request of that id is open");
+    reject(http::status::conflict, "a request with this X-Trace-Id is in progress");
   }
 }
 
@@ -227,7 +230,7 @@
     return;
   }
   activity_.on_body_piece_settled();
-  if (request_) {  // else it has been responded to before its body was complete
+  if (request_) {  // else the request was answered before its body was complete
     context_.callbacks.on_body_piece(*request_, piece->bytes, piece->is_last);
   }
 }
@@ -243,7 +246,7 @@
   if (!is_in(SessionState::kAwaitingResponse)) {
     return;
   }
-  // What is left of the request's body is not awaited.
+  // The session doesn't wait for the rest of the request's body.
   const bool body_cut_off = reader_.is_body_incomplete();
   const ConnectionUse use = body_cut_off ? ConnectionUse::kClose : use_after_response();
   request_.reset();
@@ -298,7 +301,8 @@
   write_output(&ClientSession::on_response_written);
 }
 
-// The connection is reset: after an orderly close, a response without a length would look complete.
+// Resets the connection, because after an orderly close a response whose body is delimited by the
+// end of the connection would look complete.
 void ClientSession::abort_response() {
   if (!output_.is_streaming()) {
     return;
@@ -372,7 +376,7 @@
 }
 
 void ClientSession::close_if_idle() {
-  if (rests_between_requests() && !has_unread_input(socket_)) {
+  if (is_idle_between_requests() && !has_unread_input(socket_)) {
     close();
   }
 }
@@ -392,16 +396,17 @@
 
 // ---- Limits
 
-// A response that has been sent while its client has not closed counts too: input that arrives
-// later would be unread, and would reset the connection.
-bool ClientSession::has_work(Micros now) const {
+// Includes kClosing, where the last response has been written but the client has not closed its
+// side: if the process ended, input that arrives later would reset the connection, and the client
+// could lose the response.
+bool ClientSession::has_unfinished_work(Micros now) const {
   if (!is_in(SessionState::kIdle)) {
     return !is_in(SessionState::kClosed);
   }
   return activity_.may_send_first_request(now) || has_unread_input(socket_);
 }
 
-// A request is not given up whose last byte may have arrived unread.
+// A session with unread input is not evicted, because the input may complete a request.
 EvictionRank ClientSession::eviction_rank() const {
   const EvictionRank rank = activity_.eviction_rank();
   if (rank == EvictionRank::kNever || rank == EvictionRank::kAfterResponse) {
@@ -414,7 +419,7 @@
   const RequestPart part = reader_.has_valid_head() ? RequestPart::kBody : RequestPart::kHead;
   switch (activity_.timeout_action(now, part)) {
     case TimeoutAction::kRejectRequest:
-      return reject(http::status::request_timeout, "too slow");
+      return reject(http::status::request_timeout, "the request was not received in time");
     case TimeoutAction::kClose:
       return close();
     case TimeoutAction::kCloseUnlessInputArrived:
--- a/src/net/client/client_session.hpp
+++ b/src/net/client/client_session.hpp
@@ -1,6 +1,6 @@
-// One client connection: reads requests, hands them to the gateway server, writes the responses.
-// Owned by the client listener and by the session's own pending operations. It goes on reading
-// while a request waits for its response, to notice that the client has disconnected.
+// One client connection. A session reads requests, passes them to the gateway server and writes the
+// responses. It is owned by the client listener and by its own pending operations. While a request
+// awaits its response, the session continues to read, to notice when the client disconnects.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -23,14 +23,15 @@
 class ClientSession final : public std::enable_shared_from_this<ClientSession>,
                             public LingeringConnection {
  public:
-  // `context` must outlive the session; `socket` is connected and doesn't block.
+  // `context` must outlive the session. `socket` must be connected and non-blocking.
   ClientSession(ClientSessionContext& context, ClientId client,
                 boost::asio::ip::tcp::socket socket);
 
-  // Reads on, unless a read is under way or too much is buffered.
+  // Starts the next read, unless one is pending or the session has buffered too much input.
   void read();
 
-  // See the functions of ClientListener. Each has no effect in a state that it doesn't fit.
+  // See the functions of the same names in ClientListener. A call has no effect if the session is
+  // in a state that doesn't allow it.
   void respond(const ClientResponse& response);
   void begin_response(std::optional<std::uint64_t> content_length, const std::string& piece);
   void send_body_piece(std::string piece);
@@ -38,26 +39,26 @@
   void abort_response();
   void request_body_piece();
 
-  // Closes the session if it is between requests and none has arrived, read or not.
+  // Closes the session if it is idle between requests and its socket has no unread input.
   void close_if_idle();
   void close();
-  // Rejects or closes what has exceeded its time.
+  // Rejects the request or closes the connection if a time limit has passed.
   void enforce_timeouts(Micros now);
 
-  // Waits for its client's next request, having had one.
-  bool rests_between_requests() const { return activity_.rests_between_requests(); }
+  // Whether the session has had a request and waits for the next one.
+  bool is_idle_between_requests() const { return activity_.is_idle_between_requests(); }
   Micros state_since() const { return activity_.state_since(); }
   std::size_t buffered_bytes() const { return reader_.buffered_bytes(); }
   EvictionRank eviction_rank() const;
-  // Something would be lost if the process ended now.
-  bool has_work(Micros now) const;
+  // Whether a request or a response could be lost if the process ended now.
+  bool has_unfinished_work(Micros now) const;
 
  private:
   bool is_in(SessionState state) const { return activity_.state() == state; }
   void enter(SessionState state) { activity_.enter(state, context_.clock.now()); }
   ConnectionUse use_after_response() const;
 
-  bool is_too_far_ahead() const;
+  bool exceeds_read_ahead_limit() const;
   std::size_t read_limit() const;
   void on_readable(boost::system::error_code ec);
   void on_received(std::size_t size);
@@ -91,10 +92,10 @@
   RequestReader reader_;
   ResponseOutput output_;
   SessionActivity activity_;
-  // The request that awaits its response or the rest of it, as on_request named it.
+  // The id, returned by on_request, of the request whose response is not complete.
   std::optional<std::uint64_t> request_;
   bool is_reading_ = false;              // a read is pending, or input is being discarded
-  bool is_watching_disconnect_ = false;  // a check for it is scheduled
+  bool is_watching_disconnect_ = false;  // a check for a disconnect is scheduled
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/client/client_session_context.hpp
+++ b/src/net/client/client_session_context.hpp
@@ -1,5 +1,5 @@
-// What all client sessions of one listener share: the listener's side of the contract, the clock,
-// the settings, and the state of the process as far as it concerns clients.
+// The objects that all client sessions of one listener share: the owner's interface, the callbacks,
+// the clock, the settings, and whether the process is shutting down or handing over its clients.
 #pragma once
 
 #include <array>
@@ -11,14 +11,14 @@
 
 namespace quota_gateway::net {
 
-// What a session asks of the listener that owns it.
+// The interface through which a session reports to the listener that owns it.
 class ClientSessionOwner {
  public:
-  // The session has closed its socket; the owner lets go of it.
+  // The session has closed its socket. The owner must release the session.
   virtual void on_session_closed(ClientId client) = 0;
-  // The session waits for its client's next request. The owner may close it.
+  // The session has completed a response and waits for the next request. The owner may close it.
   virtual void on_session_idle() = 0;
-  // Unparsed bytes of all sessions together.
+  // Total number of unparsed bytes that all sessions hold.
   virtual std::size_t buffered_bytes() const = 0;
 
  protected:
@@ -32,9 +32,12 @@
   const Clock& clock;
   const Settings& settings;
   ClientListenerCallbacks callbacks;
-  bool draining = false;      // the gateway shuts down: responses close their connections
-  bool handing_over = false;  // another process accepts new clients: so do they then
-  // What is being read. One for all, as nothing stays in it between two turns of the event loop.
+  bool draining = false;  // the gateway is shutting down; each response closes its connection
+  // Another process accepts new clients. Each response closes its connection, so that the client
+  // reconnects to that process.
+  bool handing_over = false;
+  // Receives the input of a read. All sessions share it, because no data stays in it between two
+  // event loop handlers.
   std::array<char, std::size_t{64} << 10> read_buffer{};
 };
 
--- a/src/net/client/lingering_close.cpp
+++ b/src/net/client/lingering_close.cpp
@@ -12,26 +12,28 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Micros kDiscardInterval = 10'000;
+constexpr Micros kDiscardInterval = 10'000;        // us
 constexpr std::size_t kMaxDiscardBytes = 4 << 20;  // in each interval
 
-enum class Client { kMaySendMore, kFinished };
+enum class DiscardResult { kMaySendMore, kFinished };
 
-// MSG_TRUNC makes the kernel drop the bytes instead of copying them into the buffer.
-Client discard_received_bytes(LingeringConnection& connection, ClientSessionContext& context) {
+// Discards received bytes until at least kMaxDiscardBytes are discarded or none is left. MSG_TRUNC
+// makes the kernel drop them instead of copying them into the buffer.
+DiscardResult discard_received_bytes(LingeringConnection& connection,
+                                     ClientSessionContext& context) {
   const int socket = connection.socket().native_handle();
   std::size_t discarded = 0;
   while (discarded < kMaxDiscardBytes) {
     const auto received = ::recv(socket, context.read_buffer.data(), context.read_buffer.size(),
                                  MSG_TRUNC | MSG_DONTWAIT);
     if (received <= 0) {
-      const bool no_more_yet = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-      return no_more_yet ? Client::kMaySendMore : Client::kFinished;
+      const bool no_input_yet = received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+      return no_input_yet ? DiscardResult::kMaySendMore : DiscardResult::kFinished;
     }
     connection.on_input_discarded();
     discarded += std::size_t(received);
   }
-  return Client::kMaySendMore;
+  return DiscardResult::kMaySendMore;
 }
 
 void on_readable(error_code ec, std::shared_ptr<LingeringConnection> connection,
@@ -39,7 +41,7 @@
   if (!connection->socket().is_open()) {
     return;
   }
-  if (ec || discard_received_bytes(*connection, context) == Client::kFinished) {
+  if (ec || discard_received_bytes(*connection, context) == DiscardResult::kFinished) {
     return connection->on_client_finished();
   }
   context.timers.after(kDiscardInterval, [connection = std::move(connection), &context] {
@@ -56,8 +58,9 @@
   socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// Without this, a client that sends 60 MB before it reads would never see its response. Reading all
-// of it as it arrives would delay the other clients, so it is dropped in the kernel, at intervals.
+// A client that sends 60 MB before it reads would never see its response if its input were not
+// consumed. Reading all input as it arrives would delay other clients, so the kernel drops the
+// input, at intervals.
 void discard_input_until_closed(std::shared_ptr<LingeringConnection> connection,
                                 ClientSessionContext& context) {
   tcp::socket& socket = connection->socket();
--- a/src/net/client/lingering_close.hpp
+++ b/src/net/client/lingering_close.hpp
@@ -1,7 +1,7 @@
-// Ends a client connection behind its last response: discards what the client still sends, until it
-// has closed its side. Without this, a close with unread input would reset the connection and could
-// take the response with it. Stateless; called by the client session, which sets the time limits
-// and closes the socket.
+// Lingering close of a client connection after its last response: discards further input until the
+// client has closed its side. Closing a socket with unread input resets the connection, and the
+// client could lose the response. Stateless; called by the client session, which enforces the time
+// limits and closes the socket.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,25 +11,25 @@
 
 namespace quota_gateway::net {
 
-// A connection that has had its last response.
+// A connection whose last response has been written.
 class LingeringConnection {
  public:
   virtual boost::asio::ip::tcp::socket& socket() = 0;
-  // Some of the client's input has been discarded.
+  // Some input of the client has been discarded.
   virtual void on_input_discarded() = 0;
-  // The client has closed its side, or the connection is lost: the socket may be closed.
+  // The client has closed its side or the connection is lost. The socket may be closed.
   virtual void on_client_finished() = 0;
 
  protected:
   ~LingeringConnection() = default;
 };
 
-// Tells the client that nothing follows the response.
+// Shuts down the sending side of the socket, so that the client sees the end of the stream.
 void send_end_of_stream(boost::asio::ip::tcp::socket& socket);
 
-// Discards input until the client has finished or the socket is closed, and keeps the connection
-// alive meanwhile. No other read may be pending. Calls the connection later, never from within.
-// `context` must outlive the connection.
+// Discards input until the client has closed its side or the socket is closed, and keeps the
+// `connection` object alive until then. No other read may be pending. The functions of `connection`
+// are called later, never from within this function. `context` must outlive the connection.
 void discard_input_until_closed(std::shared_ptr<LingeringConnection> connection,
                                 ClientSessionContext& context);
 
--- a/src/net/client/request_reader.cpp
+++ b/src/net/client/request_reader.cpp
@@ -44,8 +44,8 @@
   if (ec && !needs_input) {
     throw HttpError(ec.message(), status_of(ec));
   }
-  // The parser stops behind the head, which is checked before the rest: that may be long, or may
-  // never arrive.
+  // The parser stops after the head, so that the head is checked before the body, which may be long
+  // or may never arrive.
   if (parser_->is_header_done() && !parser_->eager()) {
     check_head();
   }
@@ -73,7 +73,7 @@
   check_framing(head, version_);
   if (head.method() == http::verb::get && head.target() == "/_health") {
     if (parser_->content_length().value_or(0) > 0) {
-      throw HttpError("a body where none belongs");
+      throw HttpError("a health check must not have a body");
     }
     return;
   }
@@ -92,7 +92,7 @@
   ForwardedRequest& forwarded = request.forwarded;
   forwarded.body = std::exchange(parser_->get().body(), {});
   if (request.idempotent && !forwarded.body.empty()) {
-    throw HttpError("a body where none belongs");
+    throw HttpError("a request of this class must not have a body");
   }
   forwarded.body_complete = parser_->is_done();
   if (const auto length = parser_->content_length()) {
--- a/src/net/client/request_reader.hpp
+++ b/src/net/client/request_reader.hpp
@@ -1,6 +1,7 @@
-// Turns the bytes of one client connection into validated requests. Owns the bytes that have been
-// read but not parsed, and the message that is being parsed. Does no I/O; the client session calls
-// it. Any HttpError that it throws leaves the message unusable: end_message() must follow.
+// Parses the bytes of one client connection into validated requests. Owns the bytes that have been
+// read but not parsed, and the message that is being parsed. Does no I/O; called by the client
+// session. After a function has thrown HttpError the open message is unusable, and the caller must
+// call end_message() or drop the reader.
 #pragma once
 
 #include <boost/beast/http/parser.hpp>
@@ -14,7 +15,7 @@
 
 namespace quota_gateway::net {
 
-// Some of the body of a request whose body is streamed.
+// One piece of a request body that is streamed.
 struct BodyPiece {
   std::string bytes;
   bool is_last = false;
@@ -22,42 +23,46 @@
 
 class RequestReader {
  public:
+  // The result of advance().
   enum class Progress { kNeedsInput, kAdvanced, kMessageReady };
 
   explicit RequestReader(const Settings& settings) : settings_(settings) {}
 
   void append_input(const char* bytes, std::size_t size) { input_.append(bytes, size); }
   bool has_input() const { return !input_.empty(); }
-  // Bytes that are not parsed yet.
+  // Number of bytes that have not been parsed.
   std::size_t buffered_bytes() const { return input_.size(); }
-  // Drops the unparsed bytes and their memory.
+  // Drops the unparsed bytes and frees their memory.
   void discard_input() { input_ = {}; }
-  // Frees the memory of the unparsed bytes if there are none and it is more than `max_kept_bytes`.
+  // Frees the input buffer if it is empty and its capacity exceeds `max_kept_bytes`.
   void release_memory(std::size_t max_kept_bytes);
 
   bool is_message_open() const { return parser_.has_value(); }
   void start_message();
-  // Parses some input of the open message. kMessageReady: all of it is here, or, where the body is
-  // long, its beginning. Throws HttpError.
+  // Parses some input of the open message. Returns kMessageReady if the message is complete or more
+  // than kMaxBufferedBodyBytes of its body have arrived. Throws HttpError.
   Progress advance();
-  // The head of the open message is a valid request, and its body is being read.
+  // Whether the head of the open message is a valid request that has not been taken.
   bool has_valid_head() const { return request_.has_value(); }
-  // Whether the client waits for "100 Continue" before it sends the body; true once a message.
+  // Whether the client waits for "100 Continue" before it sends the body. True at most once for
+  // each message.
   bool take_expects_continue();
 
-  // For a message that is ready: it asks for /_health.
+  // Whether the message is a GET of /_health. Only valid if advance() returned kMessageReady.
   bool is_health_check() const { return !request_; }
-  // The request that is ready. If its body is incomplete, the message stays open. Throws HttpError.
+  // Returns the request after advance() returned kMessageReady. If its body is incomplete, the
+  // message stays open. Throws HttpError.
   ClientRequest take_request();
-  // More of the taken request's body is to come.
+  // Whether the body of the taken request is incomplete.
   bool is_body_incomplete() const { return body_incomplete_; }
-  // What has arrived of the taken request's body since the last piece; nullopt if nothing has.
-  // Throws HttpError.
+  // Returns the part of the taken request's body that has arrived since the last piece, or nullopt
+  // if nothing has. Throws HttpError.
   std::optional<BodyPiece> take_body_piece();
-  // Drops the open message, if there is one. Input behind it stays.
+  // Drops the open message, if there is one. Keeps unparsed input.
   void end_message();
 
-  // As the last head says.
+  // Whether the connection stays open after the response, and the HTTP version, according to the
+  // last head.
   bool keeps_alive() const { return keep_alive_; }
   HttpVersion version() const { return version_; }
 
@@ -65,8 +70,8 @@
   using Parser = boost::beast::http::request_parser<IncrementalBody>;
 
   struct ParseResult {
-    std::size_t bytes;             // parsed, and dropped from the input
-    boost::system::error_code ec;  // need_more: the message goes on behind the input
+    std::size_t bytes;             // parsed and removed from the input
+    boost::system::error_code ec;  // need_more: the message continues after the input
   };
 
   ParseResult parse_input();
@@ -76,7 +81,7 @@
   const Settings& settings_;
   std::string input_;
   std::optional<Parser> parser_;
-  std::optional<ClientRequest> request_;  // once its head has been validated
+  std::optional<ClientRequest> request_;  // set while a validated request has not been taken
   bool body_incomplete_ = false;
   bool expects_continue_ = false;
   bool keep_alive_ = true;
--- a/src/net/client/request_validator.cpp
+++ b/src/net/client/request_validator.cpp
@@ -15,18 +15,19 @@
 namespace http = boost::beast::http;
 using Request = http::request<IncrementalBody>;
 
-constexpr std::size_t kMaxIdBytes = 128;  // of a trace id, an idempotency key or a host
+constexpr std::size_t kMaxIdBytes = 128;  // for a trace id, an idempotency key or a host
 constexpr std::size_t kCustomerDigits = 16;
 constexpr int kHexadecimal = 16;
-constexpr std::uint64_t kCustomerIdEnd = 1ULL << 33;  // customers are numbers below this
-constexpr double kMaxHeaderNumber = 1e15;             // no valid header has a larger one
+constexpr std::uint64_t kCustomerIdEnd = 1ULL << 33;  // customer ids are below this number
+constexpr double kMaxHeaderNumber = 1e15;             // larger numbers in headers are invalid
 constexpr double kMicrosPerMilli = 1000;
 
-std::string_view to_std(boost::beast::string_view text) {
+std::string_view to_string_view(boost::beast::string_view text) {
   return {text.data(), text.size()};
 }
 
-// Without blanks and control bytes. Without this, a forwarded value could end a header line early.
+// Whether `text` consists of visible ASCII characters only. A forwarded value with line breaks
+// could end its header line and add another header.
 bool is_visible_ascii(std::string_view text) {
   return std::all_of(text.begin(), text.end(),
                      [](char character) { return character > ' ' && character < 0x7f; });
@@ -50,8 +51,8 @@
   return int(value);
 }
 
-// The value of a header, empty if it is missing. A repeated header is rejected: without this,
-// another reader of the request could use its other value.
+// Returns the value of a header, or an empty string if the header is missing. A repeated header is
+// rejected, because the gateway and an upstream server could use different values of it.
 std::string_view single_header(const Request& request, const char* name) {
   const auto [first, last] = request.equal_range(name);
   if (first == last) {
@@ -60,7 +61,7 @@
   if (std::next(first) != last) {
     throw HttpError(std::string("more than one ") + name);
   }
-  return to_std(first->value());
+  return to_string_view(first->value());
 }
 
 std::string_view required_header(const Request& request, const char* name) {
@@ -71,7 +72,7 @@
   return value;
 }
 
-// A copy of a header's value that is safe to forward.
+// Returns a copy of a header's value after checking that it is safe to forward.
 std::string checked_id(std::string_view value, const char* header) {
   if (value.size() > kMaxIdBytes || !is_visible_ascii(value)) {
     throw HttpError(std::string("bad ") + header);
@@ -90,7 +91,8 @@
              : checked_id(single_header(request, kHeader), kHeader);
 }
 
-// "480m" or "480000u". At most the class's deadline: a response after that has no value.
+// Parses a timeout such as "480m" (milliseconds) or "480000u" (microseconds). The result is limited
+// to the deadline of the request class, because a later response has no value.
 Micros parse_timeout(std::string_view text, const ClassSettings& request_class) {
   constexpr const char* kHeader = "X-Expires-In";
   const char unit = text.back();
@@ -105,13 +107,13 @@
   return Micros(std::min(timeout, double(request_class.deadline)));
 }
 
-// The parameters of Quota-Info, as far as they are given.
+// The parameters of a Quota-Info header. A missing parameter is nullopt.
 struct QuotaInfo {
   std::optional<double> units;
   std::optional<double> spread;
   std::optional<double> first;
 
-  // The parameter of that name; null if the protocol has none, which is ignored.
+  // Returns the parameter called `name`, or null if the protocol doesn't define it.
   std::optional<double>* find(std::string_view name) {
     if (name == "units") {
       return &units;
@@ -130,17 +132,18 @@
     throw HttpError(std::string("bad ") + kHeader);
   }
   const double value = parse_number(parameter.substr(equals + 1), kHeader);
-  std::optional<double>* known = info.find(parameter.substr(0, equals));
-  if (known == nullptr) {
-    return;
+  std::optional<double>* parameter_value = info.find(parameter.substr(0, equals));
+  if (parameter_value == nullptr) {
+    return;  // unknown parameters are ignored
   }
-  if (known->has_value()) {
+  if (parameter_value->has_value()) {
     throw HttpError(std::string("bad ") + kHeader);
   }
-  *known = value;
+  *parameter_value = value;
 }
 
-// "units=2,spread=3,first=1", in any order, with blanks after a comma.
+// Parses "units=2,spread=3,first=1". The parameters may be in any order, and spaces may follow a
+// comma.
 QuotaInfo parse_quota_info(std::string_view text) {
   QuotaInfo info;
   while (!text.empty()) {
@@ -166,14 +169,15 @@
   arrived.gateway_subset_start = to_integer(*info.first, 0, settings.gateway_count - 1, "first");
 }
 
-// In lower case, so that a customer has one quota however its clients spell it.
+// Returns the customer id in lower case, so that a customer has a single quota even if its clients
+// use different spellings.
 std::string parse_customer(std::string_view text) {
   std::uint64_t value = 0;
   const char* end = text.data() + text.size();
   const auto [stop, ec] = std::from_chars(text.data(), end, value, kHexadecimal);
   const bool parsed = ec == std::errc() && stop == end;
   if (text.size() != kCustomerDigits || !parsed || value >= kCustomerIdEnd) {
-    throw HttpError("no customer in the path");
+    throw HttpError("the path must end in a valid customer id");
   }
   std::string customer(text);
   std::transform(customer.begin(), customer.end(), customer.begin(), [](char digit) {
@@ -193,7 +197,7 @@
   return *found;
 }
 
-// "/CLASS/.../CUSTOMER", without the query.
+// The parts of a path "/CLASS/.../CUSTOMER". The query is not part of the path.
 struct RequestPath {
   std::string_view request_class;
   std::string_view customer;
@@ -203,25 +207,26 @@
   const std::string_view path = target.substr(0, target.find('?'));
   const auto last_slash = path.rfind('/');
   if (path.empty() || path[0] != '/' || last_slash == 0 || !is_visible_ascii(target)) {
-    throw HttpError("bad path");
+    throw HttpError("bad path, expected /CLASS/.../CUSTOMER in visible ASCII characters");
   }
   return {path.substr(1, path.find('/', 1) - 1), path.substr(last_slash + 1)};
 }
 
 void check_method(const Request& request, bool idempotent) {
   if (request.method() != (idempotent ? http::verb::get : http::verb::post)) {
-    throw HttpError("the method does not fit the class");
+    throw HttpError("the method is not allowed for this request class");
   }
   if (idempotent) {
     const auto length = request[http::field::content_length];
     if (length.find_first_not_of('0') != boost::beast::string_view::npos) {
-      throw HttpError("a body where none belongs");
+      throw HttpError("a request of this class must not have a body");
     }
     return;
   }
   if (request.count(http::field::content_length) == 0 &&
       request.count(http::field::transfer_encoding) == 0) {
-    throw HttpError("no length", http::status::length_required);
+    throw HttpError("Content-Length or Transfer-Encoding is required",
+                    http::status::length_required);
   }
 }
 
@@ -232,7 +237,7 @@
   RequestArrived& arrived = result.arrived;
   ForwardedRequest& forwarded = result.forwarded;
 
-  const std::string_view target = to_std(request.target());
+  const std::string_view target = to_string_view(request.target());
   const RequestPath path = split_path(target);
   arrived.customer = parse_customer(path.customer);
   const ClassSettings& request_class = find_named(settings.classes, path.request_class, "class");
@@ -247,7 +252,7 @@
   arrived.plan = find_named(settings.plans, required_header(request, "Plan"), "plan").name;
   apply_quota_info(required_header(request, "Quota-Info"), settings, arrived);
   arrived.is_client_retry = request["X-Second-Try"] == "1";
-  forwarded.method = std::string(to_std(request.method_string()));
+  forwarded.method = std::string(to_string_view(request.method_string()));
   forwarded.target = std::string(target);
   return result;
 }
--- a/src/net/client/request_validator.hpp
+++ b/src/net/client/request_validator.hpp
@@ -1,6 +1,6 @@
-// Validates the head of a client's request. Whatever breaks the protocol is rejected here, so that
-// neither the decision module nor an upstream server ever sees it. Stateless; called by the client
-// session.
+// Validates the head of a client's request. Requests that violate the protocol are rejected here,
+// so that neither the decision module nor an upstream server receives them. Stateless; called by
+// the request reader.
 #pragma once
 
 #include <boost/beast/http/message.hpp>
@@ -13,16 +13,16 @@
 
 namespace quota_gateway::net {
 
-// A valid request of a client.
+// A request of a client that has passed validation.
 struct ClientRequest {
-  RequestArrived arrived;      // `id`, `deadline` and `body_pending` are left to the server
+  RequestArrived arrived;      // the server sets `id`, `deadline` and `body_pending`
   Micros timeout = 0;          // how long the client waits for the response
-  bool idempotent = false;     // its class is idempotent, so it must have no body
-  ForwardedRequest forwarded;  // without the body, which is still to come
+  bool idempotent = false;     // the request class is idempotent, so a body is not allowed
+  ForwardedRequest forwarded;  // the request reader adds the body
 };
 
-// Checks the request by its head alone and returns its parts. Throws HttpError with the status and
-// the reason for the client.
+// Validates the head of `request` and returns its parts; the body is not examined. Throws HttpError
+// with the status and the reason to send to the client.
 ClientRequest validate_request(const boost::beast::http::request<IncrementalBody>& request,
                                const Settings& settings);
 
--- a/src/net/client/response_encoder.cpp
+++ b/src/net/client/response_encoder.cpp
@@ -11,7 +11,7 @@
 
 namespace http = boost::beast::http;
 
-constexpr Micros kMinRetryAfter = 1'000;  // us; the header has three decimals
+constexpr Micros kMinRetryAfter = 1'000;  // us, as the header has three decimals of a second
 constexpr double kMicrosPerSecond = 1e6;
 constexpr std::size_t kRetryAfterBytes = 48;
 constexpr std::string_view kCloseHeader = "\r\nConnection: close";
--- a/src/net/client/response_output.hpp
+++ b/src/net/client/response_output.hpp
@@ -1,6 +1,6 @@
-// The response that a client session is writing: a complete one, or one whose body is streamed in
-// pieces. Holds the bytes that are being written and how the connection goes on afterwards. Owned
-// by the session, which does the writing. Does no I/O.
+// The response that a client session is writing, either complete or streamed in pieces. Holds the
+// bytes that are being written, and whether the connection is closed afterwards. Owned by the
+// session, which does the writing. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,27 +14,29 @@
 
 class ResponseOutput {
  public:
-  // What is to be written now. Must not be changed while it is being written.
+  // The bytes to write now. Do not call a function that changes them while they are being written.
   const std::string& bytes() const { return bytes_; }
-  // What happens to the connection after the response.
+  // Whether the connection is kept or closed after the response.
   ConnectionUse connection_use() const { return connection_use_; }
-  // A response has begun whose body is passed in pieces, and not ended.
+  // Whether a streamed response has begun and has neither ended nor been aborted.
   bool is_streaming() const { return is_streaming_; }
 
+  // Sets the bytes to a complete response.
   void set_response(const ClientResponse& response, ConnectionUse connection_use);
-  // The head of a streamed response and the first piece of its body, which may be empty.
-  // `content_length` counts the whole body, in bytes; it must be given for kContentLength only.
+  // Sets the bytes to the head of a streamed response and the first piece of its body, which may be
+  // empty. `content_length` is the length of the complete body in bytes; it must be set if and only
+  // if `delimiter` is kContentLength.
   void begin_stream(std::optional<std::uint64_t> content_length, BodyDelimiter delimiter,
                     ConnectionUse connection_use, const std::string& piece);
-  // The next piece of the body, which must not be empty.
+  // Sets the bytes to the next piece of the body, which must not be empty.
   void set_piece(std::string piece);
-  // What marks the end of the body; it may be nothing.
+  // Sets the bytes to the end marker of the body, which is empty unless the body is chunked.
   void end_stream();
-  // Leaves the streamed response incomplete.
+  // Ends the stream without the rest of the response.
   void abort_stream() { is_streaming_ = false; }
 
-  // Empties the bytes if their memory is more than `max_kept_bytes`; call it once they have been
-  // written. The memory itself is kept until the next response (docs/known-issues.md).
+  // Clears the bytes if their capacity exceeds `max_kept_bytes`. Must be called only after they
+  // have been written. The memory itself is kept until the next response (docs/known-issues.md).
   void release_memory(std::size_t max_kept_bytes);
 
  private:
--- a/src/net/client/session_activity.cpp
+++ b/src/net/client/session_activity.cpp
@@ -5,18 +5,24 @@
 namespace quota_gateway::net {
 namespace {
 
-// From connecting, or from a head's first byte, to the end of the head.
+// All times are in microseconds.
+
+// Maximum time to the end of a head, from its first byte and, for the first request, also from the
+// start of the connection.
 constexpr Micros kHeadTimeout = 2'600'000;
-// Without a byte of a body: its client is stuck, not slow.
+// Maximum time between two bytes of a body. A client that exceeds it is stuck rather than slow.
 constexpr Micros kBodyTimeout = 2'000'000;
-// From connecting to the first byte, after which shutdown no longer waits for one.
+// How long after the start of a connection a shutdown waits for the first byte.
 constexpr Micros kFirstByteTimeout = 1'000'000;
-// Between requests; some clients never come back, and none announces it.
+// Maximum idle time between requests. Some clients never send another request, and no client
+// announces that it won't.
 constexpr Micros kIdleTimeout = 4'000'000;
-// For a client to accept a response, or one piece of it.
+// Maximum time to write a complete response or one piece of a streamed response.
 constexpr Micros kWriteTimeout = 10'000'000;
-// For a client to read its last response before the close, or between two bytes that are discarded.
+// How long a client has to read its last response before the connection is closed. Each byte that
+// it sends restarts this time.
 constexpr Micros kLingerTimeout = 1'000'000;
+// Maximum total duration of a lingering close.
 constexpr Micros kMaxLingerTime = 5'000'000;
 
 }  // namespace
@@ -40,7 +46,7 @@
     case SessionState::kClosing:
       return EvictionRank::kAfterResponse;
     case SessionState::kIdle:
-      return has_sent_bytes_ ? EvictionRank::kBetween : EvictionRank::kSilent;
+      return has_sent_bytes_ ? EvictionRank::kBetweenRequests : EvictionRank::kSilent;
     case SessionState::kReading:
       return EvictionRank::kMidRequest;
     default:
--- a/src/net/client/session_table.cpp
+++ b/src/net/client/session_table.cpp
@@ -38,19 +38,19 @@
   return chosen;
 }
 
-SessionTable::SessionPointer SessionTable::find_surplus_resting(std::size_t max_resting) const {
-  SessionPointer longest;
-  std::size_t resting = 0;
+SessionTable::SessionPointer SessionTable::find_surplus_idle(std::size_t max_idle_sessions) const {
+  SessionPointer longest_idle;
+  std::size_t idle_sessions = 0;
   for (const auto& [client, session] : sessions_) {
-    if (!session->rests_between_requests()) {
+    if (!session->is_idle_between_requests()) {
       continue;
     }
-    ++resting;
-    if (!longest || session->state_since() < longest->state_since()) {
-      longest = session;
+    ++idle_sessions;
+    if (!longest_idle || session->state_since() < longest_idle->state_since()) {
+      longest_idle = session;
     }
   }
-  return resting > max_resting ? longest : nullptr;
+  return idle_sessions > max_idle_sessions ? longest_idle : nullptr;
 }
 
 std::size_t SessionTable::buffered_bytes() const {
@@ -61,9 +61,9 @@
   return total;
 }
 
-bool SessionTable::has_work(Micros now) const {
+bool SessionTable::has_unfinished_work(Micros now) const {
   return std::any_of(sessions_.begin(), sessions_.end(),
-                     [now](const auto& entry) { return entry.second->has_work(now); });
+                     [now](const auto& entry) { return entry.second->has_unfinished_work(now); });
 }
 
 }  // namespace quota_gateway::net
--- a/src/net/client/session_table.hpp
+++ b/src/net/client/session_table.hpp
@@ -1,6 +1,6 @@
-// The client sessions of one listener. Finds a client's session and chooses the one to close where
-// there are too many; the listener, which owns the table, closes it. Each function that walks the
-// sessions takes time in proportion to their number.
+// The client sessions of one listener. Finds the session of a client, and selects the session to
+// close if there are too many. The listener owns the table and closes the selected session.
+// Functions that visit all sessions take time linear in their number.
 #pragma once
 
 #include <cstddef>
@@ -23,19 +23,21 @@
   void remove(ClientId client) { sessions_.erase(client); }
   // Null if the client has disconnected.
   SessionPointer find(ClientId client) const;
-  // A copy, as sessions that are closed on a walk leave the table.
+  // Copies the sessions, so that the caller may close some of them, which removes them from the
+  // table, while it iterates.
   std::vector<SessionPointer> snapshot() const;
 
-  // The session that is needed least; of several, the one that is longest in its state. Null if all
-  // are needed. Never that of `newest`.
+  // The session with the highest eviction rank; of several, the one that has been longest in its
+  // state. Null if no session may be evicted. Never returns the session of `newest`.
   SessionPointer find_evictable(ClientId newest) const;
-  // The session that has rested longest between requests, if more than `max_resting` do; else null.
-  SessionPointer find_surplus_resting(std::size_t max_resting) const;
+  // The session that has been idle between requests longest, if more than `max_idle_sessions`
+  // sessions are idle between requests; else null.
+  SessionPointer find_surplus_idle(std::size_t max_idle_sessions) const;
 
-  // Unparsed bytes of all sessions together.
+  // Total number of unparsed bytes that all sessions hold.
   std::size_t buffered_bytes() const;
-  // Something would be lost if the process ended now.
-  bool has_work(Micros now) const;
+  // Whether any session has unfinished work, see ClientSession.
+  bool has_unfinished_work(Micros now) const;
 
  private:
   std::unordered_map<ClientId, SessionPointer> sessions_;
--- a/src/net/client/socket_status.hpp
+++ b/src/net/client/socket_status.hpp
@@ -1,16 +1,16 @@
-// What the kernel knows about a socket, asked without reading from it. Stateless; each call is one
-// system call that doesn't block.
+// Queries the kernel for the state of a socket without reading from it. Stateless; each call makes
+// one system call that doesn't block.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
 
 namespace quota_gateway::net {
 
-// Received bytes that have not been read yet. False also for a lost connection.
+// Whether the socket has received bytes that have not been read. False also for a lost connection.
 bool has_unread_input(const boost::asio::ip::tcp::socket& socket);
 
-// Whether the peer has closed its side or the connection is lost, even if bytes that arrived before
-// are still unread.
+// Whether the peer has closed its side or the connection is lost. Detects this even if earlier
+// bytes have not been read.
 bool has_peer_closed(boost::asio::ip::tcp::socket& socket);
 
 // Whether a connection waits to be accepted.
--- a/src/net/event_loop/backoff.cpp
+++ b/src/net/event_loop/backoff.cpp
@@ -5,8 +5,9 @@
 namespace quota_gateway::net {
 namespace {
 
-// With a limit that doubled up to 1 s, a fleet whose requests were rejected repeated them at a rate
-// that kept the link to discovery full, and none of them was ever served.
+// The limit quadruples with each attempt. When it doubled, up to 1 s, a fleet with rejected
+// requests repeated them so often that the link to discovery stayed full and no request was ever
+// served.
 constexpr Micros kGrowthFactor = 4;
 
 }  // namespace
@@ -14,8 +15,8 @@
 Backoff::Backoff(Micros initial_limit, Micros max_limit, std::uint64_t seed)
     : initial_limit_(initial_limit), max_limit_(max_limit), random_(seed), limit_(initial_limit) {}
 
-// Drawn from zero up to the limit: with equal delays, gateways that started or lost a connection at
-// the same moment would repeat their attempts at the same moments.
+// The delay is drawn uniformly from zero to the limit. With equal delays, gateways that started or
+// lost a connection simultaneously would also repeat their attempts simultaneously.
 Micros Backoff::next() {
   const Micros limit = limit_;
   limit_ = std::min(kGrowthFactor * limit_, max_limit_);
--- a/src/net/event_loop/backoff.hpp
+++ b/src/net/event_loop/backoff.hpp
@@ -1,5 +1,5 @@
-// Exponential backoff with full jitter: how long a client waits before each further attempt to
-// connect or to ask again. The client that makes the attempts owns its backoff.
+// Exponential backoff with full jitter: the delay before each further attempt to connect or to
+// repeat a request. Owned by the client that makes the attempts.
 #pragma once
 
 #include <cstdint>
@@ -9,15 +9,16 @@
 
 namespace quota_gateway::net {
 
+// Computes the delays for one sequence of attempts.
 class Backoff {
  public:
-  // The first delay is at most `initial_limit`, none is more than `max_limit`. `seed` differs
-  // between gateways, so that their delays do.
+  // The first delay is at most `initial_limit`, and no delay exceeds `max_limit`. Gateways must
+  // pass different seeds, so that their delays differ.
   Backoff(Micros initial_limit, Micros max_limit, std::uint64_t seed);
 
-  // Delay before the next attempt. Raises the limit for the one after it.
+  // Returns the delay before the next attempt and raises the limit for the following one.
   Micros next();
-  // After a success: the next delay is as short as the first.
+  // Resets the limit to its initial value. Call it after a success.
   void reset();
 
  private:
--- a/src/net/event_loop/clock.hpp
+++ b/src/net/event_loop/clock.hpp
@@ -1,4 +1,4 @@
-// The time of one gateway process. GatewayServer owns the clock; every module of src/net reads it.
+// The clock of one gateway process. GatewayServer owns it; every module of src/net reads it.
 #pragma once
 
 #include <chrono>
@@ -7,14 +7,14 @@
 
 namespace quota_gateway::net {
 
-// Begins at the system's time, so that gateways agree on periods and on the start times of servers.
-// From then on it advances with the steady clock: it never goes back, also when the system's time
-// is set.
+// Starts at the system time, so that all gateways agree on periods and on the start times of
+// servers. Afterwards it advances with the steady clock, so it never goes back, even if the system
+// time is changed.
 class Clock {
  public:
   Clock();
 
-  // Time since the epoch.
+  // Microseconds since the Unix epoch.
   Micros now() const;
 
  private:
--- a/src/net/event_loop/event_loop.hpp
+++ b/src/net/event_loop/event_loop.hpp
@@ -1,4 +1,4 @@
-// What the modules of one gateway process need of the event loop that they run in.
+// Access to the event loop for the modules of one gateway process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -8,7 +8,8 @@
 
 namespace quota_gateway::net {
 
-// References only: GatewayServer owns the clock and the timers, its caller owns the io_context.
+// Holds references only. GatewayServer owns the clock and the timers, and its caller owns the
+// io_context.
 struct EventLoop {
   boost::asio::io_context& io;
   const Clock& clock;
--- a/src/net/event_loop/exception_guard.hpp
+++ b/src/net/event_loop/exception_guard.hpp
@@ -1,4 +1,4 @@
-// Keeps an exception of one callback from skipping those that follow it.
+// Prevents an exception of one callback from skipping the callbacks that follow it.
 #pragma once
 
 #include <exception>
@@ -6,12 +6,12 @@
 
 namespace quota_gateway::net {
 
-// Calls `step`. A std::exception that leaves it is logged as "CONTEXT: MESSAGE" and goes no
-// further. A template, since a std::function would allocate memory for each action of each batch.
-template <typename Step>
-void run_and_log_exceptions(const char* context, const Step& step) {
+// Calls `callback`. Catches a std::exception that it throws and logs it as "CONTEXT: MESSAGE". This
+// is a template because a std::function would allocate memory for each action of each batch.
+template <typename Callback>
+void run_and_log_exceptions(const char* context, const Callback& callback) {
   try {
-    step();
+    callback();
   } catch (const std::exception& e) {
     std::cerr << context << ": " << e.what() << '\n';
   }
--- a/src/net/event_loop/log_rate_limit.hpp
+++ b/src/net/event_loop/log_rate_limit.hpp
@@ -1,4 +1,4 @@
-// How often a fault that goes on is logged. Owned by the log that asks it.
+// Limits how often a persisting fault is logged. Owned by the module that writes the log lines.
 #pragma once
 
 #include <optional>
@@ -7,13 +7,14 @@
 
 namespace quota_gateway::net {
 
+// Allows one log line, and then none until more than kMinInterval has passed.
 class LogRateLimit {
  public:
-  static constexpr Micros kMinInterval = 10'000'000;  // us between two lines
+  static constexpr Micros kMinInterval = 10'000'000;  // us
 
-  // Whether a line may be logged now. If so, it counts as logged.
+  // Returns whether a line may be logged now. If so, the line counts as logged.
   bool try_log(Micros now);
-  // A line was logged without asking.
+  // Records that a line was logged without a call of try_log().
   void on_logged(Micros now) { last_logged_at_ = now; }
 
  private:
--- a/src/net/event_loop/timers.cpp
+++ b/src/net/event_loop/timers.cpp
@@ -39,7 +39,7 @@
   wakeup_at_ = earliest;
   wakeup_.expires_after(std::chrono::microseconds(std::max<Micros>(0, earliest - clock_.now())));
   wakeup_.async_wait([this](const boost::system::error_code& error) {
-    // An error: an earlier wake-up has replaced this one.
+    // On an error, an earlier wake-up has replaced this one or the timers are being destroyed.
     if (!error) {
       run_due();
     }
--- a/src/net/event_loop/timers.hpp
+++ b/src/net/event_loop/timers.hpp
@@ -1,5 +1,5 @@
-// All timers of one gateway process, on one timer of the event loop. GatewayServer owns them; every
-// module of src/net sets its own.
+// All timers of one gateway process, multiplexed on one timer of the event loop. Owned by
+// GatewayServer; every module of src/net sets timers here.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,18 +14,21 @@
 
 namespace quota_gateway::net {
 
-// Each callback runs once, from the event loop, at its own time: rounded up to a grid of 10 ms,
-// which would spare wake-ups, requests left the hold queue late and an overloaded day lost 0.013 of
-// its score. There is no cancelling; a callback checks whether what it is for still matters.
+// Each callback runs once, from the event loop. Times are not rounded: rounding them up to a
+// multiple of 10 ms would save wake-ups, but requests then left the hold queue late, which lowered
+// the score of an overloaded day by 0.013. Timers can't be cancelled; a callback must check whether
+// it is still needed.
 class Timers {
  public:
-  // `clock` must outlive the timers, and they their last callback.
+  // `clock` must outlive the timers, and the timers must outlive their last callback.
   Timers(boost::asio::io_context& io, const Clock& clock);
 
-  // Calls `callback` at the time `when` of the clock or, if that has passed, in the next turn of
-  // the loop; in order of their times, and equal times in the order in which they were set. May be
-  // called from within a callback. An exception of a callback is logged and stops no other one.
+  // Calls `callback` when the clock reaches `when`, or in the next iteration of the event loop if
+  // that time has passed. Callbacks run in the order of their times; callbacks with equal times run
+  // in the order in which they were set. May be called from within a callback. An exception of a
+  // callback is logged and doesn't affect other callbacks.
   void at(Micros when, std::function<void()> callback);
+  // Calls `callback` once `delay` has passed, see at().
   void after(Micros delay, std::function<void()> callback);
 
  private:
@@ -41,9 +44,9 @@
 
   const Clock& clock_;
   boost::asio::steady_timer wakeup_;
-  std::vector<Entry> heap_;  // the earliest in front
+  std::vector<Entry> heap_;  // the earliest entry is in front
   std::uint64_t last_sequence_number_ = 0;
-  std::optional<Micros> wakeup_at_;  // none: no wake-up is pending
+  std::optional<Micros> wakeup_at_;  // nullopt if no wake-up is pending
 };
 
 }  // namespace quota_gateway::net
--- a/src/net/http/framing.cpp
+++ b/src/net/http/framing.cpp
@@ -18,13 +18,13 @@
   const bool only_digits =
       length.find_first_not_of("0123456789") == boost::beast::string_view::npos;
   if (length.empty() || !only_digits) {
-    throw HttpError("bad length");
+    throw HttpError("Content-Length is not a decimal number");
   }
 }
 
 void check_transfer_encoding(boost::beast::string_view encoding, HttpVersion version) {
   if (version != HttpVersion::kHttp11 || !boost::beast::iequals(encoding, "chunked")) {
-    throw HttpError("unknown encoding");
+    throw HttpError("unsupported Transfer-Encoding");
   }
 }
 
@@ -49,7 +49,7 @@
   const auto lengths = head.count(http::field::content_length);
   const auto encodings = head.count(http::field::transfer_encoding);
   if (lengths > 1 || encodings > 1 || (lengths > 0 && encodings > 0)) {
-    throw HttpError("more than one length");
+    throw HttpError("more than one Content-Length or Transfer-Encoding header");
   }
   if (lengths > 0) {
     check_content_length(head[http::field::content_length]);
--- a/src/net/http/framing.hpp
+++ b/src/net/http/framing.hpp
@@ -1,6 +1,6 @@
-// HTTP/1.1 message framing shared by the client side, the upstream side and the admin server: the
-// limits of a body, the checks on a head before its length is believed, and chunked encoding.
-// Everything here is stateless.
+// HTTP/1.1 message framing shared by the client side, the upstream side and the admin server: body
+// size limits, the check of a head's body length, and chunked encoding. Everything here is
+// stateless.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -17,40 +17,41 @@
 
 namespace quota_gateway::net {
 
-// A message that violates HTTP or this gateway's rules for requests. what() is the reason in plain
-// text, which is safe to send to the peer.
+// Thrown for a message that violates HTTP or the gateway's rules for requests. what() is the reason
+// in plain text, which is safe to send to the peer.
 class HttpError : public std::runtime_error {
  public:
   explicit HttpError(const std::string& reason,
                      boost::beast::http::status status = boost::beast::http::status::bad_request)
       : std::runtime_error(reason), status_(status) {}
 
-  // The status that rejects the message, where its sender is a client.
+  // The status of the response that rejects the message, if its sender is a client.
   boost::beast::http::status status() const { return status_; }
 
  private:
   boost::beast::http::status status_;
 };
 
-// Bodies up to this size are buffered completely. A longer one is streamed in pieces, and a request
-// with such a body can be attempted only once.
+// Bodies up to this size are buffered completely. A longer body is streamed in pieces, and a
+// request with such a body can be attempted only once.
 inline constexpr std::size_t kMaxBufferedBodyBytes = std::size_t{64} << 10;
 
-// Somewhat more than the largest body that clients and servers have. A message that announces a
-// longer one is rejected.
+// A message with a longer body is rejected. The limit is slightly above the largest body that
+// clients and servers send.
 inline constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{48} << 20;
 
-// The versions that the gateway understands.
+// The HTTP versions that the gateway distinguishes.
 enum class HttpVersion : std::uint8_t { kHttp10, kHttp11 };
 
-// Of a message's version as Beast numbers it, such as 11 for HTTP/1.1. Anything else counts as 1.0.
+// Converts a version number of Beast, such as 11 for HTTP/1.1. Every other version counts as 1.0.
 HttpVersion http_version(unsigned beast_version);
 
-// Ends a chunked body.
+// The last chunk, which ends a chunked body.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// A Beast body type that holds only what was parsed since the value was last taken out. Without
-// this, Beast's string_body would reserve the announced length at once, up to 32 MB per message.
+// A Beast body type that holds only the bytes parsed since its value was last taken out. Beast's
+// string_body is not used because it reserves the announced length immediately, up to 32 MB per
+// message.
 struct IncrementalBody {
   using value_type = std::string;
 
@@ -83,13 +84,13 @@
   };
 };
 
-// `piece` as one chunk of a chunked body. `piece` must not be empty: an empty chunk ends the body,
-// see kLastChunk.
+// Encodes `piece` as one chunk of a chunked body. `piece` must not be empty, because an empty chunk
+// ends the body (see kLastChunk).
 std::string encode_chunk(std::string_view piece);
 
-// Checks that the head announces its body's length in exactly one way that every HTTP reader
-// understands alike. Without this, two readers could disagree where the message ends, and its body
-// could smuggle in another message. Throws HttpError.
+// Checks that the head doesn't announce the length of its body in more than one way or in a way
+// that HTTP implementations interpret differently. If two implementations disagreed about where a
+// message ends, its body could smuggle in another message (request smuggling). Throws HttpError.
 void check_framing(const boost::beast::http::fields& head, HttpVersion version);
 
 }  // namespace quota_gateway::net
--- a/tests/net/client/client_session_fixture.hpp
+++ b/tests/net/client/client_session_fixture.hpp
@@ -1,5 +1,5 @@
-// What a client session needs around it: an event loop, an owner, and a client at the other end of
-// a connection over the loopback interface.
+// Fixture for tests of client sessions: an event loop, a session owner, and a client that is
+// connected over the loopback interface.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -13,15 +13,15 @@
 
 namespace quota_gateway::net::testing {
 
-// Both ends of one connection.
+// The sockets of both ends of one connection.
 struct ConnectedSockets {
   explicit ConnectedSockets(boost::asio::io_context& io);
 
-  boost::asio::ip::tcp::socket gateway;  // doesn't block
-  boost::asio::ip::tcp::socket client;   // blocks
+  boost::asio::ip::tcp::socket gateway;  // non-blocking
+  boost::asio::ip::tcp::socket client;   // blocking
 };
 
-// Records what sessions report.
+// Records which sessions report that they have closed.
 class FakeSessionOwner final : public ClientSessionOwner {
  public:
   void on_session_closed(ClientId client) override { closed_.push_back(client); }
@@ -34,9 +34,11 @@
   std::vector<ClientId> closed_;
 };
 
+// Base class for tests that run client sessions on an event loop.
 class ClientSessionTest : public ::testing::Test {
  protected:
-  // Runs the event loop until `done`. False after a time that no healthy run comes near.
+  // Runs the event loop until `done` returns true. Returns false after a timeout that is far above
+  // the duration of a successful run.
   bool run_until(const std::function<bool()>& done);
 
   boost::asio::io_context io;
--- a/tests/net/client/client_session_test.cpp
+++ b/tests/net/client/client_session_test.cpp
@@ -1,4 +1,4 @@
-// What a session reports of its client, and how its connection ends.
+// ClientSession: the events that a session reports, and how its connection ends.
 #include "net/client/client_session.hpp"
 
 #include <gtest/gtest.h>
@@ -21,8 +21,8 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr std::uint64_t kRequest = 7;
-constexpr ClientId kClient = 1;
+constexpr std::uint64_t kRequestId = 7;
+constexpr ClientId kClientId = 1;
 const std::string kValidRequest =
     "POST /write/0000000000000001 HTTP/1.1\r\nHost: origin.svc\r\nX-Trace-Id: t1\r\n"
     "Plan: team\r\nX-Expires-In: 480m\r\nQuota-Info: units=1,spread=1,first=0\r\n"
@@ -37,13 +37,13 @@
     settings.plans.emplace_back().name = "team";
     context.callbacks.on_request = [this](ClientId, const ClientRequest& request) {
       bodies.push_back(request.forwarded.body);
-      return answer_to_request;
+      return result_of_on_request;
     };
     context.callbacks.on_client_disconnected = [this](std::uint64_t request) {
       disconnected.push_back(request);
     };
     context.callbacks.on_piece_sent = [this](std::uint64_t request) { sent.push_back(request); };
-    session = std::make_shared<ClientSession>(context, kClient, std::move(sockets.gateway));
+    session = std::make_shared<ClientSession>(context, kClientId, std::move(sockets.gateway));
     session->read();
   }
 
@@ -51,18 +51,18 @@
     boost::asio::write(sockets.client, boost::asio::buffer(bytes));
   }
 
-  // The client sends a valid request, which the session delivers.
-  void request() {
+  // Sends a valid request and waits until the session has delivered it.
+  void send_request() {
     send(kValidRequest);
     ASSERT_TRUE(run_until([&] { return !bodies.empty(); }));
   }
 
-  // All that the client receives until the end, or as much as is named.
+  // Returns the bytes that the client receives: `size` bytes, or all until the connection ends.
   std::string receive(std::optional<std::size_t> size = std::nullopt) {
     std::string received;
     bool done = false;
     const auto on_read = [&](error_code ec, std::size_t) {
-      end = ec;
+      receive_error = ec;
       done = true;
     };
     auto buffer = boost::asio::dynamic_buffer(received);
@@ -78,18 +78,18 @@
 
   ConnectedSockets sockets{io};
   std::shared_ptr<ClientSession> session;
-  std::optional<std::uint64_t> answer_to_request = kRequest;
-  std::vector<std::string> bodies;          // of the requests that were delivered
-  std::vector<std::uint64_t> disconnected;  // requests
-  std::vector<std::uint64_t> sent;          // requests of which a piece of the response was sent
-  error_code end;                           // how receive() ended
+  std::optional<std::uint64_t> result_of_on_request = kRequestId;
+  std::vector<std::string> bodies;          // of the delivered requests
+  std::vector<std::uint64_t> disconnected;  // ids of the requests whose clients disconnected
+  std::vector<std::uint64_t> sent;          // the request id for each response piece that was sent
+  error_code receive_error;                 // the error code of the last receive()
 };
 
-TEST_F(ConnectedClientSessionTest, AnswersOneRequestAfterAnother) {
+TEST_F(ConnectedClientSessionTest, AnswersConsecutiveRequestsOnOneConnection) {
   const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n";
   for (int i = 0; i < 2; ++i) {
     bodies.clear();
-    request();
+    send_request();
     session->respond({200, std::nullopt, "ok\n"});
     EXPECT_EQ(receive(response.size()), response);
   }
@@ -97,64 +97,65 @@
 }
 
 TEST_F(ConnectedClientSessionTest, ReportsADisconnectWhileTheResponseIsAwaited) {
-  request();
+  send_request();
   sockets.client.close();
   ASSERT_TRUE(run_until([&] { return !owner.closed().empty(); }));
-  EXPECT_EQ(disconnected, std::vector<std::uint64_t>{kRequest});
+  EXPECT_EQ(disconnected, std::vector<std::uint64_t>{kRequestId});
 }
 
-TEST_F(ConnectedClientSessionTest, ReportsADisconnectAmidAStreamedResponse) {
-  request();
+TEST_F(ConnectedClientSessionTest, ReportsADisconnectDuringAStreamedResponse) {
+  send_request();
   session->begin_response(100, "hello");
   ASSERT_TRUE(run_until([&] { return !sent.empty(); }));
   sockets.client.close();
   ASSERT_TRUE(run_until([&] { return !owner.closed().empty(); }));
-  EXPECT_EQ(disconnected, std::vector<std::uint64_t>{kRequest});
+  EXPECT_EQ(disconnected, std::vector<std::uint64_t>{kRequestId});
 }
 
 TEST_F(ConnectedClientSessionTest, ReportsNoDisconnectAfterTheResponse) {
-  request();
+  send_request();
   session->begin_response(5, "hello");
   ASSERT_TRUE(run_until([&] { return !sent.empty(); }));
   session->finish_response();
-  ASSERT_TRUE(run_until([&] { return session->rests_between_requests(); }));
+  ASSERT_TRUE(run_until([&] { return session->is_idle_between_requests(); }));
   sockets.client.close();
   ASSERT_TRUE(run_until([&] { return !owner.closed().empty(); }));
   EXPECT_TRUE(disconnected.empty());
 }
 
-TEST_F(ConnectedClientSessionTest, AnAbortedResponseResetsTheConnectionAndIsNotReported) {
-  request();
+TEST_F(ConnectedClientSessionTest,
+       AbortingAResponseResetsTheConnectionWithoutReportingADisconnect) {
+  send_request();
   session->begin_response(std::nullopt, "hello");
   ASSERT_TRUE(run_until([&] { return !sent.empty(); }));
   session->abort_response();
   receive();
-  EXPECT_EQ(end, boost::asio::error::connection_reset);
+  EXPECT_EQ(receive_error, boost::asio::error::connection_reset);
   EXPECT_TRUE(disconnected.empty());
-  EXPECT_EQ(owner.closed(), std::vector<ClientId>{kClient});
+  EXPECT_EQ(owner.closed(), std::vector<ClientId>{kClientId});
 }
 
-TEST_F(ConnectedClientSessionTest, RejectsARequestOfAnIdThatIsOpen) {
-  answer_to_request = std::nullopt;
-  request();
+TEST_F(ConnectedClientSessionTest, RejectsARequestWithATraceIdThatIsInProgress) {
+  result_of_on_request = std::nullopt;
+  send_request();
   EXPECT_EQ(receive(),
-            "HTTP/1.1 409 Conflict\r\nContent-Length: 29\r\nConnection: close\r\n\r\n"
-            "a request of that id is open\n");
-  EXPECT_EQ(end, boost::asio::error::eof);
+            "HTTP/1.1 409 Conflict\r\nContent-Length: 46\r\nConnection: close\r\n\r\n"
+            "a request with this X-Trace-Id is in progress\n");
+  EXPECT_EQ(receive_error, boost::asio::error::eof);
   EXPECT_TRUE(disconnected.empty());
 }
 
-TEST_F(ConnectedClientSessionTest, ARejectedClientThatSendsOnStillReceivesItsResponse) {
+TEST_F(ConnectedClientSessionTest, ARejectedClientThatContinuesToSendReceivesItsResponse) {
   send("GET /nothing HTTP/1.1\r\n\r\n" + std::string(100'000, 'x'));
   EXPECT_EQ(receive().substr(0, 24), "HTTP/1.1 400 Bad Request");
-  EXPECT_EQ(end, boost::asio::error::eof);
-  EXPECT_TRUE(owner.closed().empty());  // the client has not closed its side
+  EXPECT_EQ(receive_error, boost::asio::error::eof);
+  EXPECT_TRUE(owner.closed().empty());  // because the client has not closed its side
   sockets.client.close();
   EXPECT_TRUE(run_until([&] { return !owner.closed().empty(); }));
 }
 
-TEST_F(ConnectedClientSessionTest, ClosesWithTheResponseWhileDraining) {
-  request();
+TEST_F(ConnectedClientSessionTest, ClosesTheConnectionWithTheResponseWhileDraining) {
+  send_request();
   context.draining = true;
   session->respond({200, std::nullopt, "ok\n"});
   EXPECT_EQ(receive(), "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nConnection: close\r\n\r\nok\n");
--- a/tests/net/client/health_check_test.cpp
+++ b/tests/net/client/health_check_test.cpp
@@ -1,4 +1,4 @@
-// What load balancers are told.
+// The health check response in each state of the gateway.
 #include "net/client/health_check.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/net/client/lingering_close_test.cpp
+++ b/tests/net/client/lingering_close_test.cpp
@@ -1,4 +1,4 @@
-// A connection after its last response.
+// The lingering close of a connection after its last response.
 #include "net/client/lingering_close.hpp"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
       std::make_shared<FakeLingeringConnection>(std::move(sockets.gateway));
 };
 
-TEST_F(LingeringCloseTest, TheClientSeesTheEndAndMaySendOn) {
+TEST_F(LingeringCloseTest, TheClientSeesTheEndOfStreamAndMayContinueToSend) {
   send_end_of_stream(connection->socket());
   std::array<char, 1> byte{};
   error_code ec;
@@ -61,8 +61,10 @@
   EXPECT_TRUE(run_until([&] { return connection->client_finished(); }));
 }
 
-// Many times what the kernel buffers, and more than one interval's share.
-TEST_F(LingeringCloseTest, AClientThatSendsMuchBeforeItReadsIsNotStuck) {
+// The input exceeds the kernel's buffers many times, and the amount that is discarded in one
+// interval. If it were not discarded, the client could neither finish sending nor read its
+// response.
+TEST_F(LingeringCloseTest, AClientThatSendsMuchBeforeItReadsIsNotBlocked) {
   const std::string input(std::size_t{24} << 20, 'x');
   bool sent = false;
   boost::asio::async_write(sockets.client, boost::asio::buffer(input),
@@ -72,14 +74,14 @@
   EXPECT_FALSE(connection->client_finished());
 }
 
-TEST_F(LingeringCloseTest, AResetIsAnEnd) {
+TEST_F(LingeringCloseTest, AResetCountsAsFinished) {
   discard_input_until_closed(connection, context);
   sockets.client.set_option(boost::asio::socket_base::linger(true, 0));
   sockets.client.close();
   EXPECT_TRUE(run_until([&] { return connection->client_finished(); }));
 }
 
-TEST_F(LingeringCloseTest, AConnectionThatIsClosedHereIsReleasedWithoutACall) {
+TEST_F(LingeringCloseTest, AConnectionClosedByTheGatewayIsReleasedWithoutACallback) {
   discard_input_until_closed(connection, context);
   EXPECT_GT(connection.use_count(), 1);
   connection->socket().close();
--- a/tests/net/client/request_reader_test.cpp
+++ b/tests/net/client/request_reader_test.cpp
@@ -1,4 +1,4 @@
-// From a connection's bytes to requests.
+// RequestReader: parsing the bytes of a connection into requests.
 #include "net/client/request_reader.hpp"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
 
 class RequestReaderTest : public ::testing::Test {
  protected:
-  // Parses `input` until a message is ready or more input is needed.
+  // Passes `input` to the reader and parses until a message is ready or more input is needed.
   RequestReader::Progress feed(const std::string& input) {
     reader.append_input(input.data(), input.size());
     if (!reader.is_message_open()) {
@@ -59,10 +59,10 @@
   EXPECT_TRUE(request.forwarded.body_complete);
   EXPECT_EQ(request.forwarded.content_length, 5U);
   EXPECT_FALSE(reader.is_body_incomplete());
-  EXPECT_EQ(reader.buffered_bytes(), 5U);  // the next message
+  EXPECT_EQ(reader.buffered_bytes(), 5U);  // "+next" belongs to the next message
 }
 
-TEST_F(RequestReaderTest, ALongBodyIsTakenInPieces) {
+TEST_F(RequestReaderTest, ALongBodyIsDeliveredInPieces) {
   const std::string beginning(kMaxBufferedBodyBytes + 1, 'x');
   feed(request_head(beginning.size() + 4));
   EXPECT_EQ(feed(beginning), RequestReader::Progress::kMessageReady);
@@ -84,7 +84,7 @@
   EXPECT_FALSE(reader.is_message_open());
 }
 
-TEST_F(RequestReaderTest, AHeadBeyondTheLimitIsRejected) {
+TEST_F(RequestReaderTest, AHeadAboveTheSizeLimitIsRejected) {
   try {
     feed("GET /" + std::string(std::size_t{9} << 10, 'x'));
     FAIL();
--- a/tests/net/client/request_validator_test.cpp
+++ b/tests/net/client/request_validator_test.cpp
@@ -1,4 +1,4 @@
-// What a client's request must be.
+// The validation of the head of a client's request.
 #include "net/client/request_validator.hpp"
 
 #include <gtest/gtest.h>
@@ -48,7 +48,8 @@
   return request;
 }
 
-// The reason for which a request is rejected; empty if it isn't.
+// Returns the status and the reason with which a request is rejected, or an empty string if the
+// request is valid.
 std::string rejection(const Request& request) {
   try {
     validate_request(request, test_settings());
@@ -58,6 +59,7 @@
   }
 }
 
+// Returns the rejection of read_request() with `header` set to `value`.
 std::string rejection_with(const char* header, const std::string& value) {
   Request request = read_request();
   request.set(header, value);
@@ -103,36 +105,39 @@
   EXPECT_EQ(rejection_with("Quota-Info", "units=1,spread=1,first=0.5"), "400 bad first");
 }
 
-TEST(RequestValidator, ThePathNamesAClassAndACustomer) {
+TEST(RequestValidator, ThePathMustNameAClassAndACustomer) {
   Request request = read_request();
   for (const char* target : {"read", "/read", "/read/a b/0000000000000001"}) {
     request.target(target);
-    EXPECT_EQ(rejection(request), "400 bad path") << target;
+    EXPECT_EQ(rejection(request),
+              "400 bad path, expected /CLASS/.../CUSTOMER in visible ASCII characters")
+        << target;
   }
   for (const char* target : {"/read/1", "/read/0000000200000000", "/read/000000000000000g"}) {
     request.target(target);
-    EXPECT_EQ(rejection(request), "400 no customer in the path") << target;
+    EXPECT_EQ(rejection(request), "400 the path must end in a valid customer id") << target;
   }
   request.target("/other/0000000000000001");
   EXPECT_EQ(rejection(request), "400 no such class");
 }
 
-TEST(RequestValidator, TheClassDecidesTheMethodAndTheBody) {
+TEST(RequestValidator, TheClassDeterminesTheMethodAndWhetherABodyIsAllowed) {
   EXPECT_EQ(rejection(keyed_request()), "");
 
   Request request = keyed_request();
   request.method(http::verb::get);
-  EXPECT_EQ(rejection(request), "400 the method does not fit the class");
+  EXPECT_EQ(rejection(request), "400 the method is not allowed for this request class");
 
   request = keyed_request();
   request.erase("Content-Length");
-  EXPECT_EQ(rejection(request), "411 no length");
+  EXPECT_EQ(rejection(request), "411 Content-Length or Transfer-Encoding is required");
 
   EXPECT_EQ(rejection_with("Content-Length", "00"), "");
-  EXPECT_EQ(rejection_with("Content-Length", "1"), "400 a body where none belongs");
+  EXPECT_EQ(rejection_with("Content-Length", "1"),
+            "400 a request of this class must not have a body");
 }
 
-TEST(RequestValidator, ARequiredHeaderIsGivenOnce) {
+TEST(RequestValidator, ARequiredHeaderMustBeGivenExactlyOnce) {
   for (const char* header : {"X-Trace-Id", "Host", "X-Expires-In", "Plan", "Quota-Info"}) {
     Request request = read_request();
     request.insert(header, "x");
@@ -145,7 +150,7 @@
   EXPECT_EQ(rejection(request), "400 no Idempotency-Key");
 }
 
-TEST(RequestValidator, ForwardedValuesHaveNoBlanksAndABoundedLength) {
+TEST(RequestValidator, ForwardedValuesMustNotHaveSpacesOrExceedTheMaximumLength) {
   EXPECT_EQ(rejection_with("X-Trace-Id", std::string(128, 'x')), "");
   EXPECT_EQ(rejection_with("X-Trace-Id", std::string(129, 'x')), "400 bad X-Trace-Id");
   EXPECT_EQ(rejection_with("Host", "a b"), "400 bad Host");
--- a/tests/net/client/response_encoder_test.cpp
+++ b/tests/net/client/response_encoder_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of responses to clients.
+// The encoding of responses to clients.
 #include "net/client/response_encoder.hpp"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
             "Connection: close\r\n\r\n");
 }
 
-TEST(ResponseEncoder, ABodyOfUnknownLengthIsChunkedUnlessTheClientIsOfHttp10) {
+TEST(ResponseEncoder, ABodyOfUnknownLengthIsChunkedUnlessTheClientUsesHttp10) {
   EXPECT_EQ(choose_body_delimiter(5, HttpVersion::kHttp11), BodyDelimiter::kContentLength);
   EXPECT_EQ(choose_body_delimiter(5, HttpVersion::kHttp10), BodyDelimiter::kContentLength);
   EXPECT_EQ(choose_body_delimiter(std::nullopt, HttpVersion::kHttp11), BodyDelimiter::kChunked);
@@ -27,7 +27,7 @@
             BodyDelimiter::kConnectionClose);
 }
 
-TEST(ResponseEncoder, AStreamedHeadSaysHowItsBodyEnds) {
+TEST(ResponseEncoder, AStreamedHeadAnnouncesHowItsBodyIsDelimited) {
   EXPECT_EQ(encode_streamed_head(70'000, BodyDelimiter::kContentLength, ConnectionUse::kKeepAlive),
             "HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n");
   EXPECT_EQ(encode_streamed_head(std::nullopt, BodyDelimiter::kChunked, ConnectionUse::kKeepAlive),
--- a/tests/net/client/response_output_test.cpp
+++ b/tests/net/client/response_output_test.cpp
@@ -1,4 +1,4 @@
-// The bytes of a response, complete or streamed.
+// ResponseOutput: the bytes of complete and streamed responses.
 #include "net/client/response_output.hpp"
 
 #include <gtest/gtest.h>
@@ -29,14 +29,14 @@
   EXPECT_FALSE(output.is_streaming());
 }
 
-// As a chunk, an empty piece would end the body.
-TEST(ResponseOutput, AnEmptyFirstPieceIsNoChunk) {
+// An empty chunk would end the body, so an empty first piece must not be encoded as a chunk.
+TEST(ResponseOutput, AnEmptyFirstPieceIsNotEncodedAsAChunk) {
   ResponseOutput output;
   output.begin_stream(std::nullopt, BodyDelimiter::kChunked, ConnectionUse::kKeepAlive, "");
   EXPECT_EQ(output.bytes(), "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
 }
 
-TEST(ResponseOutput, ABodyOfKnownLengthPassesUnchangedAndNeedsNoEnd) {
+TEST(ResponseOutput, ABodyOfKnownLengthIsNotEncodedAndHasNoEndMarker) {
   ResponseOutput output;
   output.begin_stream(8, BodyDelimiter::kContentLength, ConnectionUse::kKeepAlive, "hello");
   EXPECT_EQ(output.bytes(), "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nhello");
@@ -53,7 +53,7 @@
   EXPECT_FALSE(output.is_streaming());
 }
 
-TEST(ResponseOutput, OnlyALargeBufferIsEmptied) {
+TEST(ResponseOutput, OnlyABufferAboveTheLimitIsCleared) {
   ResponseOutput output;
   output.set_response({200, std::nullopt, std::string(5'000, 'x')}, ConnectionUse::kKeepAlive);
   output.release_memory(10'000);
--- a/tests/net/client/session_activity_test.cpp
+++ b/tests/net/client/session_activity_test.cpp
@@ -1,4 +1,4 @@
-// The time limits of a client session, and how readily it is given up.
+// SessionActivity: the time limits of a client session and its eviction rank.
 #include "net/client/session_activity.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,8 @@
 namespace quota_gateway::net {
 namespace {
 
-constexpr Micros kConnected = 1'000'000;
+// All times are in microseconds.
+constexpr Micros kConnectedAt = 1'000'000;
 constexpr Micros kHeadTimeout = 2'600'000;
 constexpr Micros kBodyTimeout = 2'000'000;
 constexpr Micros kIdleTimeout = 4'000'000;
@@ -14,9 +15,9 @@
 constexpr Micros kLingerTimeout = 1'000'000;
 constexpr Micros kMaxLingerTime = 5'000'000;
 
-// A session that has had a request and entered `state` at `since`.
+// Returns the activity of a session that has had a request and entered `state` at `since`.
 SessionActivity activity_in(SessionState state, Micros since) {
-  SessionActivity activity(kConnected);
+  SessionActivity activity(kConnectedAt);
   activity.on_bytes_received();
   activity.on_input(since);
   activity.on_request_received();
@@ -24,32 +25,32 @@
   return activity;
 }
 
-TEST(SessionActivity, AClientThatNeverSendsIsClosedOnceItsFirstHeadIsOverdue) {
-  const SessionActivity activity(kConnected);
-  EXPECT_EQ(activity.timeout_action(kConnected + kHeadTimeout, RequestPart::kHead),
+TEST(SessionActivity, AClientThatNeverSendsIsClosedAfterTheHeadTimeout) {
+  const SessionActivity activity(kConnectedAt);
+  EXPECT_EQ(activity.timeout_action(kConnectedAt + kHeadTimeout, RequestPart::kHead),
             TimeoutAction::kNone);
-  EXPECT_EQ(activity.timeout_action(kConnected + kHeadTimeout + 1, RequestPart::kHead),
+  EXPECT_EQ(activity.timeout_action(kConnectedAt + kHeadTimeout + 1, RequestPart::kHead),
             TimeoutAction::kCloseUnlessInputArrived);
 }
 
-TEST(SessionActivity, AClientMayRestLongerBetweenRequests) {
+TEST(SessionActivity, AClientIsClosedAfterTheIdleTimeoutBetweenRequests) {
   const SessionActivity activity = activity_in(SessionState::kIdle, 9'000'000);
-  EXPECT_TRUE(activity.rests_between_requests());
+  EXPECT_TRUE(activity.is_idle_between_requests());
   EXPECT_EQ(activity.timeout_action(9'000'000 + kIdleTimeout, RequestPart::kHead),
             TimeoutAction::kNone);
   EXPECT_EQ(activity.timeout_action(9'000'000 + kIdleTimeout + 1, RequestPart::kHead),
             TimeoutAction::kCloseUnlessInputArrived);
 }
 
-TEST(SessionActivity, TheFirstHeadIsDueFromConnectingOn) {
-  SessionActivity activity(kConnected);
-  activity.enter(SessionState::kReading, kConnected + kHeadTimeout);
-  activity.on_input(kConnected + kHeadTimeout);
-  EXPECT_EQ(activity.timeout_action(kConnected + kHeadTimeout + 1, RequestPart::kHead),
+TEST(SessionActivity, TheTimeoutOfTheFirstHeadStartsWithTheConnection) {
+  SessionActivity activity(kConnectedAt);
+  activity.enter(SessionState::kReading, kConnectedAt + kHeadTimeout);
+  activity.on_input(kConnectedAt + kHeadTimeout);
+  EXPECT_EQ(activity.timeout_action(kConnectedAt + kHeadTimeout + 1, RequestPart::kHead),
             TimeoutAction::kRejectRequest);
 }
 
-TEST(SessionActivity, ALaterHeadIsDueFromItsFirstByteOnHoweverManyFollow) {
+TEST(SessionActivity, TheTimeoutOfALaterHeadStartsWithItsFirstByteAndIsNotExtended) {
   SessionActivity activity = activity_in(SessionState::kReading, 9'000'000);
   activity.on_input(9'000'000 + kHeadTimeout);
   EXPECT_EQ(activity.timeout_action(9'000'000 + kHeadTimeout, RequestPart::kHead),
@@ -58,7 +59,7 @@
             TimeoutAction::kRejectRequest);
 }
 
-TEST(SessionActivity, ABodyMayTakeAnyTimeWhileBytesArrive) {
+TEST(SessionActivity, TheBodyTimeoutRestartsWithEachInput) {
   SessionActivity activity = activity_in(SessionState::kReading, 9'000'000);
   activity.on_input(60'000'000);
   EXPECT_EQ(activity.timeout_action(60'000'000 + kBodyTimeout, RequestPart::kBody),
@@ -67,7 +68,7 @@
             TimeoutAction::kRejectRequest);
 }
 
-TEST(SessionActivity, ARequestedBodyPieceIsDueFromItsRequestOrTheLastByteOn) {
+TEST(SessionActivity, TheTimeoutOfABodyPieceStartsWithItsRequestOrTheLastInput) {
   SessionActivity activity = activity_in(SessionState::kAwaitingResponse, 9'000'000);
   EXPECT_EQ(activity.timeout_action(60'000'000, RequestPart::kHead), TimeoutAction::kNone);
 
@@ -85,7 +86,7 @@
   EXPECT_EQ(activity.timeout_action(90'000'000, RequestPart::kHead), TimeoutAction::kNone);
 }
 
-TEST(SessionActivity, AClientMustAcceptEachPieceInTimeButNotWaitForTheNext) {
+TEST(SessionActivity, TheWriteTimeoutAppliesToEachPieceButNotWhileTheNextIsAwaited) {
   SessionActivity activity = activity_in(SessionState::kWriting, 9'000'000);
   activity.on_write_started();
   EXPECT_EQ(activity.timeout_action(9'000'000 + kWriteTimeout, RequestPart::kHead),
@@ -96,7 +97,7 @@
   EXPECT_EQ(activity.timeout_action(90'000'000, RequestPart::kHead), TimeoutAction::kNone);
 }
 
-TEST(SessionActivity, LingeringEndsAfterSilenceAndAfterABoundInAnyCase) {
+TEST(SessionActivity, ALingeringCloseEndsAfterSilenceOrItsMaximumDuration) {
   SessionActivity activity = activity_in(SessionState::kClosing, 9'000'000);
   EXPECT_EQ(activity.timeout_action(9'000'000 + kLingerTimeout, RequestPart::kHead),
             TimeoutAction::kNone);
@@ -110,22 +111,22 @@
             TimeoutAction::kClose);
 }
 
-TEST(SessionActivity, AFirstRequestMayComeForASecond) {
-  SessionActivity activity(kConnected);
-  EXPECT_TRUE(activity.may_send_first_request(kConnected + 999'999));
-  EXPECT_FALSE(activity.may_send_first_request(kConnected + 1'000'000));
+TEST(SessionActivity, AFirstRequestMayArriveUntilTheFirstByteTimeout) {
+  SessionActivity activity(kConnectedAt);
+  EXPECT_TRUE(activity.may_send_first_request(kConnectedAt + 999'999));
+  EXPECT_FALSE(activity.may_send_first_request(kConnectedAt + 1'000'000));
   activity.on_request_received();
-  EXPECT_FALSE(activity.may_send_first_request(kConnected));
+  EXPECT_FALSE(activity.may_send_first_request(kConnectedAt));
 }
 
-TEST(SessionActivity, SessionsAreEvictedInTheOrderOfWhatIsLost) {
-  EXPECT_LT(EvictionRank::kMidRequest, EvictionRank::kBetween);
-  EXPECT_LT(EvictionRank::kBetween, EvictionRank::kSilent);
+TEST(SessionActivity, SessionsWithLessToLoseHaveAHigherEvictionRank) {
+  EXPECT_LT(EvictionRank::kMidRequest, EvictionRank::kBetweenRequests);
+  EXPECT_LT(EvictionRank::kBetweenRequests, EvictionRank::kSilent);
   EXPECT_LT(EvictionRank::kSilent, EvictionRank::kAfterResponse);
 
-  EXPECT_EQ(SessionActivity(kConnected).eviction_rank(), EvictionRank::kSilent);
+  EXPECT_EQ(SessionActivity(kConnectedAt).eviction_rank(), EvictionRank::kSilent);
   EXPECT_EQ(activity_in(SessionState::kReading, 0).eviction_rank(), EvictionRank::kMidRequest);
-  EXPECT_EQ(activity_in(SessionState::kIdle, 0).eviction_rank(), EvictionRank::kBetween);
+  EXPECT_EQ(activity_in(SessionState::kIdle, 0).eviction_rank(), EvictionRank::kBetweenRequests);
   EXPECT_EQ(activity_in(SessionState::kClosing, 0).eviction_rank(), EvictionRank::kAfterResponse);
   EXPECT_EQ(activity_in(SessionState::kAwaitingResponse, 0).eviction_rank(), EvictionRank::kNever);
   EXPECT_EQ(activity_in(SessionState::kWriting, 0).eviction_rank(), EvictionRank::kNever);
--- a/tests/net/client/session_table_test.cpp
+++ b/tests/net/client/session_table_test.cpp
@@ -1,4 +1,4 @@
-// Which session is found, and which one is closed where there are too many.
+// SessionTable: finding sessions, and selecting the session to close if there are too many.
 #include "net/client/session_table.hpp"
 
 #include <gtest/gtest.h>
@@ -19,29 +19,29 @@
 
 class SessionTableTest : public ClientSessionTest {
  protected:
-  // Connects a client with the next id.
+  // Connects a client and adds its session under the next id.
   std::shared_ptr<ClientSession> add_session() {
     ConnectedSockets& sockets = connections.emplace_back(io);
     auto session =
         std::make_shared<ClientSession>(context, ++last_client, std::move(sockets.gateway));
     table.add(last_client, session);
     session->read();
-    await_next_instant();
+    wait_until_clock_advances();
     return session;
   }
 
-  // The client of that id has a request answered.
-  void ask(ClientId client) {
+  // Sends a request from the client with that id and waits until its session is idle again.
+  void complete_request(ClientId client) {
     tcp::socket& socket = connections.at(client - 1).client;
     boost::asio::write(socket,
                        boost::asio::buffer(std::string_view("GET /_health HTTP/1.1\r\n\r\n")));
     ASSERT_TRUE(run_until([&] { return socket.available() > 0; }));
-    ASSERT_TRUE(run_until([&] { return table.find(client)->rests_between_requests(); }));
-    await_next_instant();
+    ASSERT_TRUE(run_until([&] { return table.find(client)->is_idle_between_requests(); }));
+    wait_until_clock_advances();
   }
 
-  // What follows is later by the clock.
-  void await_next_instant() {
+  // Waits until the clock advances, so that later events have later times.
+  void wait_until_clock_advances() {
     const Micros now = clock.now();
     while (clock.now() == now) {
     }
@@ -67,7 +67,7 @@
   EXPECT_EQ(table.find_evictable(1), nullptr);
 }
 
-TEST_F(SessionTableTest, OfSilentSessionsTheOldestIsEvicted) {
+TEST_F(SessionTableTest, TheOldestSilentSessionIsEvicted) {
   const auto oldest = add_session();
   add_session();
   add_session();
@@ -78,7 +78,7 @@
   add_session();
   const auto silent = add_session();
   add_session();
-  ask(1);
+  complete_request(1);
   EXPECT_EQ(table.find_evictable(3), silent);
 }
 
@@ -88,27 +88,27 @@
   EXPECT_EQ(table.find_evictable(2), nullptr);
 }
 
-TEST_F(SessionTableTest, BeyondTheLimitTheSessionThatRestsLongestIsSurplus) {
+TEST_F(SessionTableTest, AboveTheLimitTheSessionThatHasBeenIdleLongestIsSurplus) {
   add_session();
-  const auto asks_first = add_session();
+  const auto idle_longest = add_session();
   add_session();
-  EXPECT_EQ(table.find_surplus_resting(0), nullptr);  // none has had a request
-  ask(2);
-  ask(1);
-  EXPECT_EQ(table.find_surplus_resting(2), nullptr);
-  EXPECT_EQ(table.find_surplus_resting(1), asks_first);
+  EXPECT_EQ(table.find_surplus_idle(0), nullptr);  // because no session has had a request
+  complete_request(2);
+  complete_request(1);
+  EXPECT_EQ(table.find_surplus_idle(2), nullptr);
+  EXPECT_EQ(table.find_surplus_idle(1), idle_longest);
 }
 
-TEST_F(SessionTableTest, ASessionHasWorkUntilItsFirstRequestIsAnswered) {
-  EXPECT_FALSE(table.has_work(clock.now()));
+TEST_F(SessionTableTest, ASessionHasUnfinishedWorkUntilItsFirstRequestIsAnswered) {
+  EXPECT_FALSE(table.has_unfinished_work(clock.now()));
   add_session();
-  EXPECT_TRUE(table.has_work(clock.now()));
-  EXPECT_FALSE(table.has_work(clock.now() + 1'000'000));  // a client that sends nothing
-  ask(1);
-  EXPECT_FALSE(table.has_work(clock.now()));
+  EXPECT_TRUE(table.has_unfinished_work(clock.now()));
+  EXPECT_FALSE(table.has_unfinished_work(clock.now() + 1'000'000));  // the client has sent nothing
+  complete_request(1);
+  EXPECT_FALSE(table.has_unfinished_work(clock.now()));
 }
 
-TEST_F(SessionTableTest, AClosedSessionIsReportedOnce) {
+TEST_F(SessionTableTest, ClosingASessionTwiceIsReportedOnce) {
   const auto session = add_session();
   session->close();
   session->close();
--- a/tests/net/client/socket_status_test.cpp
+++ b/tests/net/client/socket_status_test.cpp
@@ -1,4 +1,4 @@
-// What the kernel says of a socket that is not read.
+// Queries of the state of a socket that is not read.
 #include "net/client/socket_status.hpp"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
   ConnectedSockets sockets{io};
 };
 
-TEST_F(SocketStatusTest, UnreadInputIsSeen) {
+TEST_F(SocketStatusTest, UnreadInputIsDetected) {
   EXPECT_FALSE(has_unread_input(sockets.gateway));
   boost::asio::write(sockets.client, boost::asio::buffer(std::string_view("x")));
   EXPECT_TRUE(run_until([&] { return has_unread_input(sockets.gateway); }));
@@ -31,7 +31,7 @@
   EXPECT_FALSE(has_unread_input(sockets.gateway));
 }
 
-TEST_F(SocketStatusTest, ACloseIsSeenBehindUnreadInput) {
+TEST_F(SocketStatusTest, ACloseIsDetectedDespiteUnreadInput) {
   boost::asio::write(sockets.client, boost::asio::buffer(std::string_view("x")));
   EXPECT_FALSE(has_peer_closed(sockets.gateway));
   sockets.client.close();
@@ -39,13 +39,13 @@
   EXPECT_TRUE(has_unread_input(sockets.gateway));
 }
 
-TEST_F(SocketStatusTest, AResetIsAClose) {
+TEST_F(SocketStatusTest, AResetCountsAsAClose) {
   sockets.client.set_option(boost::asio::socket_base::linger(true, 0));
   sockets.client.close();
   EXPECT_TRUE(run_until([&] { return has_peer_closed(sockets.gateway); }));
 }
 
-TEST_F(SocketStatusTest, AConnectionWaitsUntilItIsAccepted) {
+TEST_F(SocketStatusTest, AConnectionIsPendingUntilItIsAccepted) {
   tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
   EXPECT_FALSE(has_pending_connection(acceptor));
   tcp::socket client(io);
--- a/tests/net/event_loop/backoff_test.cpp
+++ b/tests/net/event_loop/backoff_test.cpp
@@ -14,12 +14,12 @@
 
 constexpr Micros kSecond = 1'000'000;
 
-// Without the spread, a fleet that started at once would send its requests at once, again and
-// again.
-TEST(Backoff, DelaysGrowAndAreSpread) {
+// If the delays were not spread, the gateways of a fleet that started simultaneously would repeat
+// their requests simultaneously each time.
+TEST(Backoff, DelaysGrowAndAreSpreadOverTheirRange) {
   constexpr Micros kInitialLimit = 100'000;
   constexpr Micros kMaxLimit = 1'600'000;
-  // For each attempt, the tenths of its limit in which delays fell.
+  // For each attempt, the tenths of its limit that contain at least one delay.
   std::vector<std::set<Micros>> tenths_by_attempt(5);
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     Backoff backoff(kInitialLimit, kMaxLimit, seed);
@@ -40,7 +40,8 @@
   }
 }
 
-// The requests of `gateways` that are rejected each time, in each second of a minute.
+// Returns the number of requests in each second of a minute from `gateways` gateways, if each
+// request is rejected.
 std::vector<int> requests_by_second(int gateways) {
   std::vector<int> requests(60);
   for (int gateway = 0; gateway < gateways; ++gateway) {
@@ -52,17 +53,17 @@
   return requests;
 }
 
-TEST(Backoff, RequestsOfARejectedFleetBecomeRare) {
+TEST(Backoff, AFleetWithRejectedRequestsRepeatsThemRarely) {
   for (const int gateways : {2, 20, 100}) {
     const std::vector<int> by_second = requests_by_second(gateways);
-    int most_in_a_second = 0;
+    int max_in_a_second = 0;
     int after_ten_seconds = 0;
     for (std::size_t second = 10; second < by_second.size(); ++second) {
-      most_in_a_second = std::max(most_in_a_second, by_second[second]);
+      max_in_a_second = std::max(max_in_a_second, by_second[second]);
       after_ten_seconds += by_second[second];
     }
     EXPECT_LE(after_ten_seconds, gateways * 50 / 4) << gateways;
-    EXPECT_LE(most_in_a_second, 3 + gateways / 3) << gateways;
+    EXPECT_LE(max_in_a_second, 3 + gateways / 3) << gateways;
     EXPECT_GE(after_ten_seconds, gateways * 2) << gateways;
   }
 }
--- a/tests/net/event_loop/clock_test.cpp
+++ b/tests/net/event_loop/clock_test.cpp
@@ -13,7 +13,7 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
 }
 
-TEST(Clock, BeginsAtTheSystemTime) {
+TEST(Clock, StartsAtTheSystemTime) {
   const Micros before = system_time();
   const Micros now = Clock().now();
   EXPECT_GE(now, before);
--- a/tests/net/event_loop/log_rate_limit_test.cpp
+++ b/tests/net/event_loop/log_rate_limit_test.cpp
@@ -1,4 +1,4 @@
-// LogRateLimit: one line of a fault that goes on, then none for a while.
+// LogRateLimit: after a log line, no further line is allowed until the interval has passed.
 #include "net/event_loop/log_rate_limit.hpp"
 
 #include <gtest/gtest.h>
@@ -6,7 +6,7 @@
 namespace quota_gateway::net::testing {
 namespace {
 
-TEST(LogRateLimit, ALineIsAllowedOnceMoreThanTheIntervalHasPassed) {
+TEST(LogRateLimit, ALineIsAllowedAfterMoreThanTheInterval) {
   LogRateLimit limit;
   EXPECT_TRUE(limit.try_log(0));
   EXPECT_FALSE(limit.try_log(LogRateLimit::kMinInterval));
@@ -14,7 +14,7 @@
   EXPECT_FALSE(limit.try_log(LogRateLimit::kMinInterval + 2));
 }
 
-TEST(LogRateLimit, ALineThatWasLoggedWithoutAskingCounts) {
+TEST(LogRateLimit, ALineLoggedWithoutTryLogStartsTheInterval) {
   LogRateLimit limit;
   limit.on_logged(5);
   EXPECT_FALSE(limit.try_log(5 + LogRateLimit::kMinInterval));
--- a/tests/net/event_loop/timers_test.cpp
+++ b/tests/net/event_loop/timers_test.cpp
@@ -1,4 +1,4 @@
-// The order in which timers fire, and what callbacks may do.
+// Timers: the order in which callbacks run, and what a callback may do.
 #include "net/event_loop/timers.hpp"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 class TimersTest : public ::testing::Test {
  protected:
-  // Runs the loop until no timer is left.
+  // Runs the event loop until no timer is left or the loop is stopped.
   void run() {
     io.restart();
     io.run();
@@ -58,7 +58,7 @@
   EXPECT_TRUE(early.empty());
 }
 
-TEST_F(TimersTest, AnEarlierTimerDoesNotWaitForALaterOneThatWasSetBefore) {
+TEST_F(TimersTest, AnEarlierTimerDoesNotWaitForALaterOneThatWasSetFirst) {
   timers.after(60'000'000, [this] { fired.push_back(2); });
   timers.after(1'000, [this] {
     fired.push_back(1);
@@ -68,7 +68,7 @@
   EXPECT_EQ(fired, (std::vector<int>{1}));
 }
 
-TEST_F(TimersTest, ATimeThatHasPassedFiresFromTheLoopOnly) {
+TEST_F(TimersTest, ATimerWhoseTimeHasPassedFiresOnlyFromTheEventLoop) {
   timers.at(clock.now() - 1'000'000, [this] { fired.push_back(1); });
   EXPECT_TRUE(fired.empty());
   run();
@@ -85,7 +85,7 @@
   EXPECT_EQ(fired, (std::vector<int>{1, 2, 3}));
 }
 
-TEST_F(TimersTest, AnExceptionOfACallbackStopsNoOther) {
+TEST_F(TimersTest, AnExceptionInACallbackDoesNotStopOthers) {
   const Micros when = clock.now();
   timers.at(when, [] { throw std::runtime_error("thrown by a test"); });
   timers.at(when, [this] { fired.push_back(1); });
--- a/tests/net/http/framing_test.cpp
+++ b/tests/net/http/framing_test.cpp
@@ -1,4 +1,4 @@
-// The checks on a message's head and the chunked encoding.
+// The check of the length that a message head announces, and the chunked encoding.
 #include "net/http/framing.hpp"
 
 #include <gtest/gtest.h>
@@ -23,7 +23,7 @@
   EXPECT_EQ(encode_chunk(""), kLastChunk);
 }
 
-TEST(Framing, OneContentLengthOfDigitsIsAccepted) {
+TEST(Framing, AContentLengthMustConsistOfDigits) {
   EXPECT_NO_THROW(
       check_framing(head_with(http::field::content_length, "12"), HttpVersion::kHttp11));
   EXPECT_NO_THROW(check_framing({}, HttpVersion::kHttp11));
@@ -35,7 +35,7 @@
                HttpError);
 }
 
-TEST(Framing, OnlyHttp11MayBeChunked) {
+TEST(Framing, OnlyHttp11MessagesMayBeChunked) {
   const auto chunked = head_with(http::field::transfer_encoding, "Chunked");
   EXPECT_NO_THROW(check_framing(chunked, HttpVersion::kHttp11));
   EXPECT_THROW(check_framing(chunked, HttpVersion::kHttp10), HttpError);
@@ -44,13 +44,13 @@
                HttpError);
 }
 
-TEST(Framing, AVersionThatIsNot11CountsAs10) {
+TEST(Framing, AnyVersionExceptHttp11CountsAsHttp10) {
   EXPECT_EQ(http_version(11), HttpVersion::kHttp11);
   EXPECT_EQ(http_version(10), HttpVersion::kHttp10);
   EXPECT_EQ(http_version(12), HttpVersion::kHttp10);
 }
 
-TEST(Framing, MoreThanOneLengthIsRejected) {
+TEST(Framing, MoreThanOneLengthHeaderIsRejected) {
   auto head = head_with(http::field::content_length, "5");
   head.insert(http::field::content_length, "5");
   EXPECT_THROW(check_framing(head, HttpVersion::kHttp11), HttpError);
@@ -60,7 +60,7 @@
   EXPECT_THROW(check_framing(head, HttpVersion::kHttp11), HttpError);
 }
 
-TEST(Framing, AnErrorIsABadRequestUnlessItSaysOtherwise) {
+TEST(Framing, TheDefaultStatusOfAnErrorIsBadRequest) {
   EXPECT_EQ(HttpError("why").status(), http::status::bad_request);
   EXPECT_EQ(HttpError("why", http::status::conflict).status(), http::status::conflict);
 }
