--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -301,8 +301,8 @@
   write_output(&ClientSession::on_response_written);
 }
 
-// Resets the connection, because after an orderly close a response whose body is delimited by the
-// end of the connection would look complete.
+// Resets the connection. After an orderly close, a body that is delimited by the end of the
+// connection would look complete.
 void ClientSession::abort_response() {
   if (!output_.is_streaming()) {
     return;
--- a/src/net/client/client_session.hpp
+++ b/src/net/client/client_session.hpp
@@ -92,7 +92,7 @@
   RequestReader reader_;
   ResponseOutput output_;
   SessionActivity activity_;
-  // The id, returned by on_request, of the request whose response is not complete.
+  // The id that on_request returned for the current request, until its response is complete.
   std::optional<std::uint64_t> request_;
   bool is_reading_ = false;              // a read is pending, or input is being discarded
   bool is_watching_disconnect_ = false;  // a check for a disconnect is scheduled
--- a/src/net/client/lingering_close.hpp
+++ b/src/net/client/lingering_close.hpp
@@ -11,7 +11,7 @@
 
 namespace quota_gateway::net {
 
-// A connection whose last response has been written.
+// A connection after its last response has been written.
 class LingeringConnection {
  public:
   virtual boost::asio::ip::tcp::socket& socket() = 0;
--- a/tests/net/client/client_session_test.cpp
+++ b/tests/net/client/client_session_test.cpp
@@ -80,7 +80,7 @@
   std::shared_ptr<ClientSession> session;
   std::optional<std::uint64_t> result_of_on_request = kRequestId;
   std::vector<std::string> bodies;          // of the delivered requests
-  std::vector<std::uint64_t> disconnected;  // ids of the requests whose clients disconnected
+  std::vector<std::uint64_t> disconnected;  // ids of the requests that lost their client
   std::vector<std::uint64_t> sent;          // the request id for each response piece that was sent
   error_code receive_error;                 // the error code of the last receive()
 };
--- a/tests/net/event_loop/timers_test.cpp
+++ b/tests/net/event_loop/timers_test.cpp
@@ -68,7 +68,7 @@
   EXPECT_EQ(fired, (std::vector<int>{1}));
 }
 
-TEST_F(TimersTest, ATimerWhoseTimeHasPassedFiresOnlyFromTheEventLoop) {
+TEST_F(TimersTest, AnOverdueTimerFiresOnlyFromTheEventLoop) {
   timers.at(clock.now() - 1'000'000, [this] { fired.push_back(1); });
   EXPECT_TRUE(fired.empty());
   run();
