--- a/scale/fleet/complete_list_slope.cpp
+++ b/scale/fleet/complete_list_slope.cpp
@@ -1,4 +1,5 @@
-// What it costs to bring a complete list to each gateway of a fleet, by listed servers.
+// The fleet.lists scenario: the cost of delivering a complete list to each gateway of a fleet, by
+// listed servers.
 #include <algorithm>
 #include <string>
 
@@ -25,7 +26,7 @@
   return ScenarioSizes{options}.servers(170'000, 1'700);
 }
 
-// A fleet from its start until each gateway has the whole list.
+// Measures a fleet from its start until each gateway has the complete list.
 class ListTrial {
  public:
   ListTrial(const Options& options, std::size_t servers, const MeasurementRecorder& recorder)
@@ -41,20 +42,20 @@
     const auto before = test_fleet_.usage();
     const Micros started_at = steady_now();
     test_fleet_.start();
-    const bool taken = test_fleet_.wait_until_converged(timeout);
+    const bool converged = test_fleet_.wait_until_converged(timeout);
     const Micros duration = steady_now() - started_at;
     const auto usage = test_fleet_.usage().since(before);
-    // Under names of their own, because what was sent again and again lies on no line with what was
-    // taken.
+    // A list that is not accepted in time is sent repeatedly. Its measurements have names of their
+    // own, because they do not lie on the line through those of accepted lists.
     const double kilobytes = double(usage.discovery.traffic.sent) / gateways_ / 1e3;
-    recorder_.add(taken ? "bytes" : "bytes_in_vain", sizes_, kilobytes, "KB/watcher");
+    recorder_.add(converged ? "bytes" : "bytes_in_vain", sizes_, kilobytes, "KB/watcher");
     const double lists = double(usage.discovery.full_lists) / gateways_;
-    recorder_.add(taken ? "sent" : "sent_in_vain", sizes_, lists, "lists/watcher");
+    recorder_.add(converged ? "sent" : "sent_in_vain", sizes_, lists, "lists/watcher");
     recorder_.add("agent_memory", sizes_, double(allocated_by_agents_) / 1e6, "MB");
-    if (taken) {
+    if (converged) {
       record_cost(usage, duration);
     } else {
-      note_not_taken(duration);
+      note_not_converged(duration);
     }
   }
 
@@ -69,9 +70,11 @@
     recorder_.add("gateway_memory", sizes_, double(allocated) / gateways_ / 1e6, "MB/gateway");
   }
 
-  void note_not_taken(Micros duration) const {
-    recorder_.note("a list of " + std::to_string(servers_) + " servers was not taken by all in " +
-                   std::to_string(duration / 1'000'000) + " s; its bytes are those of this time");
+  void note_not_converged(Micros duration) const {
+    recorder_.note("a list of " + std::to_string(servers_) +
+                   " servers was not accepted by all gateways within " +
+                   std::to_string(duration / 1'000'000) +
+                   " s; its bytes are those sent in this time");
   }
 
   const MeasurementRecorder& recorder_;
@@ -80,7 +83,7 @@
   const double gateways_;
   const std::uint64_t allocated_before_;
   TestFleet test_fleet_;
-  const std::uint64_t allocated_by_agents_;  // with the list, before any gateway is there
+  const std::uint64_t allocated_by_agents_;  // with the list, before any gateway starts
 };
 
 void run(const Options& options, Report& report) {
@@ -107,7 +110,7 @@
 }  // namespace
 
 Scenario complete_list_scenario() {
-  return {kScenario, "a whole list to each of a few gateways, by listed servers", memory, run};
+  return {kScenario, "a complete list to each of a few gateways, by listed servers", memory, run};
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/fleet/counter_call_slope.cpp
+++ b/scale/fleet/counter_call_slope.cpp
@@ -1,4 +1,4 @@
-// How calls to the counter and their cost grow with the requests in a second.
+// The fleet.calls scenario: calls to the counter and their cost by requests per second.
 #include <string>
 
 #include "fleet/fleet_slopes.hpp"
@@ -13,7 +13,7 @@
 
 constexpr const char* kScenario = "fleet.calls";
 constexpr double kDefaultSeconds = 120;
-constexpr double kTenantsOfMemory = 600;  // for the estimate; about those that a gateway meets
+constexpr double kEstimatedTenants = 600;  // about those of one gateway, for the memory estimate
 
 std::size_t gateway_count(const Options& options) {
   return ScenarioSizes{options}.gateways(100, 10);
@@ -38,7 +38,7 @@
   return fleet_options;
 }
 
-// What all gateways did and cost in a window.
+// Usage and requests of all gateways in a window.
 struct CallWindow {
   FleetUsage usage;
   double requests = 0;
@@ -84,7 +84,7 @@
   start_and_converge(test_fleet);
   for (const double fraction : {0.125, 0.25, 0.5, 1.0}) {
     const double rate = target_requests_per_s() * fraction;
-    if (deadline.expired(report, kScenario, std::to_string(int(rate)) + " requests a second")) {
+    if (deadline.expired(report, kScenario, std::to_string(int(rate)) + " requests per second")) {
       break;
     }
     test_fleet.fleet().set_request_rate(rate);
@@ -99,14 +99,15 @@
 std::uint64_t memory(const Options& options) {
   const std::size_t gateways = gateway_count(options);
   const auto servers = double(server_count(options));
-  return require_descriptors(fleet_memory(double(gateways), servers, kTenantsOfMemory), gateways,
+  return require_descriptors(fleet_memory(double(gateways), servers, kEstimatedTenants), gateways,
                              true);
 }
 
 }  // namespace
 
 Scenario counter_call_scenario() {
-  return {kScenario, "requests a second at each gateway: calls, their bytes, counter and gateway",
+  return {kScenario,
+          "counter calls, their bytes, counter and gateway by requests per second at each gateway",
           memory, run};
 }
 
--- a/scale/fleet/counter_load.cpp
+++ b/scale/fleet/counter_load.cpp
@@ -7,7 +7,7 @@
 
 constexpr Micros kCallTimeout = 20'000'000;    // us
 constexpr Micros kConnectTimeout = 5'000'000;  // us
-constexpr Micros kForgetAfter = 60'000'000;    // us; longer than a run
+constexpr Micros kTimeToLive = 60'000'000;     // us; longer than a run
 constexpr int kConcurrentCalls = 500;
 
 }  // namespace
@@ -20,9 +20,9 @@
   client_->start();
 }
 
-void CounterLoad::run(std::int64_t first_name, std::int64_t end_name) {
-  next_name_ = first_name;
-  end_name_ = end_name;
+void CounterLoad::run(std::int64_t first_key, std::int64_t end_key) {
+  next_key_ = first_key;
+  end_key_ = end_key;
   replies_ = 0;
   failed_ = 0;
   for (int i = 0; i < kConcurrentCalls; ++i) {
@@ -31,13 +31,13 @@
 }
 
 void CounterLoad::call_next() {
-  if (next_name_ >= end_name_) {
+  if (next_key_ >= end_key_) {
     return;
   }
   AddToCounter call;
-  call.key = next_name_++;
+  call.key = next_key_++;
   call.amount = 1;
-  call.time_to_live = kForgetAfter;
+  call.time_to_live = kTimeToLive;
   client_->add(call);
 }
 
--- a/scale/fleet/counter_load.hpp
+++ b/scale/fleet/counter_load.hpp
@@ -1,5 +1,5 @@
-// Calls a counter through the gateway's own client as fast as replies come. Hosted by an
-// EventLoopThread, on whose event loop all of it runs; its figures are read there too.
+// Calls a counter through the gateway's counter client, as fast as replies arrive. Runs on the
+// event loop of an EventLoopThread; its counts must be read on that loop too.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,13 +15,13 @@
 
 class CounterLoad {
  public:
-  // Connects at once.
+  // Connects immediately.
   CounterLoad(boost::asio::io_context& io, boost::asio::ip::tcp::endpoint counter);
 
-  // Adds 1 under each name from `first_name` to before `end_name`, 500 calls at a time, and counts
-  // anew. The run before it must be over.
-  void run(std::int64_t first_name, std::int64_t end_name);
-  // Replies of this run so far, and those among them that did not confirm the call.
+  // Adds 1 to each counter key from `first_key` up to but excluding `end_key`, with 500 calls in
+  // flight. Resets the counts of replies. The previous run must have ended.
+  void run(std::int64_t first_key, std::int64_t end_key);
+  // Replies of this run so far, and how many of them did not confirm the call.
   std::int64_t replies() const { return replies_; }
   std::int64_t failed() const { return failed_; }
 
@@ -32,8 +32,8 @@
   net::Clock clock_;
   net::Timers timers_;
   std::shared_ptr<net::CounterClient> client_;
-  std::int64_t next_name_ = 0;
-  std::int64_t end_name_ = 0;
+  std::int64_t next_key_ = 0;
+  std::int64_t end_key_ = 0;
   std::int64_t replies_ = 0;
   std::int64_t failed_ = 0;
 };
--- a/scale/fleet/counter_name_slope.cpp
+++ b/scale/fleet/counter_name_slope.cpp
@@ -1,4 +1,4 @@
-// How the counter's memory and the cost of a call grow with the names that it keeps.
+// The fleet.names scenario: the counter's memory and the processor time of a call by live keys.
 #include <string>
 
 #include "event_loop_thread.hpp"
@@ -15,40 +15,41 @@
 constexpr const char* kScenario = "fleet.names";
 constexpr double kDefaultSeconds = 60;
 constexpr Micros kPollInterval = 2'000;  // us
-// Measured, and rounded up, in bytes.
-constexpr double kBaseMemory = 20e6;
-constexpr double kMemoryPerName = 400;
+// In bytes, rounded up.
+constexpr double kBaseBytes = 20e6;
+constexpr double kBytesPerKey = 400;
 
-std::size_t most_names(const Options& options) {
+std::size_t max_keys(const Options& options) {
   return options.small ? 8'000 : Target{}.tenants;
 }
 
-// A counter and its load, on a thread each.
-class NameTrial {
+// Measures a counter under load; the counter and the load have a thread each.
+class KeyTrial {
  public:
-  NameTrial(const MeasurementRecorder& recorder, const ScenarioDeadline& deadline)
+  KeyTrial(const MeasurementRecorder& recorder, const ScenarioDeadline& deadline)
       : recorder_(recorder),
         deadline_(deadline),
         counter_(counter_thread_.emplace<FakeCounter>(FakeCounter::Options{})),
         load_(load_thread_.emplace<CounterLoad>(counter_.address())) {}
 
-  // So that the first point does not pay for the connection.
+  // Connects, so that the first point does not include the cost of the connection.
   void connect() {
     call(0, 1);
     allocated_before_ = allocated_bytes();
   }
 
-  // Calls each of these names once and records what that took. Whether there was time for it.
-  bool measure(std::int64_t first_name, std::int64_t end_name) {
+  // Calls each of these keys once and records the cost. Returns false if the deadline passed before
+  // that.
+  bool measure(std::int64_t first_key, std::int64_t end_key) {
     const Micros cpu_before = counter_thread_.cpu_time();
-    if (!call(first_name, end_name)) {
-      recorder_.note("out of time at " + std::to_string(end_name) + " names");
+    if (!call(first_key, end_key)) {
+      recorder_.note("time ran out at " + std::to_string(end_key) + " keys");
       return false;
     }
     const auto counts = counter_thread_.run([&] { return counter_.counts(); });
     const MeasuredSizes sizes = {{"names", double(counts.keys)}};
     const auto cpu = double(counter_thread_.cpu_time() - cpu_before);
-    recorder_.add("counter_cpu", sizes, cpu / double(end_name - first_name), "us/call");
+    recorder_.add("counter_cpu", sizes, cpu / double(end_key - first_key), "us/call");
     const auto allocated = double(allocated_bytes() - allocated_before_);
     recorder_.add("counter_memory", sizes, allocated / 1e6, "MB");
     const std::int64_t failed = load_thread_.run([&] { return load_.failed(); });
@@ -59,10 +60,10 @@
   }
 
  private:
-  // Whether all calls were replied to before the time was up.
-  bool call(std::int64_t first_name, std::int64_t end_name) {
-    load_thread_.run([&] { load_.run(first_name, end_name); });
-    const std::int64_t calls = end_name - first_name;
+  // Returns whether all calls got a reply before the deadline.
+  bool call(std::int64_t first_key, std::int64_t end_key) {
+    load_thread_.run([&] { load_.run(first_key, end_key); });
+    const std::int64_t calls = end_key - first_key;
     while (load_thread_.run([&] { return load_.replies(); }) < calls) {
       if (deadline_.remaining() == 0) {
         return false;
@@ -84,27 +85,27 @@
 void run(const Options& options, Report& report) {
   const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
-  NameTrial trial(recorder, deadline);
+  KeyTrial trial(recorder, deadline);
   trial.connect();
-  std::int64_t first_name = 1;
+  std::int64_t first_key = 1;
   for (const std::size_t divisor : {64, 16, 4, 1}) {
-    const auto end_name = std::int64_t(most_names(options) / divisor);
-    if (!trial.measure(first_name, end_name)) {
+    const auto end_key = std::int64_t(max_keys(options) / divisor);
+    if (!trial.measure(first_key, end_key)) {
       return;
     }
-    first_name = end_name;
+    first_key = end_key;
   }
   recorder.fit({"counter_cpu", "counter_memory"}, "names", double(Target{}.tenants));
 }
 
 std::uint64_t memory(const Options& options) {
-  return std::uint64_t(double(most_names(options)) * kMemoryPerName + kBaseMemory);
+  return std::uint64_t(double(max_keys(options)) * kBytesPerKey + kBaseBytes);
 }
 
 }  // namespace
 
 Scenario counter_name_scenario() {
-  return {kScenario, "the counter by live names", memory, run};
+  return {kScenario, "memory and processor time of the counter by live keys", memory, run};
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/fleet/tenant_slope.cpp
+++ b/scale/fleet/tenant_slope.cpp
@@ -1,4 +1,5 @@
-// How a gateway's memory and cost grow with the tenants that it has met.
+// The fleet.tenants scenario: the memory and processor time of a gateway by the tenants (customers)
+// that have sent it requests.
 #include <stdexcept>
 #include <string>
 
@@ -16,12 +17,13 @@
 constexpr const char* kScenario = "fleet.tenants";
 constexpr double kDefaultSeconds = 120;
 constexpr std::size_t kGateways = 4;
-// At which a gateway meets its tenants; faster than it would at the operators' target.
-constexpr double kMeetingRequestsPerS = 2'000;
-// Requests until each tenant has come once, over the number of tenants.
-constexpr double kMeetingRequests = 1.1;
+// Rate of requests at a gateway until all of its tenants have sent one; higher than the operators'
+// target.
+constexpr double kWarmupRequestsPerS = 2'000;
+// Requests until each tenant has sent one, as a multiple of the number of tenants.
+constexpr double kWarmupRequestsPerTenant = 1.1;
 
-std::size_t most_tenants(const Options& options) {
+std::size_t max_tenants(const Options& options) {
   return options.small ? 800 : 16'000;
 }
 
@@ -36,13 +38,14 @@
   return fleet_options;
 }
 
-void meet_tenants(TestFleet& test_fleet, std::size_t tenants) {
-  test_fleet.fleet().set_request_rate(kMeetingRequestsPerS);
-  const auto requests = std::uint64_t(double(tenants * kGateways) * kMeetingRequests);
-  const bool all_met = test_fleet.fleet().wait_until(
+void warm_up_tenants(TestFleet& test_fleet, std::size_t tenants) {
+  test_fleet.fleet().set_request_rate(kWarmupRequestsPerS);
+  const auto requests = std::uint64_t(double(tenants * kGateways) * kWarmupRequestsPerTenant);
+  const bool all_sent = test_fleet.fleet().wait_until(
       [&](const FleetState& state) { return state.requests >= requests; }, kConvergenceTimeout);
-  if (!all_met) {
-    throw std::runtime_error("requests come too slowly");
+  if (!all_sent) {
+    throw std::runtime_error(
+        "not all tenants of the simulated gateways sent a request within the timeout");
   }
 }
 
@@ -51,9 +54,9 @@
   TestFleet test_fleet(counter_fleet_options(options, tenants));
   start_and_converge(test_fleet);
   const std::uint64_t allocated_before = allocated_bytes();
-  meet_tenants(test_fleet, tenants);
+  warm_up_tenants(test_fleet, tenants);
   test_fleet.fleet().set_request_rate(Target{}.requests_per_s / double(Target{}.gateways));
-  sleep_for(ScenarioSizes{options}.window(3, 0.3));  // until what the fast requests left is over
+  sleep_for(ScenarioSizes{options}.window(3, 0.3));  // until the effects of the high rate are over
   const auto before = test_fleet.usage();
   sleep_for(ScenarioSizes{options}.window(6, 0.5));
   const auto usage = test_fleet.usage().since(before);
@@ -70,30 +73,31 @@
   const MeasurementRecorder recorder(report, kScenario);
   const ScenarioDeadline deadline(options, kDefaultSeconds);
   for (const std::size_t divisor : {64, 16, 4, 1}) {
-    const std::size_t tenants = most_tenants(options) / divisor;
+    const std::size_t tenants = max_tenants(options) / divisor;
     if (deadline.expired(report, kScenario, std::to_string(tenants) + " tenants")) {
       break;
     }
     measure_tenants(options, recorder, tenants);
   }
   const int spread = FleetOptions{}.gateways_per_tenant;
-  const double tenants_met = double(Target{}.tenants) / double(Target{}.gateways) * spread;
-  recorder.fit({"memory", "gateway_cpu", "module_cpu", "calls"}, "tenants", tenants_met);
-  recorder.note("the target is a gateway's tenants where each comes through " +
-                std::to_string(spread) +
-                " gateways: assumed; calls still carry how fast they were met");
+  const double target_tenants = double(Target{}.tenants) / double(Target{}.gateways) * spread;
+  recorder.fit({"memory", "gateway_cpu", "module_cpu", "calls"}, "tenants", target_tenants);
+  recorder.note(
+      "the target assumes that the requests of each tenant go to " + std::to_string(spread) +
+      " gateways; the calls are still affected by the high request rate before the measurement");
 }
 
 std::uint64_t memory(const Options& options) {
   return fleet_memory(double(kGateways), double(server_count(options)),
-                      double(most_tenants(options)));
+                      double(max_tenants(options)));
 }
 
 }  // namespace
 
 Scenario tenant_scenario() {
-  return {kScenario, "memory and processor time of a simulated gateway by tenants met", memory,
-          run};
+  return {kScenario,
+          "memory and processor time of a simulated gateway by tenants that have sent requests",
+          memory, run};
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/fleet/watcher_slope.cpp
+++ b/scale/fleet/watcher_slope.cpp
@@ -1,4 +1,5 @@
-// How heartbeats, memory, and the cost and delay of a change grow with the watchers of one agent.
+// The fleet.watchers scenario: heartbeats, memory, and the cost and delay of a change by the
+// watchers of one agent.
 #include <algorithm>
 #include <stdexcept>
 #include <string>
@@ -18,9 +19,10 @@
 
 constexpr const char* kScenario = "fleet.watchers";
 constexpr double kDefaultSeconds = 180;
-constexpr std::size_t kChanges = 10;         // whose delays are taken
-constexpr std::size_t kHeartbeatBytes = 6;   // with its chunk
-constexpr double kMostTimesInForceTime = 4;  // that a change may take before the run fails
+constexpr std::size_t kChanges = 10;        // published to measure their delays
+constexpr std::size_t kHeartbeatBytes = 6;  // with the framing of its chunk
+// A change that takes more than this multiple of Target::max_propagation_s fails the run.
+constexpr double kMaxPropagationMultiple = 4;
 
 std::size_t gateway_count(const Options& options) {
   return ScenarioSizes{options}.gateways(7'400, 40);
@@ -30,7 +32,7 @@
   return ScenarioSizes{options}.servers(200, 50);
 }
 
-// A fleet that has its list, and nothing to do but to watch.
+// Measures a fleet that has its list and is idle except for its watches.
 class WatcherTrial {
  public:
   WatcherTrial(const Options& options, std::size_t gateways, const MeasurementRecorder& recorder)
@@ -38,8 +40,8 @@
         recorder_(recorder),
         sizes_({{"watchers", double(gateways)}}),
         gateways_(double(gateways)),
-        heartbeat_(test_fleet_options(options, gateways, server_count(options))
-                       .discovery.heartbeat_interval),
+        heartbeat_interval_(test_fleet_options(options, gateways, server_count(options))
+                                .discovery.heartbeat_interval),
         allocated_before_(allocated_bytes()),
         test_fleet_(test_fleet_options(options, gateways, server_count(options))) {}
 
@@ -47,67 +49,69 @@
     start_and_converge(test_fleet_);
     const auto allocated = double(allocated_bytes() - allocated_before_);
     recorder_.add("memory_of_all", sizes_, allocated / gateways_ / 1e3, "KB/gateway");
-    sleep_for(heartbeat_);
-    const FleetUsage quiet = measure_heartbeats();
-    measure_changes(quiet);
+    sleep_for(heartbeat_interval_);
+    const FleetUsage baseline = measure_heartbeats();
+    measure_changes(baseline);
   }
 
  private:
-  // What nothing but heartbeats costs.
+  // Measures and returns the usage by heartbeats alone.
   FleetUsage measure_heartbeats() {
     const FleetUsage before = test_fleet_.usage();
     sleep_for(ScenarioSizes{options_}.window(8, 0.6));
-    FleetUsage quiet = test_fleet_.usage().since(before);
-    const double seconds = quiet.seconds();
-    const auto bytes = double(quiet.discovery.traffic.sent);
+    FleetUsage baseline = test_fleet_.usage().since(before);
+    const double seconds = baseline.seconds();
+    const auto bytes = double(baseline.discovery.traffic.sent);
     recorder_.add("heartbeat_bytes", sizes_, bytes / seconds / gateways_, "bytes/s/watcher");
-    recorder_.add("heartbeats", sizes_, double(quiet.discovery.heartbeats) / seconds, "1/s");
-    recorder_.add("agent_quiet", sizes_, double(quiet.agents_cpu) / seconds, "us/s");
-    recorder_.add("gateway_quiet", sizes_, double(quiet.gateways_cpu) / seconds / gateways_,
+    recorder_.add("heartbeats", sizes_, double(baseline.discovery.heartbeats) / seconds, "1/s");
+    recorder_.add("agent_quiet", sizes_, double(baseline.agents_cpu) / seconds, "us/s");
+    recorder_.add("gateway_quiet", sizes_, double(baseline.gateways_cpu) / seconds / gateways_,
                   "us/s/gateway");
-    return quiet;
+    return baseline;
   }
 
-  // One change at a time, each in force everywhere before the next.
-  void measure_changes(const FleetUsage& quiet) {
+  // Publishes one change at a time, and waits until it is in force at all gateways before the next.
+  void measure_changes(const FleetUsage& baseline) {
     std::vector<double> medians_ms;
-    std::vector<double> lasts_ms;
+    std::vector<double> maxima_ms;
     const Micros pause_between = ScenarioSizes{options_}.window(0.2, 0.02);
     const FleetUsage before = test_fleet_.usage();
     for (std::size_t i = 0; i < kChanges; ++i) {
       const Delays delays = change_one(i);
       medians_ms.push_back(delays.median / 1e3);
-      lasts_ms.push_back(delays.max / 1e3);
+      maxima_ms.push_back(delays.max / 1e3);
       sleep_for(pause_between);
     }
     const FleetUsage usage = test_fleet_.usage().since(before);
     recorder_.add("in_force_median", sizes_, summarize_delays(medians_ms).median, "ms");
-    recorder_.add("in_force_last", sizes_, summarize_delays(lasts_ms).max, "ms");
-    record_change_cost(quiet, usage);
+    recorder_.add("in_force_last", sizes_, summarize_delays(maxima_ms).max, "ms");
+    record_change_cost(baseline, usage);
   }
 
   Delays change_one(std::size_t server) {
     const ListedServer entry = test_fleet_.listed_server(server, Phase::kDraining);
     const Micros changed_at = steady_now();
     const std::int64_t revision = test_fleet_.publish({entry});
-    const auto timeout = Micros(Target{}.max_propagation_s * 1e6 * kMostTimesInForceTime);
+    const auto timeout = Micros(Target{}.max_propagation_s * 1e6 * kMaxPropagationMultiple);
     const bool in_force = test_fleet_.fleet().wait_until(
         [&](const FleetState& state) { return state.min_revision >= revision; }, timeout);
     if (!in_force) {
-      throw std::runtime_error("a change is not in force after four times the time allowed");
+      throw std::runtime_error(
+          "a change is not in force at all gateways after four times the target's propagation "
+          "time");
     }
     return summarize_delays(test_fleet_.fleet().delays(revision, changed_at));
   }
 
-  // Without what heartbeats would have cost in that time.
-  void record_change_cost(const FleetUsage& quiet, const FleetUsage& usage) const {
-    const bool had_heartbeats = quiet.discovery.heartbeats > 0;
+  // Records the cost of the changes, without that of the heartbeats in the same time.
+  void record_change_cost(const FleetUsage& baseline, const FleetUsage& usage) const {
+    const bool had_heartbeats = baseline.discovery.heartbeats > 0;
     const double heartbeats = had_heartbeats ? double(usage.discovery.heartbeats) : 0;
     const double bytes =
         double(usage.discovery.traffic.sent) - heartbeats * double(kHeartbeatBytes);
     recorder_.add("change_bytes", sizes_, bytes / double(kChanges) / gateways_, "bytes/watcher");
-    const double quiet_cpu = double(quiet.agents_cpu) / quiet.seconds() * usage.seconds();
-    const double cpu = std::max(0.0, double(usage.agents_cpu) - quiet_cpu);
+    const double baseline_cpu = double(baseline.agents_cpu) / baseline.seconds() * usage.seconds();
+    const double cpu = std::max(0.0, double(usage.agents_cpu) - baseline_cpu);
     recorder_.add("agent_change", sizes_, cpu / double(kChanges), "us");
   }
 
@@ -115,7 +119,7 @@
   const MeasurementRecorder& recorder_;
   const MeasuredSizes sizes_;
   const double gateways_;
-  const Micros heartbeat_;  // us between two of an agent
+  const Micros heartbeat_interval_;  // us between heartbeats of the agent
   const std::uint64_t allocated_before_;
   TestFleet test_fleet_;
 };
@@ -138,7 +142,7 @@
   }
   recorder.fit({"heartbeat_bytes", "change_bytes", "memory_of_all"}, "watchers", all_gateways);
   if (options.small) {
-    recorder.note("small: a heartbeat each 0.2 s for the page's 2 s");
+    recorder.note("small run: a heartbeat every 0.2 s instead of every 2 s");
   }
 }
 
--- a/scale/module/burst_cost.cpp
+++ b/scale/module/burst_cost.cpp
@@ -1,4 +1,5 @@
-// What it costs the decision module that a whole zone goes and comes back.
+// The module.burst scenario: what it costs the decision module when all servers of a zone are
+// removed and come back.
 #include <numeric>
 #include <vector>
 
@@ -15,12 +16,13 @@
 constexpr double kDefaultSeconds = 240;
 constexpr Micros kSliceInterval = 5 * kMillisecond;
 
-// A zone goes, and comes back: in slices, with a request after each.
+// Removes all servers of one zone and lists them again, in partial updates of at most kSliceEntries
+// servers, with a request after each update.
 class BurstTrial {
  public:
   BurstTrial(const Options& options, std::size_t servers)
       : servers_(servers),
-        driver_(driver_with_servers(options.seed, servers, most_module_gateways(options))) {}
+        driver_(driver_with_servers(options.seed, servers, max_module_gateways(options))) {}
 
   void measure(const MeasurementRecorder& recorder, const TimeBudget& budget) {
     change_zone(EndpointState::kRemoved, budget);
@@ -45,7 +47,7 @@
   }
 
   void apply(const EndpointListUpdate& slice, std::size_t tenant) {
-    changed_ += slice.entries.size();
+    changed_servers_ += slice.entries.size();
     slices_ms_.push_back(driver_.notify(slice) / 1e3);
     requests_ms_.push_back(driver_.request(tenant) / 1e3);
     driver_.run_until(driver_.now() + kSliceInterval);
@@ -54,7 +56,7 @@
   void record(const MeasurementRecorder& recorder) const {
     const MeasuredSizes sizes = {{"servers", double(servers_)}};
     const double total_ms = std::accumulate(slices_ms_.begin(), slices_ms_.end(), 0.0);
-    recorder.add("changed", sizes, double(changed_), "servers");
+    recorder.add("changed", sizes, double(changed_servers_), "servers");
     recorder.add("slice_longest", sizes, largest(slices_ms_), "ms");
     recorder.add("slice_median", sizes, median(slices_ms_), "ms");
     recorder.add("all_slices", sizes, total_ms, "ms");
@@ -64,8 +66,8 @@
   const std::size_t servers_;
   LoadDriver driver_;
   std::vector<double> slices_ms_;
-  std::vector<double> requests_ms_;  // each the first after a slice
-  std::size_t changed_ = 0;
+  std::vector<double> requests_ms_;  // of the request that follows each slice
+  std::size_t changed_servers_ = 0;
 };
 
 }  // namespace
--- a/scale/module/change_cost.cpp
+++ b/scale/module/change_cost.cpp
@@ -1,4 +1,5 @@
-// What a change of one server costs the decision module, and the request after it.
+// The module.change scenario: what a change of one server costs the decision module, and what the
+// next request costs.
 #include <map>
 #include <random>
 #include <string>
@@ -17,32 +18,32 @@
 
 constexpr double kDefaultSeconds = 120;
 constexpr Micros kChangeInterval = 10 * kMillisecond;
-constexpr double kMostCpuUs = 4e6;  // of changes, at one point
+constexpr double kMaxCpuUs = 4e6;  // for the changes at one list size
 constexpr const char* kAllChanges = "change";
 
-// Changes single servers of a driver's list. After each comes a request, because what a change puts
-// off must show as well.
+// Changes the listed servers one at a time. A request follows each change, because the module may
+// defer work of a change to the next request, and that cost must be measured too.
 class ChangeTrial {
  public:
   ChangeTrial(const Options& options, std::size_t servers)
       : servers_(servers),
         rounds_(options.small ? 10 : 100),
         random_(options.seed),
-        driver_(driver_with_servers(options.seed, servers, most_module_gateways(options))) {}
+        driver_(driver_with_servers(options.seed, servers, max_module_gateways(options))) {}
 
   void measure(const MeasurementRecorder& recorder, const TimeBudget& budget) {
-    for (std::size_t i = 0; i < rounds_ && changes_us_ < kMostCpuUs; ++i) {
+    for (std::size_t i = 0; i < rounds_ && changes_us_ < kMaxCpuUs; ++i) {
       if (budget.is_exhausted()) {
         break;
       }
-      restart_a_server();
+      restart_random_server();
       change("change_new", listed_endpoint(servers_ + i));
     }
     record(recorder);
   }
 
  private:
-  void restart_a_server() {
+  void restart_random_server() {
     EndpointEntry entry = listed_endpoint(random_() % servers_);
     entry.state = EndpointState::kDraining;
     change("change_drain", entry);
@@ -74,7 +75,7 @@
   const std::size_t rounds_;
   std::mt19937_64 random_;
   LoadDriver driver_;
-  std::map<std::string, std::vector<double>> samples_us_;  // by the figure's name
+  std::map<std::string, std::vector<double>> samples_us_;  // by measurement name
   double changes_us_ = 0;
 };
 
--- a/scale/module/load_driver.cpp
+++ b/scale/module/load_driver.cpp
@@ -11,12 +11,12 @@
 
 constexpr Micros kCounterReplyTime = 500;  // us
 constexpr Micros kRequestLifetime = 4 * kSecond;
-constexpr int kTenantGateways = 3;  // through which a tenant's requests come
-constexpr std::size_t kTenantGatewayStarts = 100;
-// Service times differ by a tenth, because two servers are never quite alike.
-constexpr double kShortestService = 0.9;
-constexpr double kLongestService = 1.1;
-// The token of the module's timer of periodic maintenance.
+constexpr int kGatewaysPerTenant = 3;  // that the requests of one tenant are spread over
+constexpr std::size_t kGatewaySubsetStarts = 100;  // distinct subset starts among the tenants
+// Service times vary by up to 10 percent, because no two servers are equally fast.
+constexpr double kMinServiceTimeFactor = 0.9;
+constexpr double kMaxServiceTimeFactor = 1.1;
+// The token of the module's timer for periodic maintenance.
 constexpr std::int64_t kMaintenanceTimer = 0;
 
 bool is_maintenance(const Event& event) {
@@ -46,8 +46,8 @@
   request.plan = kPlanName;
   request.request_class = kClassName;
   request.deadline = now_ + kRequestLifetime;
-  request.gateway_subset_size = kTenantGateways;
-  request.gateway_subset_start = int(tenant % kTenantGatewayStarts);
+  request.gateway_subset_size = kGatewaysPerTenant;
+  request.gateway_subset_start = int(tenant % kGatewaySubsetStarts);
   sent_on_arrival_ = 0;
   rejected_on_arrival_ = 0;
   const double cpu_us = notify(request);
@@ -89,7 +89,7 @@
 
 void LoadDriver::on(const SendAttempt& attempt) {
   ++sent_on_arrival_;
-  std::uniform_real_distribution<double> spread(kShortestService, kLongestService);
+  std::uniform_real_distribution<double> spread(kMinServiceTimeFactor, kMaxServiceTimeFactor);
   AttemptCompleted completed;
   completed.id = attempt.id;
   completed.server = attempt.server;
--- a/scale/module/load_driver.hpp
+++ b/scale/module/load_driver.hpp
@@ -1,7 +1,7 @@
-// Drives the decision module through its interface, with servers and a counter that answer in a
-// time of its own, and takes the processor time that the module spends. Its clock advances only as
-// it is told, so that what a request costs does not depend on what else the machine does. Each
-// point of a module slope owns one.
+// Drives the decision module through its public interface: simulates requests, servers and a
+// counter on a virtual clock, and measures the processor time that the module uses. The clock
+// advances only in run_until(), so that measured costs do not depend on other load on the machine.
+// Each point of a module scenario owns one driver.
 #pragma once
 
 #include <cstddef>
@@ -18,36 +18,37 @@
 
 namespace quota_gateway::scale {
 
-// us from an attempt to its response, of a server that is idle.
+// Time from an attempt to the response of an idle server, in us.
 constexpr Micros kIdleServiceTime = 20 * kMillisecond;
 
 class LoadDriver {
  public:
-  // `seed` draws service times and what the module draws.
+  // `seed` seeds the random service times and the random numbers of the module.
   LoadDriver(Settings settings, std::uint64_t seed);
 
   Gateway& gateway() { return gateway_; }
   Micros now() const { return now_; }
-  // Of attempts from now on, in us, give or take a tenth.
+  // Sets the service time of attempts from now on, in us; each varies by up to 10 percent.
   void set_service_time(Micros service_time) { service_time_ = service_time; }
 
-  // Has the module handle the event now, and carries its actions out. Returns the us of processor
-  // time that handling took.
+  // Passes the event to the module at the current time and carries out the actions of the module.
+  // Returns the processor time in us that the module used.
   double notify(const Event& event);
-  // A request of this tenant arrives now. Returns the us of processor time of its arrival.
+  // Simulates the arrival of a request of this tenant, a customer of the gateway. Returns the
+  // processor time of the arrival in us.
   double request(std::size_t tenant);
-  // Delivers what is due until `end`, or until that has taken `cpu_budget_us` of processor time;
-  // the rest stays due. The clock is at `end` afterwards in both cases.
+  // Delivers the events that are due up to `end`. If that uses up `cpu_budget_us` of processor
+  // time, the remaining events stay due. The clock is at `end` afterwards in both cases.
   void run_until(Micros end, std::optional<double> cpu_budget_us = std::nullopt);
 
   std::size_t requests() const { return requests_; }
   // Requests that were neither sent nor rejected on arrival.
   std::size_t held_requests() const { return held_requests_; }
 
-  // us of processor time of arrivals and of all that run_until delivered.
+  // Processor time in us of all arrivals and of all events that run_until() delivered.
   double cpu_us() const { return cpu_us_; }
-  // us of processor time of each of the module's periodic maintenances, and of all of them; they
-  // are part of cpu_us().
+  // Processor time in us of each run of the module's periodic maintenance, and of all runs
+  // together. Both are included in cpu_us().
   const std::vector<double>& maintenance_us() const { return maintenance_us_; }
   double total_maintenance_us() const { return total_maintenance_us_; }
 
@@ -59,7 +60,8 @@
   void on(const SetTimer& timer);
   void on(const Reject& action);
   void on(const Fail& action);
-  // Responses come all the same; none is slow enough for its attempt to be cancelled.
+  // Ignored, so that the response still arrives: no simulated server is slow enough for the module
+  // to cancel an attempt.
   void on(const CancelAttempt& /*action*/) {}
   void on(const SendHealthCheck& /*action*/) {}
   void on(const LogLine& /*action*/) {}
@@ -81,7 +83,8 @@
   double total_maintenance_us_ = 0;
 };
 
-// A driver of a module that knows this many servers, as one of so many gateways.
+// Creates a driver of a module that has a list of `servers` servers and is one of `gateways`
+// gateways.
 LoadDriver driver_with_servers(std::uint64_t seed, std::size_t servers, std::size_t gateways);
 
 }  // namespace quota_gateway::scale
--- a/scale/module/median_time.cpp
+++ b/scale/module/median_time.cpp
@@ -11,7 +11,7 @@
 constexpr double kSmallRepetitionS = 0.001;
 constexpr double kRepetitionS = 0.02;
 
-// Keeps the median and prints nothing.
+// Records the median of the repetitions and prints nothing.
 class MedianReporter : public benchmark::BenchmarkReporter {
  public:
   bool ReportContext(const Context& /*context*/) override { return true; }
@@ -28,7 +28,7 @@
   double median_us_ = 0;
 };
 
-// What the benchmark below measures; set while it runs.
+// The operation that run_measured_work() measures; null unless a measurement is running.
 const std::function<void()>* measured_work = nullptr;
 
 void run_measured_work(benchmark::State& state) {
@@ -37,8 +37,8 @@
   }
 }
 
-// The library keeps its benchmarks in one list for the whole process, so one is registered for all
-// that is measured.
+// Google Benchmark keeps one list of benchmarks for the process, so a single one is registered and
+// used for all measurements.
 benchmark::internal::Benchmark* const kBenchmark =
     benchmark::RegisterBenchmark("measured_work", run_measured_work)
         ->Unit(benchmark::kMicrosecond)
--- a/scale/module/median_time.hpp
+++ b/scale/module/median_time.hpp
@@ -1,5 +1,5 @@
-// The processor time of one short operation, by the benchmark library. Not reentrant,
-// and for one thread at a time: the library keeps its benchmarks in one place for the process.
+// Measures the processor time of a short operation with Google Benchmark. Neither reentrant nor
+// thread-safe, because the library keeps one list of benchmarks for the process.
 #pragma once
 
 #include <functional>
@@ -8,8 +8,8 @@
 
 namespace quota_gateway::scale {
 
-// us of processor time of one call of `work`, the median of repetitions that are each long enough
-// for the clock.
+// Returns the processor time of one call of `work` in us, as the median of several repetitions.
+// Each repetition makes many calls, because a single one may be too short for the clock.
 double median_cpu_us(const Options& options, const std::function<void()>& work);
 
 }  // namespace quota_gateway::scale
--- a/scale/module/memory_cost.cpp
+++ b/scale/module/memory_cost.cpp
@@ -1,4 +1,5 @@
-// Slopes of the decision module by what it keeps: listed servers, classes and tenants.
+// Scenarios module.list, module.classes and module.tenants: memory and processor time of the
+// decision module by the numbers of listed servers, classes and tenants.
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -18,16 +19,16 @@
 namespace {
 
 constexpr double kDefaultSeconds = 120;
-constexpr std::size_t kServers = 200;  // where something else is varied
-// Until all requests are answered and maintenance has come several times.
-constexpr Micros kAnswersTime = 4 * kSecond;
+constexpr std::size_t kServers = 200;  // listed where classes or tenants vary
+// Long enough for all responses to arrive and for periodic maintenance to run several times.
+constexpr Micros kQuiesceTime = 4 * kSecond;
 
 void measure_list(const Options& options, const MeasurementRecorder& recorder,
                   std::size_t servers) {
   const MeasuredSizes sizes = {{"servers", double(servers)}};
   const EndpointListUpdate list = complete_list(servers);
   const double heap_before = heap_in_use_mb();
-  LoadDriver driver(module_settings(most_module_gateways(options)), options.seed);
+  LoadDriver driver(module_settings(max_module_gateways(options)), options.seed);
   recorder.add("list_first", sizes, driver.notify(list) / 1e3, "ms");
   recorder.add("memory", sizes, heap_in_use_mb() - heap_before, "MB");
   const double list_again_us = median_cpu_us(options, [&] { driver.notify(list); });
@@ -38,9 +39,10 @@
   recorder.add("avoided", sizes, avoided_us, "us");
 }
 
-// A change between two settings that differ in one class, there and back.
+// Returns the processor time of a change of the settings. Alternates between two settings that
+// differ in one class, so that each event is a change.
 double measure_settings_change_us(const Options& options, LoadDriver& driver, std::size_t classes) {
-  SettingsChanged settings{module_settings(most_module_gateways(options), classes)};
+  SettingsChanged settings{module_settings(max_module_gateways(options), classes)};
   SettingsChanged changed = settings;
   changed.settings.classes[classes / 2].latency_objective += kMillisecond;
   const std::array<Event, 2> events = {std::move(settings), std::move(changed)};
@@ -55,7 +57,7 @@
                      std::size_t classes) {
   const MeasuredSizes sizes = {{"classes", double(classes)}};
   const double heap_before = heap_in_use_mb();
-  LoadDriver driver(module_settings(most_module_gateways(options), classes), options.seed);
+  LoadDriver driver(module_settings(max_module_gateways(options), classes), options.seed);
   recorder.add("memory", sizes, heap_in_use_mb() - heap_before, "MB");
   driver.notify(complete_list(kServers));
   const double change_us = measure_settings_change_us(options, driver, classes);
@@ -66,17 +68,17 @@
 void measure_tenants(const Options& options, const MeasurementRecorder& recorder,
                      std::size_t tenants, const TimeBudget& budget) {
   const MeasuredSizes sizes = {{"tenants", double(tenants)}};
-  LoadDriver driver = driver_with_servers(options.seed, kServers, most_module_gateways(options));
+  LoadDriver driver = driver_with_servers(options.seed, kServers, max_module_gateways(options));
   const double heap_before = heap_in_use_mb();
-  // All within a second of the driver's time, because a tenant that is silent for long is
-  // forgotten.
+  // All requests arrive within a second of the driver's clock, because the module forgets a tenant
+  // that sends no requests for a long time.
   const Micros interval = std::max<Micros>(1, kSecond / Micros(tenants));
   std::vector<double> arrivals_us;
   for (std::size_t i = 0; i < tenants && !budget.is_exhausted(); ++i) {
     arrivals_us.push_back(driver.request(i));
     driver.run_until(driver.now() + interval);
   }
-  driver.run_until(driver.now() + kAnswersTime);
+  driver.run_until(driver.now() + kQuiesceTime);
   recorder.add("memory", sizes, heap_in_use_mb() - heap_before, "MB");
   recorder.add("arrival", sizes, median(arrivals_us), "us");
   recorder.add("look", sizes, largest(driver.maintenance_us()), "us");
@@ -93,7 +95,7 @@
                double(Target{}.servers));
 }
 
-// A service's routes are classes of the settings.
+// The routes of the operators' services are request classes of the settings.
 void measure_module_classes(const Options& options, Report& report) {
   const TimeBudget budget(options, kDefaultSeconds);
   const MeasurementRecorder recorder(report, "module.classes");
--- a/scale/module/module_inputs.cpp
+++ b/scale/module/module_inputs.cpp
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr std::size_t kFirstServerNumber = 100'000'000;
-constexpr std::size_t kKinds = 3;
+constexpr std::size_t kHardwareGenerations = 3;
 constexpr std::size_t kCells = 64;
-constexpr std::size_t kServices = 6'100;  // over which classes are spread; the operators' target
+constexpr std::size_t kServices = 6'100;  // that classes are spread over; the operators' target
 
-// More than any slope draws from it: what is measured is the cost of deciding, not of rejecting.
-constexpr double kQuota = 1e6;
+// Rate and burst of the plan's quota. Higher than any scenario needs, because the scenarios measure
+// the cost of dispatching requests, not of rejecting them.
+constexpr double kPlanQuota = 1e6;
 
 std::string zone_of(std::size_t server) {
   const auto letter = char('a' + server % kZones);
@@ -44,7 +45,7 @@
   EndpointEntry entry;
   entry.server = numbered_name("s-", kFirstServerNumber + index);
   entry.zone = zone_of(index);
-  entry.hardware_generation = numbered_name("m", index % kKinds);
+  entry.hardware_generation = numbered_name("m", index % kHardwareGenerations);
   entry.cell = std::int64_t(index % kCells);
   return entry;
 }
@@ -69,8 +70,8 @@
   }
   PlanSettings plan;
   plan.name = kPlanName;
-  plan.quota_rate = kQuota;
-  plan.quota_burst = kQuota;
+  plan.quota_rate = kPlanQuota;
+  plan.quota_burst = kPlanQuota;
   settings.plans.push_back(plan);
   settings.gateway_count = int(gateways);
   settings.gateway_index = int(gateways / 3);
--- a/scale/module/module_sizes.cpp
+++ b/scale/module/module_sizes.cpp
@@ -1,20 +1,21 @@
-// Sizes of the decision module's slopes, and estimates of what they take.
+// Sizes at which the decision module's scenarios measure, and estimates of the memory that they
+// need.
 #include "module/module_slopes.hpp"
 #include "slope_sizes.hpp"
 
 namespace quota_gateway::scale {
 namespace {
 
-constexpr std::size_t kFewGateways = 300;
+constexpr std::size_t kSmallFleetGateways = 300;
 
-// Measured, and rounded up, in bytes.
-constexpr double kBase = 30e6;
-constexpr double kPerServer = 3'000;
-constexpr double kPerClass = 2'500;
-constexpr double kPerTenant = 1'500;
+// Estimates of memory in bytes, rounded up.
+constexpr double kBaseBytes = 30e6;
+constexpr double kBytesPerServer = 3'000;
+constexpr double kBytesPerClass = 2'500;
+constexpr double kBytesPerTenant = 1'500;
 
 std::uint64_t memory_of(double bytes_per_item, const std::vector<std::size_t>& counts) {
-  return to_bytes(kBase + bytes_per_item * double(counts.back()));
+  return to_bytes(kBaseBytes + bytes_per_item * double(counts.back()));
 }
 
 }  // namespace
@@ -23,10 +24,10 @@
   if (options.gateways > 0) {
     return {options.gateways};
   }
-  return {kFewGateways, Target{}.gateways};
+  return {kSmallFleetGateways, Target{}.gateways};
 }
 
-std::size_t most_module_gateways(const Options& options) {
+std::size_t max_module_gateways(const Options& options) {
   return module_gateway_counts(options).back();
 }
 
@@ -46,15 +47,15 @@
 }
 
 std::uint64_t module_server_memory(const Options& options) {
-  return memory_of(kPerServer, server_counts(options));
+  return memory_of(kBytesPerServer, server_counts(options));
 }
 
 std::uint64_t module_class_memory(const Options& options) {
-  return memory_of(kPerClass, module_class_counts(options));
+  return memory_of(kBytesPerClass, module_class_counts(options));
 }
 
 std::uint64_t module_tenant_memory(const Options& options) {
-  return memory_of(kPerTenant, module_tenant_counts(options));
+  return memory_of(kBytesPerTenant, module_tenant_counts(options));
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/module/request_cost.cpp
+++ b/scale/module/request_cost.cpp
@@ -1,4 +1,5 @@
-// What a request costs the decision module, with idle servers and with full ones.
+// The module.request scenario: what a request costs the decision module, with idle servers and with
+// servers at capacity.
 #include <algorithm>
 #include <random>
 #include <string>
@@ -14,15 +15,15 @@
 namespace {
 
 constexpr double kDefaultSeconds = 240;
-// us of a server at capacity; an idle one takes kIdleServiceTime.
+// Service time of a server at capacity, in us; that of an idle server is kIdleServiceTime.
 constexpr Micros kFullServiceTime = 100 * kMillisecond;
-// After this much time at full servers as many requests are held as will be.
+// Time with servers at capacity after which the number of held requests no longer grows, in us.
 constexpr Micros kSettleTime = kSecond;
-// Until the first totals of the counter and the first responses have come.
+// Requests sent before measuring, until the first counter totals and responses have arrived.
 constexpr std::size_t kWarmupRequests = 60;
-constexpr std::size_t kLeastRequests = 10;
-// A median and a 99th percentile of fewer requests are noted as such.
-constexpr std::size_t kEnoughRequests = 100;
+constexpr std::size_t kMinRequests = 10;
+// If the median and the 99th percentile are taken from fewer requests, the report notes it.
+constexpr std::size_t kMinPercentileRequests = 100;
 
 enum class ServerLoad { kIdle, kFull };
 
@@ -32,8 +33,9 @@
   ServerLoad load = ServerLoad::kIdle;
 };
 
-// us between requests. Full: twice what the servers' share of this gateway bears, at the operators'
-// rate at least, so that requests are held. Idle: half of what that share bears at the most.
+// Returns the time between requests in us. With full servers, the rate is twice the capacity of
+// this gateway's share of the servers and at least the operators' target rate, so that requests are
+// held. With idle servers, the rate is at most half of the capacity of that share.
 Micros request_interval(const RequestPoint& point) {
   const double own_servers = 2.0 * double(point.servers) / double(point.gateways);
   const bool full = point.load == ServerLoad::kFull;
@@ -48,7 +50,7 @@
   RequestTrial(const Options& options, const RequestPoint& point)
       : point_(point),
         cpu_budget_us_(options.small ? 0.3e6 : 3e6),
-        most_requests_(options.small ? 200 : 2'000),
+        max_requests_(options.small ? 200 : 2'000),
         interval_(request_interval(point)),
         random_(options.seed),
         driver_(driver_with_servers(options.seed, point.servers, point.gateways)) {}
@@ -71,7 +73,8 @@
   }
 
  private:
-  // Lets the time between two requests pass and sends one. Returns the us of its arrival.
+  // Advances the clock by the request interval and sends a request. Returns the processor time of
+  // its arrival in us.
   double next_request(std::optional<double> cpu_budget_us) {
     driver_.run_until(driver_.now() + interval_, cpu_budget_us);
     return driver_.request(random_() % kTenantsPerGateway);
@@ -91,9 +94,9 @@
 
   void send_requests(const TimeBudget& budget) {
     const double cpu_before = driver_.cpu_us();
-    while (arrivals_us_.size() < most_requests_ && !budget.is_exhausted()) {
+    while (arrivals_us_.size() < max_requests_ && !budget.is_exhausted()) {
       const bool cpu_left = driver_.cpu_us() - cpu_before < cpu_budget_us_;
-      if (arrivals_us_.size() >= kLeastRequests && !cpu_left) {
+      if (arrivals_us_.size() >= kMinRequests && !cpu_left) {
         return;
       }
       arrivals_us_.push_back(next_request(cpu_budget_us_));
@@ -113,7 +116,7 @@
     if (!full) {
       recorder.add("look", sizes, median(driver_.maintenance_us()), "us");
     }
-    if (arrivals_us_.size() < kEnoughRequests || !settled_) {
+    if (arrivals_us_.size() < kMinPercentileRequests || !settled_) {
       note_shortfall(recorder);
     }
   }
@@ -121,24 +124,25 @@
   void note_shortfall(const MeasurementRecorder& recorder) const {
     recorder.note("at " + std::to_string(point_.servers) + " servers, " +
                   std::to_string(point_.gateways) + " gateways, " +
-                  (point_.load == ServerLoad::kFull ? "full" : "idle") +
-                  ": the time was up after " + std::to_string(arrivals_us_.size()) + " requests" +
-                  (settled_ ? "" : ", before as many were held as would be"));
+                  (point_.load == ServerLoad::kFull ? "full" : "idle") + ": time ran out after " +
+                  std::to_string(arrivals_us_.size()) + " requests" +
+                  (settled_ ? "" : ", before the number of held requests stopped growing"));
   }
 
   const RequestPoint point_;
   const double cpu_budget_us_;
-  const std::size_t most_requests_;
+  const std::size_t max_requests_;
   const Micros interval_;
   std::mt19937_64 random_;
   LoadDriver driver_;
-  bool settled_ = true;  // as many requests are held as will be
+  bool settled_ = true;  // whether the number of held requests no longer grows
   std::vector<double> arrivals_us_;
-  double requests_us_ = 0;  // of all events but periodic maintenance
+  double requests_us_ = 0;  // of all events except periodic maintenance
   std::size_t held_ = 0;
 };
 
-// Without this, the first point would pay for caches and a clock rate that the others find warm.
+// Measures a point and discards the result, so that the first reported point does not include the
+// cost of cold caches and a low processor frequency.
 void warm_up(const Options& options, const TimeBudget& budget) {
   Report discarded(nullptr);
   const RequestPoint point = {server_counts(options).front(),
--- a/scale/process/class_count_slope.cpp
+++ b/scale/process/class_count_slope.cpp
@@ -1,4 +1,5 @@
-// How start, memory and SIGHUP of a gateway process grow with the classes of its settings.
+// The process.settings scenario: start, memory and SIGHUP of a gateway process by the number of
+// classes in its settings.
 #include "measurement_recorder.hpp"
 #include "process/gateway_environment.hpp"
 #include "process/gateway_measurements.hpp"
--- a/scale/process/endless_list_agent.cpp
+++ b/scale/process/endless_list_agent.cpp
@@ -14,9 +14,9 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// Small, so that little is counted as drawn that never leaves the kernel.
-constexpr int kSendBuffer = 16 << 10;         // bytes
-constexpr std::size_t kChunkEntries = 8'000;  // bytes of entries in a chunk, at least
+// Small, because bytes in the send buffer count as sent although they may never leave the kernel.
+constexpr int kSendBufferBytes = 16 << 10;
+constexpr std::size_t kMinChunkBytes = 8'000;  // of entries
 
 std::string list_entry(std::size_t number) {
   return R"({"id":"s-)" + std::to_string(number) +
@@ -37,7 +37,7 @@
   tcp::socket socket;
   std::string request;
   std::string unsent;
-  std::size_t entries = 0;  // of the list so far
+  std::size_t entries = 0;  // generated for the list so far
 };
 
 EndlessListAgent::EndlessListAgent(asio::io_context& io)
@@ -55,7 +55,7 @@
       return;
     }
     error_code ignored;
-    socket.set_option(asio::socket_base::send_buffer_size(kSendBuffer), ignored);
+    socket.set_option(asio::socket_base::send_buffer_size(kSendBufferBytes), ignored);
     read_request(std::make_shared<Watch>(std::move(socket)));
     accept();
   });
@@ -79,12 +79,12 @@
 
 void EndlessListAgent::write(const std::shared_ptr<Watch>& watch) {
   const auto on_written = [this, watch](error_code error, std::size_t written) {
-    bytes_drawn_ += written;
+    bytes_sent_ += written;
     if (error) {
       return;
     }
     std::string entries;
-    while (entries.size() < kChunkEntries) {
+    while (entries.size() < kMinChunkBytes) {
       if (watch->entries > 0) {
         entries += ",";
       }
--- a/scale/process/endless_list_agent.hpp
+++ b/scale/process/endless_list_agent.hpp
@@ -1,5 +1,5 @@
-// A discovery agent whose list never ends, and the bytes that a gateway draws from it. Hosted by an
-// EventLoopThread, on whose event loop all of it runs; its figures are read there too.
+// A fake discovery agent that sends a list without an end and counts the bytes sent. Runs on the
+// event loop of an EventLoopThread; its counts must be read on that loop too.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,11 +15,12 @@
  public:
   explicit EndlessListAgent(boost::asio::io_context& io);
 
+  // The address at which the agent listens.
   std::string host_port() const;
-  // Bytes handed to the kernel so far, in whole chunks; up to the send buffer of each connection
-  // never leaves it.
-  std::uint64_t bytes_drawn() const { return bytes_drawn_; }
-  // Requests for the list so far.
+  // Bytes written to the kernel so far, counted when the write of a chunk completes. For each
+  // connection, up to the size of its send buffer may never leave the kernel.
+  std::uint64_t bytes_sent() const { return bytes_sent_; }
+  // Requests for the list that have arrived so far.
   std::size_t requests() const { return requests_; }
 
  private:
@@ -30,7 +31,7 @@
   void write(const std::shared_ptr<Watch>& watch);
 
   boost::asio::ip::tcp::acceptor acceptor_;
-  std::uint64_t bytes_drawn_ = 0;
+  std::uint64_t bytes_sent_ = 0;
   std::size_t requests_ = 0;
 };
 
--- a/scale/process/gateway_config.cpp
+++ b/scale/process/gateway_config.cpp
@@ -3,7 +3,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr Micros kObjective = 3'000'000;  // us, of all classes but the last
+constexpr Micros kLatencyObjective = 3'000'000;  // us, of all classes except the last
 
 std::string class_name(std::size_t index) {
   return index == 0 ? "read" : "route-" + std::to_string(index);
@@ -21,7 +21,7 @@
       text += ",";
     }
     const bool is_last = i + 1 == options.class_count;
-    text += render_class(class_name(i), is_last ? options.last_class_objective : kObjective);
+    text += render_class(class_name(i), is_last ? options.last_class_objective : kLatencyObjective);
   }
   return text;
 }
--- a/scale/process/gateway_config.hpp
+++ b/scale/process/gateway_config.hpp
@@ -1,4 +1,4 @@
-// The configuration file that a measured gateway process is started with. Keeps no state.
+// Renders the configuration file of a measured gateway process. Stateless.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,15 @@
 
 struct GatewayConfigOptions {
   std::string discovery_address;               // host:port
-  std::optional<std::string> counter_address;  // host:port; none: it shares no counter
-  std::optional<std::string> known_list;       // the JSON of the list that it starts with
+  std::optional<std::string> counter_address;  // host:port; nullopt: no shared counter
+  std::optional<std::string> known_list;       // JSON of the list that the gateway starts with
   std::size_t gateway_count = 1;
   std::size_t class_count = 1;
-  // us; of the last class, so that a reload has one that changed.
+  // Latency objective of the last class, in us. Changing it gives a reload one changed class.
   Micros last_class_objective = 3'000'000;
 };
 
-// The text of the file. `listen_address` is host:port.
+// Returns the text of the file. `listen_address` is host:port.
 std::string render_gateway_config(const GatewayConfigOptions& options,
                                   const std::string& listen_address);
 
--- a/scale/process/gateway_environment.cpp
+++ b/scale/process/gateway_environment.cpp
@@ -67,7 +67,7 @@
   return options;
 }
 
-// The whole list as discovery words it.
+// Fetches the complete list from discovery, as JSON.
 std::string GatewayEnvironment::fetch_list() const {
   asio::io_context io;
   tcp::socket socket(io);
--- a/scale/process/gateway_environment.hpp
+++ b/scale/process/gateway_environment.hpp
@@ -1,5 +1,5 @@
-// What a real gateway process needs round it: servers, a discovery agent that lists them, and a
-// counter. Made by each point of a process slope, and ends with it.
+// The environment of a real gateway process: servers, a discovery agent that lists them, and a
+// counter. Each point of a process scenario creates its own.
 #pragma once
 
 #include <cstddef>
@@ -16,26 +16,29 @@
 
 namespace quota_gateway::scale {
 
-constexpr Micros kServerServiceTime = 2'000;  // us from a request's last byte to its answer
+constexpr Micros kServerServiceTime = 2'000;  // us from the last byte of a request to its response
 
-// The servers run on one thread, discovery and counter on another; calls block until it is done
-// there.
+// The servers run on one thread, discovery and the counter on another. Calls block until that
+// thread has carried them out.
 class GatewayEnvironment {
  public:
   explicit GatewayEnvironment(std::size_t listed_servers);
 
-  // As discovery lists the server with this index: up since long ago.
+  // Returns the server with this index as discovery lists it: up, with a start time far in the
+  // past.
   ListedServer listed_server(std::size_t index) const;
-  // Has discovery tell its watchers of one change.
+  // Publishes one change of the list to the watchers of discovery.
   void publish(const std::vector<ListedServer>& entries);
-  // What discovery has sent so far.
+  // Returns what discovery has counted so far.
   FakeDiscovery::Counts discovery_counts();
 
+  // Whether a gateway starts with the complete list of discovery or without a list.
   enum class StartingList { kNone, kKnown };
-  // For a gateway here, one of as many as the operators have for these servers.
+  // Returns the configuration of a gateway in this environment. The number of gateways is the one
+  // that the operators' target has for so many servers.
   GatewayConfigOptions gateway_config(StartingList starting_list) const;
 
-  // A server's own address, for clients that go round the gateway.
+  // The address of a server, for clients that send requests to it directly, without a gateway.
   boost::asio::ip::tcp::endpoint server_address() const { return servers_.address(0); }
 
  private:
--- a/scale/process/gateway_measurements.cpp
+++ b/scale/process/gateway_measurements.cpp
@@ -15,7 +15,7 @@
 void record_start(const MeasurementRecorder& recorder, const MeasuredSizes& sizes,
                   const GatewayProcess& gateway) {
   gateway.wait_until_ready(kReadyTimeoutS);
-  recorder.add("ready", sizes, wall_ms() - gateway.started_at_ms(), "ms");
+  recorder.add("ready", sizes, steady_ms() - gateway.started_at_ms(), "ms");
   gateway.wait_until_idle(kIdleTimeoutS);
   recorder.add("start", sizes, gateway.cpu_ms(), "ms cpu");
   recorder.add("start_resident", sizes, gateway.resident_mb(), "MB");
@@ -36,9 +36,9 @@
 
 double measure_idle_cpu(const GatewayProcess& gateway, double duration_s) {
   const double cpu_before = gateway.cpu_ms();
-  const double started_at = wall_ms();
+  const double started_at = steady_ms();
   sleep_ms(1e3 * duration_s);
-  return (gateway.cpu_ms() - cpu_before) / (wall_ms() - started_at) * 1e3;
+  return (gateway.cpu_ms() - cpu_before) / (steady_ms() - started_at) * 1e3;
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/process/gateway_process.cpp
+++ b/scale/process/gateway_process.cpp
@@ -29,32 +29,33 @@
 using Kind = GatewayProcessError::Kind;
 
 constexpr unsigned short kPort = 8080;
-constexpr int kExecFailed = 127;  // the exit code, as of a shell
+constexpr int kExecFailedExitCode = 127;  // as a shell reports it
 constexpr mode_t kLogMode = 0600;
-// A process is idle if it spends less than this between two looks.
+// A process is idle if it uses less than kIdleCpuMs of processor time between two checks.
 constexpr double kIdleCpuMs = 10;
-constexpr double kIdleLookMs = 100;
-// Above the trace ids that clients of the slopes use.
-constexpr std::uint64_t kFirstTraceId = (std::uint64_t(1) << 40) + 1;
+constexpr double kIdleCheckIntervalMs = 100;
+// Above the trace ids of the scenarios' clients, because no two requests may share one.
+constexpr std::uint64_t kFirstProbeTraceId = (std::uint64_t(1) << 40) + 1;
 constexpr std::uint64_t kProbeExpiresInMs = 300;
-constexpr std::size_t kLogExcerpt = 400;  // bytes
-// What the gateway logs of a reload: either of two lines that begin so; this one if it failed.
-constexpr const char* kReloadLine = "configuration ";
-constexpr const char* kReloadRejectedLine = "configuration reload failed";
+constexpr std::size_t kLogExcerptBytes = 400;
+// Texts in the gateway's log: of each reload, and of one that failed.
+constexpr const char* kReloadLogText = "configuration ";
+constexpr const char* kReloadFailedLogText = "configuration reload failed";
 
 std::string make_folder() {
   const auto name = std::filesystem::temp_directory_path() / "quota_gateway-scale-XXXXXX";
   std::string path = name.string();
   if (::mkdtemp(path.data()) == nullptr) {
-    throw GatewayProcessError(Kind::kNotStarted, "no folder could be made: " + path);
+    throw GatewayProcessError(Kind::kNotStarted,
+                              "cannot create a folder for the gateway process: " + path);
   }
   return path;
 }
 
-// A loopback address for each process, because a port that the kernel hands out could be taken by
-// anybody before the process binds it.
-std::string next_host() {
-  constexpr unsigned kOctetValues = 250;  // of 1 to 250
+// Returns a different loopback address for each process. If the kernel picked a free port instead,
+// another process could bind that port before the gateway does.
+std::string next_loopback_host() {
+  constexpr unsigned kOctetValues = 250;  // 1 to 250
   static std::atomic<unsigned> processes = 0;
   const auto own_pid = unsigned(::getpid());
   const auto octet = [](unsigned number) {
@@ -71,7 +72,7 @@
 }
 
 ReadRequest next_probe() {
-  static std::atomic<std::uint64_t> trace_id = kFirstTraceId;
+  static std::atomic<std::uint64_t> trace_id = kFirstProbeTraceId;
   ReadRequest probe;
   probe.trace_id = trace_id++;
   probe.expires_in_ms = kProbeExpiresInMs;
@@ -81,12 +82,12 @@
 }  // namespace
 
 GatewayProcess::GatewayProcess(const std::string& program, const GatewayConfigOptions& config)
-    : folder_(make_folder()), host_(next_host()) {
+    : folder_(make_folder()), host_(next_loopback_host()) {
   write_config(config);
-  started_at_ms_ = wall_ms();
+  started_at_ms_ = steady_ms();
   pid_ = ::fork();
   if (pid_ < 0) {
-    throw GatewayProcessError(Kind::kNotStarted, "no process could be started");
+    throw GatewayProcessError(Kind::kNotStarted, "cannot start the gateway process: fork failed");
   }
   if (pid_ == 0) {
     exec_program(program);
@@ -101,7 +102,7 @@
 }
 
 void GatewayProcess::exec_program(const std::string& program) const {
-  // Without this, gateways would outlive a measurement that is killed.
+  // Ends the gateway when the measuring process is killed, so that no gateway is left running.
   ::prctl(PR_SET_PDEATHSIG, SIGKILL);
   const int log = ::open(log_path().c_str(), O_WRONLY | O_CREAT | O_APPEND, kLogMode);
   ::dup2(log, STDOUT_FILENO);
@@ -109,7 +110,7 @@
   ::setenv("RELAY_CONFIG", config_path().c_str(), 1);
   ::setenv("TMPDIR", folder_.c_str(), 1);
   ::execl(program.c_str(), program.c_str(), nullptr);
-  ::_exit(kExecFailed);
+  ::_exit(kExecFailedExitCode);
 }
 
 tcp::endpoint GatewayProcess::endpoint() const {
@@ -123,26 +124,27 @@
 
 void GatewayProcess::reload(const GatewayConfigOptions& config, double timeout_s) {
   write_config(config);
-  const std::size_t reloads_before = count_in_log(kReloadLine);
+  const std::size_t reloads_before = count_in_log(kReloadLogText);
   ::kill(pid_, SIGHUP);
   const bool is_done =
-      poll_until(timeout_s, [&] { return count_in_log(kReloadLine) > reloads_before; });
-  if (!is_done || count_in_log(kReloadRejectedLine) > 0) {
-    throw GatewayProcessError(Kind::kReloadRejected, "a configuration was not taken");
+      poll_until(timeout_s, [&] { return count_in_log(kReloadLogText) > reloads_before; });
+  if (!is_done || count_in_log(kReloadFailedLogText) > 0) {
+    throw GatewayProcessError(Kind::kReloadRejected,
+                              "the gateway rejected a configuration or did not reload it in time");
   }
 }
 
 bool GatewayProcess::is_ready() const {
-  return answers_with_200("GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
+  return responds_with_200("GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
 }
 
 bool GatewayProcess::is_serving() const {
-  return answers_with_200(render(next_probe()));
+  return responds_with_200(render(next_probe()));
 }
 
 bool GatewayProcess::is_running() const {
-  // Left to be waited for until the destructor, so that its id cannot become that of another
-  // process, which the destructor would kill.
+  // WNOWAIT leaves the process to be reaped by the destructor. Otherwise its id could pass to
+  // another process, and the destructor would kill that one.
   siginfo_t ended{};
   const int status = ::waitid(P_PID, id_t(pid_), &ended, WEXITED | WNOHANG | WNOWAIT);
   return status == 0 && ended.si_pid == 0;
@@ -151,7 +153,8 @@
 void GatewayProcess::wait_until_ready(double timeout_s) const {
   const bool stopped_waiting = poll_until(timeout_s, [&] { return !is_running() || is_ready(); });
   if (!stopped_waiting || !is_running()) {
-    throw GatewayProcessError(Kind::kNotReady, "a gateway was not ready in time");
+    throw GatewayProcessError(Kind::kNotReady,
+                              "the gateway did not become ready in time or has ended");
   }
 }
 
@@ -162,7 +165,7 @@
 void GatewayProcess::wait_until_idle(double timeout_s) const {
   double previous = cpu_ms();
   poll_until(timeout_s, [&] {
-    sleep_ms(kIdleLookMs);
+    sleep_ms(kIdleCheckIntervalMs);
     const double spent = cpu_ms();
     const bool is_idle = previous + kIdleCpuMs > spent;
     previous = spent;
@@ -173,8 +176,8 @@
 double GatewayProcess::cpu_ms() const {
   const std::optional<double> spent = process_cpu_ms(pid_);
   if (!spent || !is_running()) {
-    throw GatewayProcessError(
-        Kind::kEnded, "the gateway has ended: " + read_file(log_path()).substr(0, kLogExcerpt));
+    throw GatewayProcessError(Kind::kEnded, "the gateway has ended; its log begins with: " +
+                                                read_file(log_path()).substr(0, kLogExcerptBytes));
   }
   return *spent;
 }
@@ -191,7 +194,7 @@
   scale::reset_peak_resident(pid_);
 }
 
-bool GatewayProcess::answers_with_200(const std::string& request) const {
+bool GatewayProcess::responds_with_200(const std::string& request) const {
   asio::io_context io;
   tcp::socket socket(io);
   error_code error;
--- a/scale/process/gateway_process.hpp
+++ b/scale/process/gateway_process.hpp
@@ -1,6 +1,6 @@
-// A real gateway as a process of its own: starts it, asks whether it is ready, reloads its
-// configuration, and reads what it has used. Each process slope owns those that it measures; they
-// end with it.
+// Runs a real gateway in a process of its own: starts it, checks whether it is ready, reloads its
+// configuration, and reads its processor time and memory. Owned by the scenario that measures it;
+// the destructor ends the process.
 #pragma once
 
 #include <sys/types.h>
@@ -14,14 +14,14 @@
 
 namespace quota_gateway::scale {
 
-// A gateway process did not do what its measurement needs.
+// A gateway process did not reach the state that a measurement needs.
 class GatewayProcessError : public std::runtime_error {
  public:
   enum class Kind {
-    kNotStarted,      // the system gave no folder or process for it
-    kNotReady,        // it did not become ready in time
-    kReloadRejected,  // it did not take a configuration, or not in time
-    kEnded            // it ended by itself; the message holds the beginning of its log
+    kNotStarted,      // its working folder or its process could not be created
+    kNotReady,        // it did not become ready in time, or ended before
+    kReloadRejected,  // it rejected a configuration, or did not load it in time
+    kEnded            // it ended by itself; the message contains the beginning of its log
   };
   GatewayProcessError(Kind kind, const std::string& message)
       : std::runtime_error(message), kind_(kind) {}
@@ -31,38 +31,40 @@
   Kind kind_;
 };
 
-// Its folder, with the configuration, the log and the hot-restart socket, is below the system's
-// folder for temporary files, and is removed with it. All calls block.
+// The process has a folder for its configuration, its log and its hot-restart socket below the
+// system's folder for temporary files. The destructor removes that folder. All calls block.
 class GatewayProcess {
  public:
-  // Throws GatewayProcessError kNotStarted. A program that cannot be run ends with code 127.
+  // Throws GatewayProcessError kNotStarted. If the program cannot be run, the process ends with
+  // exit code 127.
   GatewayProcess(const std::string& program, const GatewayConfigOptions& config);
   ~GatewayProcess();
   GatewayProcess(const GatewayProcess&) = delete;
   GatewayProcess& operator=(const GatewayProcess&) = delete;
 
   boost::asio::ip::tcp::endpoint endpoint() const;
-  // By wall_ms().
+  // On the clock of steady_ms().
   double started_at_ms() const { return started_at_ms_; }
 
-  // Has it load the configuration by SIGHUP. Throws kReloadRejected if it has not within
-  // `timeout_s`.
+  // Writes the configuration and sends SIGHUP. Throws kReloadRejected if the gateway rejects the
+  // configuration or has not loaded it within `timeout_s`.
   void reload(const GatewayConfigOptions& config, double timeout_s);
 
+  // Whether the gateway answers its health check with status 200.
   bool is_ready() const;
-  // Throws kNotReady if it is not within `timeout_s`, or has ended.
+  // Throws kNotReady if the gateway is not ready within `timeout_s`, or has ended.
   void wait_until_ready(double timeout_s) const;
-  // Whether it serves a request within `timeout_s`. A gateway that knows no server says that it is
-  // ready once its discovery agent is late, so that being ready does not show that it has a list.
+  // Whether the gateway serves a request within `timeout_s`. Being ready does not show that it has
+  // a list: a gateway that knows no server reports ready once its discovery agent is late.
   bool wait_until_serving(double timeout_s) const;
-  // Waits until it spends next to no processor time, for `timeout_s` at most. Throws kEnded.
+  // Waits until the gateway uses almost no processor time, for at most `timeout_s`. Throws kEnded.
   void wait_until_idle(double timeout_s) const;
 
   // Processor time so far. Throws kEnded.
   double cpu_ms() const;
   // MB of 1e6 bytes.
   double resident_mb() const;
-  double peak_resident_mb() const;  // since its start or reset_peak_resident()
+  double peak_resident_mb() const;  // since the start or the last reset_peak_resident()
   void reset_peak_resident() const;
 
  private:
@@ -72,8 +74,8 @@
   [[noreturn]] void exec_program(const std::string& program) const;
   bool is_running() const;
   bool is_serving() const;
-  // Whether it answers these bytes, sent on a connection of their own, with status 200.
-  bool answers_with_200(const std::string& request) const;
+  // Sends the bytes on a new connection. Returns whether the gateway responds with status 200.
+  bool responds_with_200(const std::string& request) const;
   std::size_t count_in_log(const std::string& text) const;
 
   std::string folder_;
--- a/scale/process/loopback_servers.cpp
+++ b/scale/process/loopback_servers.cpp
@@ -25,13 +25,13 @@
 constexpr std::string_view kLoopbackDevice = "lo";
 constexpr std::string_view kResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 constexpr std::uint32_t kFirstAddress = (127U << 24) + (64U << 16);  // 127.64.0.0
-constexpr std::uint32_t kAddresses = 64U << 16;                      // up to 127.127.255.255
+constexpr std::uint32_t kAddressCount = 64U << 16;                   // up to 127.127.255.255
 
 void bind_to_loopback_device(tcp::acceptor& acceptor) {
   if (::setsockopt(acceptor.native_handle(), SOL_SOCKET, SO_BINDTODEVICE, kLoopbackDevice.data(),
                    kLoopbackDevice.size()) != 0) {
     throw std::system_error(errno, std::generic_category(),
-                            "no socket could be bound to the loopback device");
+                            "cannot bind a socket to the loopback device");
   }
 }
 
@@ -57,7 +57,7 @@
 }
 
 tcp::endpoint LoopbackServers::address(std::size_t index) const {
-  const std::uint32_t host = kFirstAddress + std::uint32_t(index % kAddresses);
+  const std::uint32_t host = kFirstAddress + std::uint32_t(index % kAddressCount);
   return {asio::ip::address_v4(host), port_};
 }
 
@@ -82,21 +82,21 @@
   http::async_read(connection->socket, connection->buffer, connection->request,
                    [this, connection](error_code error, std::size_t) {
                      if (!error) {
-                       answer_later(connection);
+                       schedule_response(connection);
                      }
                    });
 }
 
-void LoopbackServers::answer_later(const std::shared_ptr<Connection>& connection) {
+void LoopbackServers::schedule_response(const std::shared_ptr<Connection>& connection) {
   connection->service_timer.expires_after(std::chrono::microseconds(service_time_));
   connection->service_timer.async_wait([this, connection](error_code error) {
     if (!error) {
-      answer(connection);
+      send_response(connection);
     }
   });
 }
 
-void LoopbackServers::answer(const std::shared_ptr<Connection>& connection) {
+void LoopbackServers::send_response(const std::shared_ptr<Connection>& connection) {
   asio::async_write(connection->socket, asio::buffer(kResponse),
                     [this, connection](error_code error, std::size_t) {
                       if (!error) {
--- a/scale/process/paced_client.cpp
+++ b/scale/process/paced_client.cpp
@@ -29,9 +29,9 @@
 
 }  // namespace
 
-// A connection and the request on it.
-struct PacedClient::Call {
-  explicit Call(asio::io_context& io) : socket(io) {}
+// A connection and its current request.
+struct PacedClient::Connection {
+  explicit Connection(asio::io_context& io) : socket(io) {}
   tcp::socket socket;
   boost::beast::flat_buffer buffer;
   std::string request;
@@ -59,78 +59,78 @@
   });
 }
 
-std::shared_ptr<PacedClient::Call> PacedClient::free_call() {
-  if (idle_calls_.empty()) {
-    return std::make_shared<Call>(io_);
+std::shared_ptr<PacedClient::Connection> PacedClient::idle_connection() {
+  if (idle_connections_.empty()) {
+    return std::make_shared<Connection>(io_);
   }
-  std::shared_ptr<Call> call = std::move(idle_calls_.back());
-  idle_calls_.pop_back();
-  return call;
+  std::shared_ptr<Connection> connection = std::move(idle_connections_.back());
+  idle_connections_.pop_back();
+  return connection;
 }
 
 void PacedClient::start_request(Micros due) {
   ReadRequest request;
   request.customer = started_ % kTenantsPerGateway + 1;
   request.trace_id = started_ + 1;
-  const std::shared_ptr<Call> call = free_call();
-  call->due = due;
-  call->request = render(request);
-  if (call->socket.is_open()) {
-    send(call);
+  const std::shared_ptr<Connection> connection = idle_connection();
+  connection->due = due;
+  connection->request = render(request);
+  if (connection->socket.is_open()) {
+    send(connection);
   } else {
-    connect(call);
+    connect(connection);
   }
 }
 
-void PacedClient::connect(const std::shared_ptr<Call>& call) {
-  call->socket.async_connect(options_.server, [this, call](error_code error) {
+void PacedClient::connect(const std::shared_ptr<Connection>& connection) {
+  connection->socket.async_connect(options_.server, [this, connection](error_code error) {
     if (error) {
-      on_error(call);
+      on_error(connection);
       return;
     }
-    call->socket.set_option(tcp::no_delay(true));
-    send(call);
+    connection->socket.set_option(tcp::no_delay(true));
+    send(connection);
   });
 }
 
-void PacedClient::send(const std::shared_ptr<Call>& call) {
-  asio::async_write(call->socket, asio::buffer(call->request),
-                    [this, call](error_code error, std::size_t) {
+void PacedClient::send(const std::shared_ptr<Connection>& connection) {
+  asio::async_write(connection->socket, asio::buffer(connection->request),
+                    [this, connection](error_code error, std::size_t) {
                       if (error) {
-                        on_error(call);
+                        on_error(connection);
                         return;
                       }
-                      receive(call);
+                      receive(connection);
                     });
 }
 
-void PacedClient::receive(const std::shared_ptr<Call>& call) {
-  call->response = {};
-  http::async_read(call->socket, call->buffer, call->response,
-                   [this, call](error_code error, std::size_t) {
+void PacedClient::receive(const std::shared_ptr<Connection>& connection) {
+  connection->response = {};
+  http::async_read(connection->socket, connection->buffer, connection->response,
+                   [this, connection](error_code error, std::size_t) {
                      if (error) {
-                       on_error(call);
+                       on_error(connection);
                        return;
                      }
-                     on_response(call);
+                     on_response(connection);
                    });
 }
 
-void PacedClient::on_response(const std::shared_ptr<Call>& call) {
+void PacedClient::on_response(const std::shared_ptr<Connection>& connection) {
   ++completed_;
-  if (call->response.result() == http::status::ok) {
-    latencies_ms_.push_back(double(steady_now() - call->due) / 1e3);
+  if (connection->response.result() == http::status::ok) {
+    latencies_ms_.push_back(double(steady_now() - connection->due) / 1e3);
   }
-  if (call->response.keep_alive()) {
-    idle_calls_.push_back(call);
+  if (connection->response.keep_alive()) {
+    idle_connections_.push_back(connection);
   } else {
-    close(call->socket);
+    close(connection->socket);
   }
 }
 
-void PacedClient::on_error(const std::shared_ptr<Call>& call) {
+void PacedClient::on_error(const std::shared_ptr<Connection>& connection) {
   ++completed_;
-  close(call->socket);
+  close(connection->socket);
 }
 
 }  // namespace quota_gateway::scale
--- a/scale/process/polling.cpp
+++ b/scale/process/polling.cpp
@@ -8,7 +8,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr double kPollMs = 2;
+constexpr double kPollIntervalMs = 2;
 
 }  // namespace
 
@@ -16,17 +16,17 @@
   std::this_thread::sleep_for(std::chrono::duration<double, std::milli>(duration_ms));
 }
 
-double wall_ms() {
+double steady_ms() {
   return double(steady_now()) / 1e3;
 }
 
 bool poll_until(double timeout_s, const std::function<bool()>& condition) {
-  const double end_ms = wall_ms() + 1e3 * timeout_s;
+  const double end_ms = steady_ms() + 1e3 * timeout_s;
   while (!condition()) {
-    if (wall_ms() > end_ms) {
+    if (steady_ms() > end_ms) {
       return false;
     }
-    sleep_ms(kPollMs);
+    sleep_ms(kPollIntervalMs);
   }
   return true;
 }
--- a/scale/process/polling.hpp
+++ b/scale/process/polling.hpp
@@ -1,5 +1,5 @@
-// Waiting and the wall clock, for slopes of processes that are watched from outside. Keeps no
-// state. Blocks the calling thread, so it must not be called from an event loop.
+// Sleeping, polling and a clock, for scenarios that observe other processes. Stateless. Blocks the
+// calling thread, so it must not be called on an event loop.
 #pragma once
 
 #include <functional>
@@ -8,10 +8,11 @@
 
 void sleep_ms(double duration_ms);
 
-// A clock that only goes forward, in ms; its zero means nothing.
-double wall_ms();
+// A monotonic clock in ms with an arbitrary origin.
+double steady_ms();
 
-// Asks `condition` every 2 ms until it holds, for `timeout_s` seconds at most. Whether it held.
+// Checks `condition` every 2 ms until it holds, for at most `timeout_s` seconds. Returns whether it
+// held.
 bool poll_until(double timeout_s, const std::function<bool()>& condition);
 
 }  // namespace quota_gateway::scale
--- a/scale/process/process_usage.cpp
+++ b/scale/process/process_usage.cpp
@@ -7,7 +7,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-constexpr double kBytesPerKb = 1024;  // as the kernel counts them
+constexpr double kBytesPerKib = 1024;  // the "kB" of /proc are KiB
 
 std::string proc_file(pid_t pid, const std::string& name) {
   return "/proc/" + std::to_string(pid) + "/" + name;
@@ -21,7 +21,7 @@
     }
     double kilobytes = 0;
     if (status >> kilobytes) {
-      return kilobytes * kBytesPerKb / 1e6;
+      return kilobytes * kBytesPerKib / 1e6;
     }
   }
   return 0;
--- a/scale/process/process_usage.hpp
+++ b/scale/process/process_usage.hpp
@@ -1,5 +1,5 @@
-// What another process of this machine has used, by the kernel's accounts. Keeps no state; called
-// by GatewayProcess.
+// Processor time and memory of another process of this machine, as the kernel accounts for them.
+// Stateless; used by GatewayProcess.
 #pragma once
 
 #include <sys/types.h>
@@ -8,11 +8,11 @@
 
 namespace quota_gateway::scale {
 
-// Processor time of all its threads so far, in ms; none if there is no such process.
+// Processor time of all threads of the process so far, in ms; nullopt if there is no such process.
 std::optional<double> process_cpu_ms(pid_t pid);
 
-// Resident memory in MB of 1e6 bytes: now, and at most since the process began or since its peak
-// was reset. 0 if there is no such process.
+// Resident memory in MB of 1e6 bytes: the current value, and the peak since the process started or
+// since reset_peak_resident(). 0 if there is no such process.
 double resident_mb(pid_t pid);
 double peak_resident_mb(pid_t pid);
 void reset_peak_resident(pid_t pid);
--- a/scale/process/request_slope.cpp
+++ b/scale/process/request_slope.cpp
@@ -1,5 +1,5 @@
-// What a gateway process adds to the latency of requests, by listed servers, at rest and while a
-// zone drains.
+// The process.request scenario: the latency that a gateway process adds to requests, by listed
+// servers, with an unchanged list and while a zone drains.
 #include <algorithm>
 #include <cmath>
 #include <functional>
@@ -23,18 +23,18 @@
 namespace {
 
 constexpr double kDefaultSeconds = 180;
-constexpr double kAnswersTimeoutS = 10;  // after the last request is due
+constexpr double kResponseTimeoutS = 10;  // after the last request is due
 
-// All servers of one zone drain, in slices that are spread over `duration_s`.
-void drain_zone(GatewayEnvironment& environment, std::size_t listed, double duration_s) {
-  const std::size_t zone_servers = listed / kZones;
+// Sets all servers of one zone to draining, in slices that are spread over `duration_s`.
+void drain_zone(GatewayEnvironment& environment, std::size_t server_count, double duration_s) {
+  const std::size_t zone_servers = server_count / kZones;
   const std::size_t slices =
       std::max<std::size_t>(1, (zone_servers + kSliceEntries - 1) / kSliceEntries);
   std::vector<ListedServer> slice;
-  for (std::size_t i = 0; i < listed; i += kZones) {
+  for (std::size_t i = 0; i < server_count; i += kZones) {
     slice.push_back(environment.listed_server(i));
     slice.back().phase = Phase::kDraining;
-    const bool is_last = i + kZones >= listed;
+    const bool is_last = i + kZones >= server_count;
     if (slice.size() < kSliceEntries && !is_last) {
       continue;
     }
@@ -44,8 +44,8 @@
   }
 }
 
-// A client's requests for `duration_s` while `meanwhile` runs, and what they waited beyond the
-// server's own time.
+// Sends a client's requests for `duration_s` while `concurrent_work` runs, and records their
+// latency beyond the service time of the server.
 class RequestTrial {
  public:
   RequestTrial(MeasurementRecorder recorder, double duration_s)
@@ -54,12 +54,12 @@
         requests_(std::size_t(kRequestsPerGatewayPerS * duration_s)) {}
 
   void run(const MeasuredSizes& sizes, const boost::asio::ip::tcp::endpoint& server,
-           const std::function<void()>& meanwhile) const {
+           const std::function<void()>& concurrent_work) const {
     EventLoopThread thread;
     auto& client =
         thread.emplace<PacedClient>(PacedClientOptions{server, kRequestsPerGatewayPerS, requests_});
-    meanwhile();
-    poll_until(duration_s_ + kAnswersTimeoutS,
+    concurrent_work();
+    poll_until(duration_s_ + kResponseTimeoutS,
                [&] { return thread.run([&] { return client.is_finished(); }); });
     const auto latencies = thread.run([&] { return client.latencies_ms(); });
     const auto failed = thread.run([&] { return client.failed(); });
@@ -81,7 +81,7 @@
     if (served < requests_) {
       recorder_.note(std::to_string(requests_ - served) + " of " + std::to_string(requests_) +
                      " requests were not served (" + std::to_string(failed) +
-                     " refused or failed)");
+                     " rejected or failed)");
     }
   }
 
@@ -90,33 +90,33 @@
   std::size_t requests_;
 };
 
-MeasuredSizes sizes_of(std::size_t listed, double gateways, double changes) {
-  return {{"servers", double(listed)}, {"gateway", gateways}, {"changes", changes}};
+MeasuredSizes sizes_of(std::size_t server_count, double gateways, double changes) {
+  return {{"servers", double(server_count)}, {"gateway", gateways}, {"changes", changes}};
 }
 
-void measure_point(const Options& options, const MeasurementRecorder& recorder, std::size_t listed,
-                   double duration_s) {
-  const auto nothing = [] {};
+void measure_point(const Options& options, const MeasurementRecorder& recorder,
+                   std::size_t server_count, double duration_s) {
+  const auto no_work = [] {};
   const RequestTrial trial(recorder, duration_s);
-  GatewayEnvironment environment(listed);
-  // Without a gateway: how much of each figure is the client's and the servers' own.
-  trial.run(sizes_of(listed, 0, 0), environment.server_address(), nothing);
+  GatewayEnvironment environment(server_count);
+  // Without a gateway, to show how much of each measurement the client and the servers cause.
+  trial.run(sizes_of(server_count, 0, 0), environment.server_address(), no_work);
 
   const GatewayProcess gateway(
       options.gateway_program,
       environment.gateway_config(GatewayEnvironment::StartingList::kKnown));
   gateway.wait_until_ready(kReadyTimeoutS);
   gateway.wait_until_idle(kIdleTimeoutS);
-  const MeasuredSizes unchanged = sizes_of(listed, 1, 0);
+  const MeasuredSizes unchanged = sizes_of(server_count, 1, 0);
   const double cpu_before = gateway.cpu_ms();
-  trial.run(unchanged, gateway.endpoint(), nothing);
+  trial.run(unchanged, gateway.endpoint(), no_work);
   const double cpu = gateway.cpu_ms() - cpu_before;
   recorder.add("cpu", unchanged, cpu / (kRequestsPerGatewayPerS * duration_s) * 1e3,
                "us cpu/request");
 
-  const double drained = std::ceil(double(listed) / double(kZones));
-  trial.run(sizes_of(listed, 1, drained), gateway.endpoint(),
-            [&] { drain_zone(environment, listed, duration_s / 2); });
+  const double drained = std::ceil(double(server_count) / double(kZones));
+  trial.run(sizes_of(server_count, 1, drained), gateway.endpoint(),
+            [&] { drain_zone(environment, server_count, duration_s / 2); });
 }
 
 }  // namespace
@@ -125,9 +125,9 @@
   const TimeBudget budget(options, kDefaultSeconds);
   const MeasurementRecorder recorder(report, "process.request");
   const double duration_s = options.small ? 0.4 : 6;
-  for (const std::size_t listed : server_counts(options)) {
+  for (const std::size_t server_count : server_counts(options)) {
     if (!budget.is_exhausted()) {
-      measure_point(options, recorder, listed, duration_s);
+      measure_point(options, recorder, server_count, duration_s);
     }
   }
 }
--- a/tests/scale/change_history_test.cpp
+++ b/tests/scale/change_history_test.cpp
@@ -1,4 +1,4 @@
-// How far back the fake discovery agent remembers changes.
+// Tests of ChangeHistory: which changes the fake discovery agent retains.
 #include "change_history.hpp"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 
 using Servers = std::set<ChangeHistory::ServerIndex>;
 
-TEST(ChangeHistoryTest, NamesEachServerOnceThatChangedSinceARevision) {
+TEST(ChangeHistoryTest, ReturnsEachServerChangedSinceARevisionOnce) {
   ChangeHistory history(10, 100);
   history.record(11, {1, 2});
   history.record(12, {2, 3});
@@ -19,7 +19,7 @@
   EXPECT_EQ(history.changed_since(12), Servers{});
 }
 
-TEST(ChangeHistoryTest, ForgetsTheOldestChangesPastItsEntries) {
+TEST(ChangeHistoryTest, ForgetsTheOldestChangesBeyondMaxEntries) {
   ChangeHistory history(10, 3);
   history.record(11, {1});
   history.record(12, {1, 2});
@@ -29,7 +29,7 @@
   EXPECT_TRUE(history.covers(11));
 }
 
-TEST(ChangeHistoryTest, CountsEntriesSinceARevisionThatItCovers) {
+TEST(ChangeHistoryTest, CountsEntriesSinceACoveredRevision) {
   ChangeHistory history(10, 100);
   history.record(11, {1, 2});
   history.record(12, {2, 3});
@@ -39,7 +39,7 @@
   EXPECT_FALSE(history.has_at_most_since(9, 100));
 }
 
-TEST(ChangeHistoryTest, CoversNothingBeforeWhatWasForgotten) {
+TEST(ChangeHistoryTest, DoesNotCoverRevisionsBeforeForgottenChanges) {
   ChangeHistory history(10, 100);
   history.record(11, {1});
   history.forget(11);
--- a/tests/scale/counter_totals_test.cpp
+++ b/tests/scale/counter_totals_test.cpp
@@ -1,4 +1,4 @@
-// Totals of the fake counter by name, and when they end.
+// Tests of CounterTotals: the fake counter's totals by key and their expiry.
 #include "counter_totals.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 constexpr Micros kSecond = 1'000'000;
 constexpr Micros kStart = 7 * kSecond;
 
-TEST(CounterTotalsTest, AddsByName) {
+TEST(CounterTotalsTest, AddsByKey) {
   CounterTotals totals(kStart);
   EXPECT_DOUBLE_EQ(totals.add("a", 2, kSecond, kStart), 2);
   EXPECT_DOUBLE_EQ(totals.add("b", 5, kSecond, kStart), 5);
@@ -17,15 +17,15 @@
   EXPECT_EQ(totals.size(), 2U);
 }
 
-TEST(CounterTotalsTest, ATotalEndsALifetimeAfterItsFirstAddition) {
+TEST(CounterTotalsTest, TotalExpiresOneLifetimeAfterItsFirstAddition) {
   CounterTotals totals(kStart);
   totals.add("a", 1, 2 * kSecond, kStart);
-  // A later addition does not extend it.
+  // A later addition does not extend the lifetime.
   EXPECT_DOUBLE_EQ(totals.add("a", 1, 60 * kSecond, kStart + 2 * kSecond - 1), 2);
   EXPECT_DOUBLE_EQ(totals.add("a", 1, kSecond, kStart + 2 * kSecond), 1);
 }
 
-TEST(CounterTotalsTest, SweepForgetsEndedTotalsOnly) {
+TEST(CounterTotalsTest, SweepRemovesOnlyExpiredTotals) {
   CounterTotals totals(kStart);
   totals.add("short", 1, kSecond, kStart);
   totals.add("long", 1, CounterTotals::kMaxLifetime, kStart);
@@ -39,7 +39,7 @@
   EXPECT_EQ(totals.size(), 0U);
 }
 
-TEST(CounterTotalsTest, SweepKeepsANameThatBeganAnew) {
+TEST(CounterTotalsTest, SweepKeepsAKeyThatWasAddedAgainAfterExpiry) {
   CounterTotals totals(kStart);
   totals.add("a", 1, kSecond, kStart);
   totals.add("a", 1, 10 * kSecond, kStart + kSecond);
--- a/tests/scale/disruptions_test.cpp
+++ b/tests/scale/disruptions_test.cpp
@@ -1,4 +1,4 @@
-// The day that is drawn, and where servers are.
+// Tests of draw_disruptions() and Layout.
 #include "disruptions.hpp"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace quota_gateway::scale {
 namespace {
 
-// Whether a count fits a Poisson distribution of that mean, within five standard deviations.
+// Whether a count fits a Poisson distribution with this mean, within five standard deviations.
 bool fits_mean(std::size_t count, double mean) {
   return std::abs(double(count) - mean) < 5 * std::sqrt(mean);
 }
@@ -24,7 +24,7 @@
   return disruption.cause != Cause::kRegion && disruption.cause != Cause::kConfiguration;
 }
 
-// What a server's change must follow.
+// Returns the change of the same server that must precede this one.
 Change change_before(const Disruption& disruption) {
   if (disruption.change == Change::kUp) {
     return Change::kDown;
@@ -35,7 +35,7 @@
   return Change::kUp;
 }
 
-TEST(DisruptionsTest, HasTheTargetsCountsInOrder) {
+TEST(DisruptionsTest, DrawsTheTargetsCountsInTimeOrder) {
   const Target target;
   const Layout layout = Layout::with_zones_of(target, target.servers, target.gateways);
   const auto day = draw_disruptions(layout, {.seed = 3});
@@ -52,7 +52,7 @@
   EXPECT_EQ((counts[{Cause::kRestart, Change::kUp}]), restarts);
   EXPECT_TRUE(fits_mean(counts[{Cause::kConfiguration, Change::kSettingsChanged}],
                         target.config_changes_per_day));
-  // Machines hold several servers each, of which some may be away already.
+  // A machine holds several servers, and some may be down already when the machine fails.
   const std::size_t lost_with_machine = counts[{Cause::kMachine, Change::kDown}];
   EXPECT_TRUE(fits_mean(lost_with_machine / kServersPerMachine, target.failures_per_day))
       << lost_with_machine;
@@ -67,14 +67,14 @@
   const auto restarts = std::count_if(day.begin(), day.end(), [](const Disruption& disruption) {
     return disruption.cause == Cause::kRestart && disruption.change == Change::kUp;
   });
-  // A tenth of the servers, all day long.
+  // A tenth of the target's servers over a complete day.
   EXPECT_NEAR(double(restarts), 1400, 5 * std::sqrt(1400.0));
   EXPECT_LT(day.back().at, Micros(30 * 3600e6 / 60));
 }
 
-TEST(DisruptionsTest, EachServersChangesFitTogether) {
+TEST(DisruptionsTest, ChangesOfEachServerAreConsistent) {
   const Layout layout = Layout::with_zones_of(Target{}, 2'000, 20);
-  // Many times the target's rates, so that causes meet.
+  // The target's full rates on few servers, so that several causes affect the same server.
   const auto day = draw_disruptions(layout, {.seed = 5, .target_rate_fraction = 1});
   std::vector<Change> last_changes(layout.servers, Change::kUp);
   for (const Disruption& disruption : day) {
--- a/tests/scale/fake_counter_test.cpp
+++ b/tests/scale/fake_counter_test.cpp
@@ -1,4 +1,4 @@
-// FakeCounter against the real counter client, and read raw.
+// Tests of FakeCounter with the real counter client and with raw commands.
 #include "fake_counter.hpp"
 
 #include <gtest/gtest.h>
@@ -48,10 +48,10 @@
         [this](CounterReply reply) { replies.push_back(reply); });
     client->start();
   }
-  // Waits for the reply.
-  CounterReply add(std::int64_t name, double amount, Micros lifetime = kLifetime) {
+  // Sends a call and waits for its reply.
+  CounterReply add(std::int64_t key, double amount, Micros lifetime = kLifetime) {
     const std::size_t expected = replies.size() + 1;
-    client->add({name, amount, lifetime});
+    client->add({key, amount, lifetime});
     EXPECT_TRUE(wait_for_replies(expected));
     return replies.empty() ? CounterReply{} : replies.back();
   }
@@ -67,7 +67,7 @@
   std::vector<CounterReply> replies;
 };
 
-TEST_F(FakeCounterTest, AddsByNameAndForgets) {
+TEST_F(FakeCounterTest, AddsByKeyAndExpiresTotals) {
   constexpr Micros kShortLifetime = 1'000;
   start_counter({});
   EXPECT_DOUBLE_EQ(add(9, 2.5).total, 2.5);
@@ -80,7 +80,7 @@
   ASSERT_TRUE(run_until(io, [&] { return counter->counts().keys == 0; }));
 }
 
-TEST_F(FakeCounterTest, RejectsPastItsRateAndUntilItAcceptsCalls) {
+TEST_F(FakeCounterTest, RejectsCallsOverItsRateAndUntilItAcceptsCalls) {
   start_counter({.calls_per_second = 100, .max_queue_time = 50'000, .accepts_calls = false});
   EXPECT_EQ(add(1, 1).outcome, CounterOutcome::kNotAdded);
   counter->accept_calls();
@@ -93,15 +93,15 @@
   const auto added = std::count_if(replies.begin(), replies.end(), [](const CounterReply& reply) {
     return reply.outcome == CounterOutcome::kOk;
   });
-  // What its queue takes.
+  // The queue holds the calls of 50 ms at 100 calls per second.
   EXPECT_GE(added, 5);
   EXPECT_LT(added, 40);
   EXPECT_EQ(counter->counts().rejected, 1U + 40U - std::uint64_t(added));
-  // What was rejected was not added.
+  // Rejected calls added nothing.
   EXPECT_DOUBLE_EQ(add(1, 0).total, 1 + double(added));
 }
 
-TEST_F(FakeCounterTest, CallsOfAShardThatIsDownWaitAndRepliesKeepTheirOrder) {
+TEST_F(FakeCounterTest, CallsToAShardThatIsDownWaitAndKeepTheirOrder) {
   start_counter({.shards = 1});
   counter->set_shard_down(0, true);
   for (int i = 1; i <= 3; ++i) {
@@ -116,7 +116,7 @@
   }
 }
 
-TEST_F(FakeCounterTest, RepliesAsTheProtocolsPageSays) {
+TEST_F(FakeCounterTest, RepliesAsTheProtocolSpecifies) {
   start_counter({});
   tcp::socket socket(io);
   socket.connect(counter->address());
--- a/tests/scale/fake_discovery_test.cpp
+++ b/tests/scale/fake_discovery_test.cpp
@@ -1,4 +1,4 @@
-// FakeDiscovery against the real discovery client, and read raw.
+// Tests of FakeDiscovery with the real discovery client and with raw requests.
 #include "fake_discovery.hpp"
 
 #include <gtest/gtest.h>
@@ -63,7 +63,7 @@
   net::Clock clock;
   net::Timers timers{io, clock};
   std::optional<FakeDiscovery> discovery;
-  // Kept to the end: their handlers refer to them.
+  // Kept until the end of the test, because the clients' handlers refer to them.
   std::vector<std::unique_ptr<net::DiscoveryClient>> clients;
   std::vector<net::EndpointList> updates;
 };
@@ -90,7 +90,7 @@
   EXPECT_EQ(discovery->counts().full_lists, 1U);
 }
 
-TEST_F(FakeDiscoveryTest, WatchGetsOnePartialListWhileHistoryReachesBack) {
+TEST_F(FakeDiscoveryTest, WatchGetsOnePartialListIfTheHistoryCoversItsRevision) {
   start_discovery({.max_history_entries = 3});
   discovery->publish({listed(1, Phase::kDraining)});
   discovery->publish({listed(1, Phase::kRemoved), listed(2, Phase::kDraining)});
@@ -98,10 +98,10 @@
   ASSERT_TRUE(wait_for_updates(1));
   EXPECT_FALSE(updates[0].complete);
   EXPECT_EQ(updates[0].revision, 43);
-  // Each server once, as it is now.
+  // Each server is listed once, in its current phase.
   ASSERT_EQ(updates[0].endpoints.size(), 2U);
   EXPECT_EQ(updates[0].endpoints[0].entry.state, EndpointState::kRemoved);
-  // A fourth entry: the oldest change is forgotten.
+  // The fourth entry exceeds the history, so the oldest change is forgotten.
   discovery->publish({listed(5, Phase::kDraining)});
   ASSERT_TRUE(wait_for_updates(2));
   updates.clear();
@@ -111,7 +111,7 @@
   EXPECT_EQ(updates[0].endpoints.size(), 49U);
 }
 
-TEST_F(FakeDiscoveryTest, CompleteListThatWasEncodedBeforeIsFollowedByWhatChangedSince) {
+TEST_F(FakeDiscoveryTest, CachedCompleteListIsFollowedByLaterChanges) {
   start_discovery();
   watch(0);
   ASSERT_TRUE(wait_for_updates(1));
@@ -126,14 +126,14 @@
   EXPECT_EQ(updates[1].endpoints.at(0).entry.state, EndpointState::kDraining);
 }
 
-TEST_F(FakeDiscoveryTest, WhileSilentItSendsNothingAndThenWhatWasMissed) {
+TEST_F(FakeDiscoveryTest, SendsNothingWhileSilentAndTheMissedChangesAfterwards) {
   start_discovery();
   watch(41);
   ASSERT_TRUE(wait_for_watcher());
   const auto requests = discovery->counts().requests;
   discovery->set_silent(true);
   discovery->publish({listed(7, Phase::kDraining)});
-  // The client finds it silent and connects again; nothing is sent all the while.
+  // The client detects the silence and reconnects; the agent still sends nothing.
   ASSERT_TRUE(run_until(io, [&] { return discovery->counts().connections >= 3; }));
   EXPECT_TRUE(updates.empty());
   EXPECT_EQ(discovery->counts().requests, requests);
@@ -143,7 +143,7 @@
   EXPECT_FALSE(updates[0].complete);
 }
 
-TEST_F(FakeDiscoveryTest, RejectsResetsStopsAndReturns) {
+TEST_F(FakeDiscoveryTest, RejectsResetsStopsAndRestarts) {
   start_discovery();
   discovery->reject_requests({.status = 503, .retry_after_s = 1});
   watch(41);
@@ -160,7 +160,7 @@
   discovery->start();
   EXPECT_EQ(discovery->address(), address);
   ASSERT_TRUE(wait_for_updates(1));
-  // Its history is lost, and the client's revision an old one.
+  // The agent has lost its history, and the client's revision is not the current one.
   EXPECT_TRUE(updates[0].complete);
 }
 
--- a/tests/scale/fake_endpoints_test.cpp
+++ b/tests/scale/fake_endpoints_test.cpp
@@ -1,4 +1,4 @@
-// FakeEndpoints, read raw from another thread.
+// Tests of FakeEndpoints with raw requests from another thread.
 #include "fake_endpoints.hpp"
 
 #include <gtest/gtest.h>
@@ -19,9 +19,9 @@
 namespace asio = boost::asio;
 using asio::ip::tcp;
 
-constexpr std::size_t kStatusLineStart = 12;
+constexpr std::size_t kStatusLinePrefixSize = 12;
 
-TEST(FakeEndpointsTest, RespondAsTheProtocolsPageSays) {
+TEST(FakeEndpointsTest, RespondAsTheProtocolSpecifies) {
   EventLoopThread thread;
   auto& endpoints = thread.emplace<FakeEndpoints>(3, 7);
   thread.run([&] {
@@ -41,13 +41,13 @@
   };
   const auto status = [&](std::size_t server, const std::string& target,
                           const std::string& headers) {
-    return request_head(server, target, headers).substr(0, kStatusLineStart);
+    return request_head(server, target, headers).substr(0, kStatusLinePrefixSize);
   };
   const std::string trace_id = "X-Trace-Id: t1\r\n";
   EXPECT_EQ(status(0, "/read/1", trace_id), "HTTP/1.1 200");
   EXPECT_NE(request_head(1, "/read/1", trace_id).find("503 Answer\r\nX-Never-Ran: 1\r\n"),
             std::string::npos);
-  // The third of three, again.
+  // Server 5 of three is again the third.
   EXPECT_EQ(status(5, "/read/1", trace_id), "HTTP/1.1 500");
   EXPECT_EQ(status(0, "/read/1", ""), "HTTP/1.1 404");
   EXPECT_EQ(status(0, "/ping", trace_id), "HTTP/1.1 404");
--- a/tests/scale/gateway_config_test.cpp
+++ b/tests/scale/gateway_config_test.cpp
@@ -1,4 +1,4 @@
-// What a measured gateway process is given: its configuration and its requests.
+// Tests of the configuration of a measured gateway process and of the requests to it.
 #include "process/gateway_config.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return json::parse(render_gateway_config(options, "127.0.0.1:8080"));
 }
 
-TEST(GatewayConfig, NamesItsAddressesAndHowManyGatewaysThereAre) {
+TEST(GatewayConfig, ContainsAddressesAndGatewayCount) {
   GatewayConfigOptions options;
   options.discovery_address = "127.0.0.1:1";
   options.counter_address = "127.0.0.1:2";
@@ -29,14 +29,14 @@
   EXPECT_EQ(config["settings"]["Extra"]["SharedCounter"], true);
 }
 
-TEST(GatewayConfig, LeavesOutACounterAndAListThatItIsNotGiven) {
+TEST(GatewayConfig, OmitsCounterAndKnownListThatAreNotGiven) {
   const json config = parsed_config({});
   EXPECT_FALSE(config.contains("counter"));
   EXPECT_FALSE(config.contains("known"));
   EXPECT_EQ(config["settings"]["Extra"]["SharedCounter"], false);
 }
 
-TEST(GatewayConfig, HoldsTheKnownListAsItIs) {
+TEST(GatewayConfig, ContainsTheKnownListUnchanged) {
   GatewayConfigOptions options;
   options.known_list = R"({"revision":3})";
   EXPECT_EQ(parsed_config(options)["known"]["revision"], 3);
@@ -54,7 +54,7 @@
   EXPECT_EQ(classes[2]["ObjectiveUs"], 3'001'000);
 }
 
-TEST(ReadRequest, HasTheHeadersThatAGatewayAsksFor) {
+TEST(ReadRequest, HasTheHeadersThatAGatewayRequires) {
   ReadRequest request;
   request.customer = 0x2a;
   request.trace_id = 0x10;
--- a/tests/scale/list_progress_test.cpp
+++ b/tests/scale/list_progress_test.cpp
@@ -1,4 +1,4 @@
-// How a simulated gateway's progress with discovery's list is followed.
+// Tests of ListProgress, which tracks a simulated gateway's progress with discovery's list.
 #include "list_progress.hpp"
 
 #include <gtest/gtest.h>
@@ -24,7 +24,7 @@
 
 class ListProgressTest : public ::testing::Test {
  protected:
-  // A list whose entries the decision module has at once.
+  // Receives a list and applies its entries immediately.
   void apply(std::int64_t revision, const std::vector<EndpointEntry>& entries, std::size_t up_count,
              Micros now) {
     progress.on_list_received(revision);
@@ -42,7 +42,7 @@
   EXPECT_EQ(progress.revision(), 0);
 }
 
-TEST_F(ListProgressTest, TakesTheTimeToTheFirstListWithAServerThatIsUp) {
+TEST_F(ListProgressTest, MeasuresTheTimeToTheFirstListWithAServerThatIsUp) {
   apply(5, {entry(0, EndpointState::kDraining)}, 0, kStart + 10);
   EXPECT_FALSE(progress.has_had_list());
   apply(6, {entry(0, EndpointState::kUp)}, 1, kStart + 30);
@@ -59,18 +59,18 @@
   EXPECT_TRUE(progress.lost_list());
 }
 
-TEST_F(ListProgressTest, ConvergesWhenJustTheExpectedServersAreUp) {
+TEST_F(ListProgressTest, ConvergesWhenExactlyTheExpectedServersAreUp) {
   progress.expect(std::make_shared<UpServers>(UpServers{true, true}), kStart);
   apply(5, {entry(0, EndpointState::kUp)}, 1, kStart + 10);
   EXPECT_FALSE(progress.converged_at());
   apply(6, {entry(1, EndpointState::kUp)}, 2, kStart + 20);
   EXPECT_EQ(progress.converged_at(), kStart + 20);
-  // It counts when that was first so.
+  // The time of the first convergence is kept.
   apply(7, {entry(1, EndpointState::kDraining)}, 1, kStart + 30);
   EXPECT_EQ(progress.converged_at(), kStart + 20);
 }
 
-TEST_F(ListProgressTest, AnExpectationThatHoldsAlreadyConvergesAtOnce) {
+TEST_F(ListProgressTest, ConvergesImmediatelyIfTheExpectationAlreadyHolds) {
   apply(5, {entry(0, EndpointState::kUp)}, 1, kStart + 10);
   progress.expect(std::make_shared<UpServers>(UpServers{true, false}), kStart + 40);
   EXPECT_EQ(progress.converged_at(), kStart + 40);
--- a/tests/scale/load_driver_test.cpp
+++ b/tests/scale/load_driver_test.cpp
@@ -1,4 +1,4 @@
-// The driver of the decision module: its clock, its servers and what it counts.
+// Tests of LoadDriver: its clock, its simulated servers and its counts.
 #include "module/load_driver.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return driver_with_servers(kSeed, kServers, kGateways);
 }
 
-TEST(LoadDriver, ItsClockStandsAtTheEndOfARunEvenIfNothingIsDue) {
+TEST(LoadDriver, ClockIsAtTheEndOfARunEvenIfNothingIsDue) {
   LoadDriver driver(module_settings(kGateways), kSeed);
   const Micros before = driver.now();
   driver.run_until(before + kMillisecond);
@@ -32,11 +32,11 @@
   driver.run_until(driver.now() + kSecond);
   driver.request(1);
   EXPECT_EQ(driver.requests(), 2U);
-  // The first waits for its tenant's first total of the counter, the second does not.
+  // The first request waits for the counter's first total of its tenant, the second does not.
   EXPECT_LE(driver.held_requests(), 1U);
 }
 
-TEST(LoadDriver, WhatIsDueStaysDueOnceTheProcessorTimeIsSpent) {
+TEST(LoadDriver, EventsStayDueOnceTheProcessorTimeIsUsedUp) {
   LoadDriver driver = small_driver();
   driver.request(1);
   const double cpu_before = driver.cpu_us();
@@ -46,7 +46,7 @@
   EXPECT_GT(driver.cpu_us(), cpu_before);
 }
 
-TEST(LoadDriver, CountsPeriodicMaintenanceApart) {
+TEST(LoadDriver, CountsPeriodicMaintenanceSeparately) {
   LoadDriver driver = small_driver();
   driver.request(1);
   driver.run_until(driver.now() + 5 * kSecond);
--- a/tests/scale/measure_test.cpp
+++ b/tests/scale/measure_test.cpp
@@ -1,4 +1,4 @@
-// Statistics of samples, and the sizes at which slopes are measured.
+// Tests of sample statistics, slope sizes and time budgets.
 #include "measure.hpp"
 
 #include <gtest/gtest.h>
@@ -14,7 +14,7 @@
 
 using Counts = std::vector<std::size_t>;
 
-TEST(Percentile, IsTheSmallestSampleThatTheFractionDoesNotExceed) {
+TEST(Percentile, IsTheSmallestSampleThatTheFractionOfSamplesDoesNotExceed) {
   const std::vector<double> samples = {40, 10, 30, 20};
   EXPECT_DOUBLE_EQ(percentile(samples, 0), 10);
   EXPECT_DOUBLE_EQ(percentile(samples, 0.25), 10);
@@ -33,7 +33,7 @@
   EXPECT_EQ(sizes_up_to(170'000), (Counts{170, 1'700, 17'000, 170'000}));
 }
 
-TEST(SlopeSizes, ThatRoundToTheSameNumberAreGivenOnce) {
+TEST(SlopeSizes, OmitDuplicatesAfterRounding) {
   EXPECT_EQ(sizes_up_to(20), (Counts{1, 2, 20}));
   EXPECT_EQ(sizes_up_to(1), (Counts{1}));
 }
@@ -45,12 +45,12 @@
   EXPECT_EQ(server_counts(options), (Counts{5, 50, 500, 5'000}));
 }
 
-TEST(SlopeSizes, AnEstimateBeyondAllMachinesStaysANumber) {
+TEST(SlopeSizes, AnInfiniteEstimateIsLimitedTo1e18) {
   EXPECT_EQ(to_bytes(1'500.7), 1'500U);
   EXPECT_EQ(to_bytes(std::numeric_limits<double>::infinity()), std::uint64_t(1e18));
 }
 
-TEST(TimeBudget, LastsAsTheOptionSaysOrElseAsTheScenarioDoes) {
+TEST(TimeBudget, UsesTheOptionOrElseTheDefaultOfTheScenario) {
   Options options;
   EXPECT_NEAR(TimeBudget(options, 100).seconds_left(), 100, 10);
   options.seconds = 1'000;
--- a/tests/scale/process_parts_test.cpp
+++ b/tests/scale/process_parts_test.cpp
@@ -1,5 +1,5 @@
-// What stands round a measured gateway process: servers, a client, an agent; and a process that is
-// no gateway.
+// Tests of the environment of a measured gateway process (servers, client, discovery agent), and of
+// GatewayProcess with a program that is not a gateway.
 #include <gtest/gtest.h>
 #include <sys/types.h>
 #include <unistd.h>
@@ -25,7 +25,7 @@
 constexpr double kTimeoutS = 10;
 constexpr Micros kServiceTime = 2'000;  // us
 
-TEST(PacedClient, TakesEachRequestFromItsDueTimeAndCountsWhatFails) {
+TEST(PacedClient, MeasuresLatencyFromTheDueTimeAndCountsFailures) {
   EventLoopThread servers_thread;
   const auto& servers = servers_thread.emplace<LoopbackServers>(kServiceTime);
   constexpr std::size_t kRequests = 20;
@@ -40,21 +40,21 @@
   EXPECT_EQ(client_thread.run([&] { return client.failed(); }), 0U);
 }
 
-TEST(PacedClient, ARequestToNobodyFailsAtOnce) {
+TEST(PacedClient, ARequestToAClosedPortFails) {
   EventLoopThread thread;
-  boost::asio::ip::tcp::endpoint nobody;
+  boost::asio::ip::tcp::endpoint closed_endpoint;
   {
     boost::asio::io_context io;
     const boost::asio::ip::tcp::acceptor closed(io, {boost::asio::ip::address_v4::loopback(), 0});
-    nobody = closed.local_endpoint();
+    closed_endpoint = closed.local_endpoint();
   }
-  const auto& client = thread.emplace<PacedClient>(PacedClientOptions{nobody, 1'000, 3});
+  const auto& client = thread.emplace<PacedClient>(PacedClientOptions{closed_endpoint, 1'000, 3});
   ASSERT_TRUE(
       poll_until(kTimeoutS, [&] { return thread.run([&] { return client.is_finished(); }); }));
   EXPECT_EQ(thread.run([&] { return client.failed(); }), 3U);
 }
 
-TEST(LoopbackServers, HaveAnAddressEach) {
+TEST(LoopbackServers, HaveDistinctAddresses) {
   EventLoopThread thread;
   const auto& servers = thread.emplace<LoopbackServers>(kServiceTime);
   EXPECT_EQ(servers.address(0).address().to_string(), "127.64.0.0");
@@ -62,7 +62,7 @@
   EXPECT_EQ(servers.address(0).port(), servers.address(257).port());
 }
 
-TEST(EndlessListAgent, SendsAListForAsLongAsItIsRead) {
+TEST(EndlessListAgent, SendsAListAsLongAsItIsRead) {
   constexpr std::size_t kBytes = 1'000'000;
   EventLoopThread thread;
   const auto& agent = thread.emplace<EndlessListAgent>();
@@ -76,20 +76,20 @@
   boost::asio::read(socket, boost::asio::buffer(list));
   EXPECT_NE(list.find(R"({"revision":2,"complete":true,"members":[)"), std::string::npos);
   EXPECT_EQ(list.find("]}"), std::string::npos);
-  // A chunk counts once the whole of it is handed over, which may be after its bytes have come.
-  EXPECT_TRUE(poll_until(
-      kTimeoutS, [&] { return thread.run([&] { return agent.bytes_drawn(); }) >= kBytes; }));
+  // A chunk counts when its write completes, which may be after its bytes have arrived here.
+  EXPECT_TRUE(poll_until(kTimeoutS,
+                         [&] { return thread.run([&] { return agent.bytes_sent(); }) >= kBytes; }));
   EXPECT_EQ(thread.run([&] { return agent.requests(); }), 1U);
 }
 
-TEST(ProcessUsage, IsThatOfAProcessThatRuns) {
+TEST(ProcessUsage, IsPositiveForARunningProcess) {
   EXPECT_GT(process_cpu_ms(::getpid()), 0);
   EXPECT_GT(resident_mb(::getpid()), 0);
   EXPECT_GE(peak_resident_mb(::getpid()), resident_mb(::getpid()));
 }
 
-TEST(ProcessUsage, IsNoneOfAProcessThatThereIsNot) {
-  constexpr pid_t kNoSuchProcess = (1 << 22) + 1;  // past the most that Linux gives
+TEST(ProcessUsage, IsEmptyForAMissingProcess) {
+  constexpr pid_t kNoSuchProcess = (1 << 22) + 1;  // above the highest process id of Linux
   EXPECT_FALSE(process_cpu_ms(kNoSuchProcess).has_value());
   EXPECT_DOUBLE_EQ(resident_mb(kNoSuchProcess), 0);
 }
@@ -98,25 +98,25 @@
   const GatewayProcess process("/bin/false", GatewayConfigOptions{});
   try {
     process.wait_until_ready(kTimeoutS);
-    FAIL() << "it was ready";
+    FAIL() << "a program that ended was reported as ready";
   } catch (const GatewayProcessError& e) {
     EXPECT_EQ(e.kind(), GatewayProcessError::Kind::kNotReady);
   }
   EXPECT_FALSE(process.wait_until_serving(kTimeoutS));
 }
 
-TEST(GatewayProcess, AFigureOfAProgramThatHasEndedIsAnErrorOfItsKind) {
+TEST(GatewayProcess, WaitingForAnEndedProgramToBeIdleThrowsEnded) {
   const GatewayProcess process("/bin/false", GatewayConfigOptions{});
   EXPECT_FALSE(process.wait_until_serving(kTimeoutS));
   try {
     process.wait_until_idle(kTimeoutS);
-    FAIL() << "it had a figure";
+    FAIL() << "waiting for an ended program to become idle did not throw";
   } catch (const GatewayProcessError& e) {
     EXPECT_EQ(e.kind(), GatewayProcessError::Kind::kEnded);
   }
 }
 
-TEST(Polling, GivesUpAfterItsTime) {
+TEST(Polling, GivesUpAfterTheTimeout) {
   EXPECT_TRUE(poll_until(0, [] { return true; }));
   EXPECT_FALSE(poll_until(0.01, [] { return false; }));
 }
--- a/tests/scale/program_test.cpp
+++ b/tests/scale/program_test.cpp
@@ -1,4 +1,5 @@
-// The program's arguments: bad input is a clear error with exit code 2, before anything starts.
+// Tests of the program's arguments: invalid input gives a clear error and exit code 2 before
+// anything starts.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -47,10 +48,10 @@
   return text.find(part) != std::string::npos;
 }
 
-TEST(Program, BadInputIsAClearErrorWithExitCode2) {
+TEST(Program, InvalidInputIsAClearErrorWithExitCode2) {
   struct Case {
     std::string arguments;
-    std::string named;  // in the error
+    std::string expected_text;  // in the error
   };
   const std::array<Case, 19> cases = {{{"", "subcommand"},
                                        {"walk", "subcommand"},
@@ -74,19 +75,20 @@
   for (const Case& bad : cases) {
     const ProgramResult result = run_program(bad.arguments);
     EXPECT_EQ(result.exit_code, kBadInput) << bad.arguments << ": " << result.output;
-    EXPECT_TRUE(contains(result.output, bad.named)) << bad.arguments << ": " << result.output;
+    EXPECT_TRUE(contains(result.output, bad.expected_text))
+        << bad.arguments << ": " << result.output;
   }
 }
 
-TEST(Program, ASizeThatWouldPassHalfOfTheMemoryStartsNothing) {
+TEST(Program, ASizeOverHalfOfTheMemoryStartsNothing) {
   const ProgramResult result = run_program("run module.list --servers 4000000000");
   EXPECT_EQ(result.exit_code, kBadInput);
   EXPECT_TRUE(contains(result.output, "half of this machine's memory")) << result.output;
   EXPECT_FALSE(contains(result.output, "module.list: ")) << result.output;
 }
 
-TEST(Program, ASizePastTheDescriptorsStartsNothing) {
-  // Or past the memory, where a process may have that many.
+TEST(Program, ASizeOverTheDescriptorLimitStartsNothing) {
+  // If a process may have that many descriptors, the size exceeds the memory instead.
   const ProgramResult result = run_program("run fleet.calls --gateways 4000000");
   EXPECT_EQ(result.exit_code, kBadInput);
   EXPECT_TRUE(contains(result.output, "fleet.calls")) << result.output;
@@ -101,7 +103,7 @@
   EXPECT_TRUE(contains(list.output, "module.request: ")) << list.output;
 }
 
-TEST(Program, PrintsTheSeedThatRepeatsIt) {
+TEST(Program, PrintsItsSeed) {
   const ProgramResult result = run_program("run --small --seed 77 module.list");
   EXPECT_EQ(result.exit_code, kSuccess) << result.output;
   EXPECT_TRUE(contains(result.output, "seed 77")) << result.output;
--- a/tests/scale/report_test.cpp
+++ b/tests/scale/report_test.cpp
@@ -1,4 +1,4 @@
-// Figures as JSON lines and as a table, and the lines fitted through them.
+// Tests of Report, which writes measurements as JSON lines and as a table, and of fit_line().
 #include "report.hpp"
 
 #include <gtest/gtest.h>
@@ -34,8 +34,9 @@
   EXPECT_EQ(fit.points, 3U);
 }
 
-TEST(Fit, NamesThePointThatDeviatesMostWithItsSign) {
-  // By hand: means 2 and 3, slope (1 + 0 + 3) / 2; the middle point lies 2 under that line.
+TEST(Fit, ReportsTheLargestDeviationWithItsSign) {
+  // The means are 2 and 3 and the slope is (1 + 0 + 3) / 2. The middle point lies 2 below that
+  // line.
   const Fit fit = fit_line({{1, 2}, {2, 1}, {3, 6}}, 3);
   EXPECT_NEAR(fit.slope, 2, 1e-9);
   EXPECT_NEAR(fit.intercept, -1, 1e-9);
@@ -45,13 +46,13 @@
   EXPECT_DOUBLE_EQ(fit.extrapolation, 1);
 }
 
-TEST(Fit, OnePointOrNoneIsNoSlope) {
+TEST(Fit, FewerThanTwoSizesHaveNoSlope) {
   EXPECT_DOUBLE_EQ(fit_line({{5, 7}}, 10).target_value, 7);
   EXPECT_DOUBLE_EQ(fit_line({{5, 7}, {5, 9}}, 10).slope, 0);
   EXPECT_DOUBLE_EQ(fit_line({}, 10).target_value, 0);
 }
 
-TEST(Report, EachFigureIsAJsonLineAtOnceWithTheSeed) {
+TEST(Report, WritesEachMeasurementImmediatelyAsAJsonLineWithTheSeed) {
   std::ostringstream lines;
   Report report(&lines, 42);
   report.add(measurement(200, 1.5));
@@ -63,7 +64,7 @@
                                     "at":{"servers":200.0,"gateways":300.0}})"));
 }
 
-TEST(Report, FitsOneLineForEachOfTheOtherSizes) {
+TEST(Report, FitsOneLineForEachValueOfTheOtherSizes) {
   std::ostringstream lines;
   Report report(&lines);
   for (double n : {200, 2'000, 20'000}) {
@@ -85,7 +86,7 @@
   EXPECT_DOUBLE_EQ(out[9]["extrapolated"].get<double>(), 8.5);
 }
 
-TEST(Report, AFitOfNothingIsSaidSo) {
+TEST(Report, NotesAFitWithoutMeasurements) {
   std::ostringstream lines;
   Report report(&lines);
   report.fit("module.list", "list", "servers", 170'000);
@@ -93,12 +94,12 @@
   EXPECT_NE(lines.str().find("no measurements to fit"), std::string::npos);
 }
 
-TEST(Report, TheTableIsAlignedAndHoldsFiguresFitsAndNotes) {
+TEST(Report, TableIsAlignedAndContainsMeasurementsFitsAndNotes) {
   Report report(nullptr);
   report.add(measurement(200, 1.5));
   report.add(measurement(20'000, 150));
   report.fit("module.list", "list", "servers", 170'000);
-  report.note("module.list", "a deviation that was seen");
+  report.note("module.list", "an observed deviation");
   std::ostringstream table;
   report.table(table);
   std::istringstream lines(table.str());
@@ -112,10 +113,10 @@
   EXPECT_EQ(first_row.size(), second_row.size());
   EXPECT_NE(second_row.find("servers 20000"), std::string::npos);
   EXPECT_NE(table.str().find("8.5x"), std::string::npos);
-  EXPECT_NE(table.str().find("module.list: a deviation that was seen\n"), std::string::npos);
+  EXPECT_NE(table.str().find("module.list: an observed deviation\n"), std::string::npos);
 }
 
-TEST(Report, NumbersOfTheTableHaveNoExponentFrom1On) {
+TEST(Report, TableNumbersFrom1UpwardsHaveNoExponent) {
   Report report(nullptr);
   report.add(measurement(200, 123'456.7));
   report.add(measurement(200, 0.000'012'34));
--- a/tests/scale/resp_command_test.cpp
+++ b/tests/scale/resp_command_test.cpp
@@ -1,4 +1,4 @@
-// How the fake counter's connections split what they receive into commands.
+// Tests of parse_resp_command(), which splits the input of the fake counter into commands.
 #include "resp_command.hpp"
 
 #include <gtest/gtest.h>
@@ -23,13 +23,13 @@
   EXPECT_EQ(parsed.size, command.size());
 }
 
-TEST(RespCommandTest, WordsMayBeEmptyAndHoldLineEnds) {
+TEST(RespCommandTest, WordsMayBeEmptyAndContainLineEnds) {
   const RespCommand parsed = parse_resp_command("*2\r\n$0\r\n\r\n$4\r\na\r\nb\r\n");
   ASSERT_EQ(parsed.status, Status::kComplete);
   EXPECT_EQ(parsed.words, (Words{"", "a\r\nb"}));
 }
 
-TEST(RespCommandTest, EachBeginningOfACommandIsIncomplete) {
+TEST(RespCommandTest, EachPrefixOfACommandIsIncomplete) {
   const std::string command = "*2\r\n$3\r\nGET\r\n$1\r\nn\r\n";
   for (std::size_t size = 0; size < command.size(); ++size) {
     EXPECT_EQ(parse_resp_command(command.substr(0, size)).status, Status::kIncomplete) << size;
--- a/tests/scale/scenario_selection_test.cpp
+++ b/tests/scale/scenario_selection_test.cpp
@@ -1,4 +1,4 @@
-// Which scenarios a run is asked for.
+// Tests of the selection of scenarios by name and of the check of their memory.
 #include "scenario_selection.hpp"
 
 #include <gtest/gtest.h>
@@ -36,25 +36,25 @@
   EXPECT_EQ(selected_names({}), (Names{"module.list", "module.burst", "fleet.calls"}));
 }
 
-TEST(ScenarioSelection, ANameOrItsBeginningSelectsInTheirOwnOrder) {
+TEST(ScenarioSelection, ANameOrAPrefixSelectsInTheOrderOfTheScenarios) {
   EXPECT_EQ(selected_names({"fleet.calls", "module.burst"}),
             (Names{"module.burst", "fleet.calls"}));
   EXPECT_EQ(selected_names({"module"}), (Names{"module.list", "module.burst"}));
   EXPECT_EQ(selected_names({"module", "module.list"}), (Names{"module.list", "module.burst"}));
 }
 
-TEST(ScenarioSelection, ANameThatFitsNoneIsAUsageError) {
+TEST(ScenarioSelection, ANameWithoutAMatchIsAUsageError) {
   EXPECT_THROW(selected_names({"list"}), UsageError);
   EXPECT_THROW(selected_names({"module", "nosuch"}), UsageError);
   EXPECT_THROW(selected_names({""}), UsageError);
 }
 
-TEST(ScenarioSelection, AScenarioThatPassesHalfOfTheMemoryIsAUsageError) {
+TEST(ScenarioSelection, AScenarioOverHalfOfTheMemoryIsAUsageError) {
   EXPECT_NO_THROW(check_memory({scenario_named("small")}, {}));
   EXPECT_THROW(check_memory({scenario_named("large", std::uint64_t(1e18))}, {}), UsageError);
 }
 
-TEST(ScenarioSelection, NoTwoScenariosShareAName) {
+TEST(ScenarioSelection, ScenarioNamesAreUnique) {
   std::set<std::string> names;
   for (const Scenario& scenario : all_scenarios()) {
     EXPECT_TRUE(names.insert(scenario.name).second) << scenario.name;
--- a/tests/scale/simulated_fleet_test.cpp
+++ b/tests/scale/simulated_fleet_test.cpp
@@ -1,4 +1,4 @@
-// A small fleet of simulated gateways against the fakes.
+// Tests of a small fleet of simulated gateways with the fake agents, counter and servers.
 #include "simulated_fleet.hpp"
 
 #include <gtest/gtest.h>
@@ -74,14 +74,14 @@
   ASSERT_TRUE(wait_until_converged(fleet));
   const FleetState state = fleet.state();
   EXPECT_EQ(state.lost_list, 0U);
-  // Ten gateways started anew without a list.
+  // The ten restarted gateways had no persisted list and got a complete one.
   EXPECT_EQ(agent_thread.run([&] { return agent.counts().full_lists; }), 30U);
   EXPECT_GT(counter_thread.run([&] { return counter.counts().calls; }), 0U);
   EXPECT_EQ(state.failed, 0U);
   EXPECT_GT(state.cpu_time, state.module_cpu_time);
 }
 
-TEST_F(SimulatedFleetTest, RegionThatWasCutConvergesByAPartialOrACompleteList) {
+TEST_F(SimulatedFleetTest, RegionConvergesByAPartialOrACompleteListAfterACut) {
   TestFleet::Options options;
   options.layout = Layout::with_zones_of(Target{}, 150, 12);
   options.agents = 3;
@@ -89,7 +89,7 @@
   options.fleet.groups = 2;
   TestFleet fleet(options);
   start_and_converge(fleet);
-  // All started with the list.
+  // All gateways started with a persisted list.
   EXPECT_EQ(fleet.usage().discovery.full_lists, 0U);
   const auto day = draw_disruptions(
       fleet.layout(), {.seed = 2, .hours = 1, .compression = 3'600, .target_rate_fraction = 1});
@@ -100,7 +100,7 @@
     EXPECT_GT(fleet.replay(day, 1'000'000, 250'000), 100U);
     const auto revision =
         fleet.with_agent(0, [](FakeDiscovery& agent) { return agent.revision(); });
-    // Of the gateways that are cut off.
+    // The gateways of the silent agent are behind.
     EXPECT_LT(fleet.fleet().state().min_revision, revision);
     fleet.with_agent(kCutAgent, [has_history](FakeDiscovery& agent) {
       if (!has_history) {
