--- a/scale/fleet/counter_call_slope.cpp
+++ b/scale/fleet/counter_call_slope.cpp
@@ -13,7 +13,7 @@
 
 constexpr const char* kScenario = "fleet.calls";
 constexpr double kDefaultSeconds = 120;
-constexpr double kEstimatedTenants = 600;  // about those of one gateway, for the memory estimate
+constexpr double kEstimatedTenants = 600;  // approximately, per gateway; for the memory estimate
 
 std::size_t gateway_count(const Options& options) {
   return ScenarioSizes{options}.gateways(100, 10);
--- a/scale/fleet/tenant_slope.cpp
+++ b/scale/fleet/tenant_slope.cpp
@@ -44,8 +44,7 @@
   const bool all_sent = test_fleet.fleet().wait_until(
       [&](const FleetState& state) { return state.requests >= requests; }, kConvergenceTimeout);
   if (!all_sent) {
-    throw std::runtime_error(
-        "not all tenants of the simulated gateways sent a request within the timeout");
+    throw std::runtime_error("the simulated gateways received too few requests within the timeout");
   }
 }
 
