--- a/tests/net/admin/admin_server_test.cpp
+++ b/tests/net/admin/admin_server_test.cpp
@@ -67,7 +67,7 @@
   tcp::acceptor other_listener(test_bed.io, {asio::ip::address_v4::loopback(), 0}, false);
   const auto address = other_listener.local_endpoint();
   test_bed.config.admin_address = address;
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.start();
   Client connection = test_bed.client();
   connection.send(get_request("a"));
@@ -86,7 +86,7 @@
   test_bed.discovery.unresponsive = true;
   test_bed.start();
   EXPECT_EQ(readiness(), 503);
-  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.request_targets.size() == 1; }));
   test_bed.discovery.send_raw("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   test_bed.discovery.send_chunk(
       list_json(42, true, entry_json("s1", server_one.host_port(), "draining")));
@@ -119,12 +119,12 @@
     Client connection = connect();
     connection.send(text);
     EXPECT_EQ(status(connection), expected_status) << text.substr(0, 100);
-    EXPECT_TRUE(connection.ended()) << text.substr(0, 100);
+    EXPECT_TRUE(connection.wait_for_close()) << text.substr(0, 100);
   }
 }
 
 TEST_F(AdminServerTest, IncompleteRequestsDoNotKeepOthersOut) {
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.start();
   std::list<Client> slow_connections;
   for (std::size_t i = 0; i < 3 * kMaxAdminConnections; ++i) {
@@ -132,11 +132,11 @@
         .send("GET /ops/sta");
     EXPECT_EQ(stat("targets"), 1);
   }
-  EXPECT_TRUE(slow_connections.front().ended());
+  EXPECT_TRUE(slow_connections.front().wait_for_close());
 }
 
 TEST_F(AdminServerTest, ClientsThatUseEveryConnectionDoNotKeepOperatorsOut) {
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.config.max_sockets = 64;
   test_bed.start();
   std::list<Client> client_connections;
@@ -150,13 +150,13 @@
   test_bed.config.settings.plans[0].quota_rate = 2;
   test_bed.config.settings.plans[0].quota_burst = 3;
   test_bed.config.settings.gateway_count = 3;
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.start();
   int served = 0;
   int rejected = 0;
   for (int i = 0; i < 8; ++i) {
     Client connection = test_bed.client();
-    connection.send(get_request(numbered("t", i)));
+    connection.send(get_request(prefixed_number("t", i)));
     if (status(connection) == 200) {
       ++served;
     } else {
@@ -178,7 +178,7 @@
   server_one.on_request = [&](PeerConnection& peer, const HttpRequest&) {
     held = peer.shared_from_this();
   };
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.start();
   {
     Client connection = test_bed.client();
@@ -199,11 +199,11 @@
     peer.write(http_response("500 Oops"));
   };
   test_bed.config.settings.classes[0].idempotency = Idempotency::kNonIdempotent;
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.start();
   for (int i = 0; i < 3; ++i) {
     Client connection = test_bed.client();
-    std::string text = post_request(numbered("t", i));
+    std::string text = post_request(prefixed_number("t", i));
     text.replace(text.find("intro-request"), 13, "profile-read");
     connection.send(text);
     EXPECT_EQ(status(connection), 502);
@@ -219,7 +219,7 @@
   server_one.on_request = [&](PeerConnection& peer, const HttpRequest&) {
     held = peer.shared_from_this();
   };
-  test_bed.add_persisted(listed_endpoint("s1", server_one));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server_one));
   test_bed.start();
   Client open = test_bed.client();
   open.send(get_request("t"));
--- a/tests/net/config/config_loader_test.cpp
+++ b/tests/net/config/config_loader_test.cpp
@@ -9,7 +9,7 @@
 #include "net/config/config_key_check.hpp"
 #include "support/gateway_process.hpp"
 #include "support/gateway_test_bed.hpp"
-#include "support/process_figures.hpp"
+#include "support/resource_usage.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -30,13 +30,13 @@
 }
 
 TEST(ConfigLoader, KeepsTheMembersAndOneOfEachShapeInTheTree) {
-  const ConfigFile loaded = load(file(fleet(1000)));
+  const ConfigFile loaded = load(file(endpoint_entries_json(1000)));
   EXPECT_EQ(loaded.known_endpoints.revision, 41);
   EXPECT_TRUE(loaded.known_endpoints.complete);
   EXPECT_EQ(loaded.known_endpoints.endpoints.size(), 1000U);
   EXPECT_EQ(loaded.tree["known"]["members"].size(), 1U);
   EXPECT_EQ(loaded.tree["settings"]["members"].size(), 1U);
-  const auto checked = load(file(fleet(1000)), EndpointRetention::kCheckOnly);
+  const auto checked = load(file(endpoint_entries_json(1000)), EndpointRetention::kCheckOnly);
   EXPECT_EQ(checked.tree, loaded.tree);
   EXPECT_TRUE(checked.known_endpoints.endpoints.empty());
   for (const char* without_list : {R"({"name":"n0"})", R"({"known":null})"}) {
@@ -45,7 +45,7 @@
 }
 
 TEST(ConfigLoader, ThrowsOnMalformedFilesAlsoIfMembersAreOnlyChecked) {
-  const std::string complete = file(fleet(1000));
+  const std::string complete = file(endpoint_entries_json(1000));
   const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = complete;
     return text.replace(text.rfind(from), from.size(), replacement);
@@ -96,25 +96,25 @@
   FakeServer server(io);
   FakeDiscovery discovery(io);
   const auto port = free_port(io);
-  const std::string text = config_json(port, server, discovery, "", fleet(170'000));
+  const std::string text = config_json(port, server, discovery, "", endpoint_entries_json(170'000));
   Process process(text);
-  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
-  const std::size_t after_parsing = memory_of(process.id(), "VmHWM");
-  EXPECT_LT(after_parsing, kMemoryFactor * 80 << 20);
+  ASSERT_NE(process.read_log_until("ready").find("ready"), std::string::npos);
+  const std::size_t after_parsing = process_memory_bytes(process.process_id(), "VmHWM");
+  EXPECT_LT(after_parsing, kSanitizerMemoryFactor * 80 << 20);
   ASSERT_TRUE(run_until(io, [&] {
     Client client(io, {asio::ip::address_v4::loopback(), port});
     client.send("GET /_health HTTP/1.1\r\nHost: origin.svc\r\n\r\n");
     const auto response = client.receive();
     return response && response->result_int() == 200;
   }));
-  const std::size_t in_service = memory_of(process.id(), "VmHWM");
-  process.hang_up();
-  ASSERT_NE(process.log_until("reloaded").find("reloaded"), std::string::npos);
-  const std::size_t after_reload = memory_of(process.id(), "VmHWM");
+  const std::size_t in_service = process_memory_bytes(process.process_id(), "VmHWM");
+  process.request_reload();
+  ASSERT_NE(process.read_log_until("reloaded").find("reloaded"), std::string::npos);
+  const std::size_t after_reload = process_memory_bytes(process.process_id(), "VmHWM");
   std::cout << "170000 servers in a file of " << text.size() << " bytes: peak "
             << (after_parsing >> 20) << " MiB when it is read, " << (in_service >> 20)
             << " MiB in force, " << (after_reload >> 20) << " MiB after SIGHUP\n";
-  EXPECT_LT(after_reload, kMemoryFactor * 256 << 20);
+  EXPECT_LT(after_reload, kSanitizerMemoryFactor * 256 << 20);
 }
 
 TEST(GatewayWithManyEndpoints, RejectsAFileWithAMalformedMemberAnywhere) {
@@ -122,9 +122,9 @@
   FakeServer server(io);
   FakeDiscovery discovery(io);
   const auto port = free_port(io);
-  const std::string members = fleet(20'000);
+  const std::string members = endpoint_entries_json(20'000);
   Process process(config_json(port, server, discovery, "", members));
-  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
+  ASSERT_NE(process.read_log_until("ready").find("ready"), std::string::npos);
   const auto edited = [&](const std::string& from, const std::string& replacement) {
     std::string text = members;
     return text.replace(text.rfind(from), from.size(), replacement);
@@ -132,13 +132,13 @@
   for (const std::string& broken :
        {edited(R"("cell":31,)", ""), edited(R"("size":1.0)", R"("size":"1.0")"),
         edited(R"("phase":"up")", R"("phase":"odd")"), edited(R"("id":)", R"("name":)")}) {
-    process.configure(config_json(port, server, discovery, "", broken));
-    process.hang_up();
-    ASSERT_NE(process.log_until("configuration").find("reload failed"), std::string::npos);
+    process.write_configuration(config_json(port, server, discovery, "", broken));
+    process.request_reload();
+    ASSERT_NE(process.read_log_until("configuration").find("reload failed"), std::string::npos);
   }
-  process.configure(config_json(port, server, discovery, "", members));
-  process.hang_up();
-  ASSERT_NE(process.log_until("configuration").find("reloaded"), std::string::npos);
+  process.write_configuration(config_json(port, server, discovery, "", members));
+  process.request_reload();
+  ASSERT_NE(process.read_log_until("configuration").find("reloaded"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/net/counter/counter_client_test.cpp
+++ b/tests/net/counter/counter_client_test.cpp
@@ -58,9 +58,9 @@
 
 TEST_F(CounterClientTest, ARejectedCallIsKnownNotAdded) {
   start_client();
-  fake->answer = "-BUSY later\r\n";
+  fake->reply_override = "-BUSY later\r\n";
   EXPECT_EQ(add(1).outcome, CounterOutcome::kNotAdded);
-  fake->answer = "-ERR no such call\r\n";
+  fake->reply_override = "-ERR no such call\r\n";
   EXPECT_EQ(add(1).outcome, CounterOutcome::kNotAdded);
 }
 
@@ -81,7 +81,7 @@
   fake->silent = true;
   counter->add({1, 1, 4'000'000});
   ASSERT_TRUE(run_until(io, [&] { return fake->calls.size() == 2; }));
-  fake->last->reset();
+  fake->last_peer->reset();
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 2; }));
   EXPECT_EQ(replies[1].outcome, CounterOutcome::kUnknown);
 }
@@ -93,7 +93,7 @@
   EXPECT_EQ(add(2).outcome, CounterOutcome::kUnknown);
   fake->silent = false;
   counter->add({3, 5, 4'000'000});
-  fake->last->write("$3\r\n222\r\n");  // the reply to call 2, after its time-out
+  fake->last_peer->write("$3\r\n222\r\n");  // the reply to call 2, after its time-out
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].key, 3);
   // A machine that pauses the test for longer than a call's time-out has the call time out instead.
@@ -133,9 +133,9 @@
   std::size_t expected_connections = 1;
   for (const char* invalid_reply :
        {"$3\r\nnan\r\n", "$-1\r\n", ":12\r\n", "+OK\r\n", "-ODD\r\n", "$0\r\n\r\n"}) {
-    fake->answer = invalid_reply;
+    fake->reply_override = invalid_reply;
     EXPECT_EQ(add(1).outcome, CounterOutcome::kUnknown) << invalid_reply;
-    fake->answer.reset();
+    fake->reply_override.reset();
     ASSERT_TRUE(next_call_succeeds_eventually()) << invalid_reply;
     EXPECT_EQ(fake->peers.size(), ++expected_connections) << invalid_reply;
   }
@@ -150,7 +150,7 @@
   ASSERT_TRUE(run_until(io, [&] { return fake->calls.size() == 2; }));
   counter->close_when_idle();
   EXPECT_EQ(add(2).outcome, CounterOutcome::kNotAdded);  // accepts no further calls
-  fake->last->write("$1\r\n5\r\n");
+  fake->last_peer->write("$1\r\n5\r\n");
   ASSERT_TRUE(run_until(io, [&] { return replies.size() == 3; }));
   EXPECT_EQ(replies[2].outcome, CounterOutcome::kOk);
   EXPECT_DOUBLE_EQ(replies[2].total, 5);
@@ -164,7 +164,7 @@
   fake->silent = true;
   counter->add({1, 4, 4'000'000});
   counter->close_when_idle();
-  EXPECT_TRUE(run_until(io, [&] { return fake->last->closed; }));
+  EXPECT_TRUE(run_until(io, [&] { return fake->last_peer->closed; }));
 }
 
 TEST_F(CounterClientTest, AnInvalidReplyLeavesItsCallUnknownAndTheNextConnectionWorks) {
@@ -175,12 +175,12 @@
         "*2147483647\r\n", "*2\r\n:1\r\n:2\r\n", "$99999999999\r\n", "nonsense\r\n",
         "$3\r\n1.5\r\n$3\r\n1.5\r\n"}) {
     ASSERT_TRUE(next_call_succeeds_eventually()) << invalid_reply;
-    fake->answer = invalid_reply;
+    fake->reply_override = invalid_reply;
     const auto outcome = add(1).outcome;
     EXPECT_TRUE(outcome == CounterOutcome::kUnknown ||
                 std::string(invalid_reply).substr(4, 3) == "1.5")
         << invalid_reply;
-    fake->answer.reset();
+    fake->reply_override.reset();
   }
   EXPECT_TRUE(next_call_succeeds_eventually());
 }
--- a/tests/net/discovery/discovery_client_test.cpp
+++ b/tests/net/discovery/discovery_client_test.cpp
@@ -25,9 +25,9 @@
 };
 
 TEST_F(DiscoveryClientTest, WatchesFromTheKnownRevisionAndReportsChanges) {
-  fake.first = list_json(43, false, entry_json("s1", "127.0.0.1:9", "draining", 1500));
+  fake.initial_body = list_json(43, false, entry_json("s1", "127.0.0.1:9", "draining", 1500));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
-  EXPECT_EQ(fake.requests.at(0), "/catalog/members?watch=1&after=41");
+  EXPECT_EQ(fake.request_targets.at(0), "/catalog/members?watch=1&after=41");
   EXPECT_EQ(updates[0].revision, 43);
   EXPECT_FALSE(updates[0].complete);
   const auto& endpoint = updates[0].endpoints.at(0);
@@ -38,7 +38,7 @@
 }
 
 TEST_F(DiscoveryClientTest, AcceptsAListInPieces) {
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 1; }));
   const std::string line = list_json(44, true, entry_json("s1", "127.0.0.1:9"));
   const std::string bytes = FakeDiscovery::chunk("\n") + FakeDiscovery::chunk(line.substr(0, 20)) +
                             FakeDiscovery::chunk(line.substr(20) + line.substr(0, 9));
@@ -56,8 +56,8 @@
     return nlohmann::json::parse(line).dump(2) + "\n\n";
   };
   const std::string with_brackets = list_json(43, true, entry_json(R"(s}]\"{)", "127.0.0.1:9"));
-  fake.first = indented(with_brackets) + "\n" +
-               indented(list_json(44, false, entry_json("s2", "127.0.0.1:9")));
+  fake.initial_body = indented(with_brackets) + "\n" +
+                      indented(list_json(44, false, entry_json("s2", "127.0.0.1:9")));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
   EXPECT_EQ(updates[0].endpoints.at(0).entry.server, "s}]\"{");
   EXPECT_EQ(updates[1].endpoints.at(0).entry.server, "s2");
@@ -66,68 +66,68 @@
   }
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 3; }));
   EXPECT_EQ(updates[2].revision, 45);
-  EXPECT_EQ(fake.requests.size(), 1U);
+  EXPECT_EQ(fake.request_targets.size(), 1U);
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListAfterOneThatBreaksOff) {
   // Heartbeats go on behind it: waiting for the end of the list would miss its changes.
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 1; }));
   const std::string complete_list = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
-  fake.first = complete_list;
+  fake.initial_body = complete_list;
   const Micros broke_off_at = clock.now();
   fake.send_chunk(complete_list.substr(0, complete_list.size() / 2) + "\n\n");
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_LT(clock.now() - broke_off_at, 250'000);
-  EXPECT_EQ(fake.requests.back(), "/catalog/members?watch=1");
+  EXPECT_EQ(fake.request_targets.back(), "/catalog/members?watch=1");
 }
 
 TEST_F(DiscoveryClientTest, ResumesABrokenWatchAtTheLastRevision) {
-  fake.first = list_json(43, false, "");
+  fake.initial_body = list_json(43, false, "");
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   fake.peers[0]->reset();
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
-  EXPECT_EQ(fake.requests.at(1), "/catalog/members?watch=1&after=43");
+  EXPECT_EQ(fake.request_targets.at(1), "/catalog/members?watch=1&after=43");
 }
 
 TEST_F(DiscoveryClientTest, ReconnectsASilentWatch) {
   // The watch stays open and sends nothing, not even its heartbeat.
   fake.unresponsive = true;
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 2; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 2; }));
   fake.unresponsive = false;
-  fake.first = list_json(45, true, entry_json("s1", "127.0.0.1:9"));
+  fake.initial_body = list_json(45, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListAfterAMalformedOne) {
   // A change in what was not understood would otherwise be lost.
-  fake.first = "{\"revision\":\"x\"}\n";
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() >= 2; }));
-  fake.first = list_json(50, true, entry_json("s1", "127.0.0.1:9"));
+  fake.initial_body = "{\"revision\":\"x\"}\n";
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() >= 2; }));
+  fake.initial_body = list_json(50, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
-  EXPECT_EQ(fake.requests.back(), "/catalog/members?watch=1");
+  EXPECT_EQ(fake.request_targets.back(), "/catalog/members?watch=1");
 }
 
 TEST_F(DiscoveryClientTest, RequestsACompleteListFromAnotherAgent) {
   // The other agent may not know the revision after which changes would be requested.
-  fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
+  fake.initial_body = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   FakeDiscovery other(io);
-  other.first = list_json(7, true, entry_json("s2", "127.0.0.1:9"));
+  other.initial_body = list_json(7, true, entry_json("s2", "127.0.0.1:9"));
   discovery.switch_agent(other.address());
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
-  EXPECT_EQ(other.requests.at(0), "/catalog/members?watch=1");
+  EXPECT_EQ(other.request_targets.at(0), "/catalog/members?watch=1");
   EXPECT_TRUE(run_until(io, [&] { return fake.peers[0]->closed; }));
   EXPECT_EQ(fake.peers.size(), 1U);
 }
 
 TEST_F(DiscoveryClientTest, RejectsAnEmptyListAndRequestsAnother) {
   // A discovery that has lost its list would otherwise take every endpoint from every gateway.
-  fake.first = list_json(43, true, "");
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() >= 2; }));
+  fake.initial_body = list_json(43, true, "");
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() >= 2; }));
   EXPECT_TRUE(updates.empty());
-  fake.first = list_json(44, true, entry_json("s1", "127.0.0.1:9"));
+  fake.initial_body = list_json(44, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
-  EXPECT_EQ(fake.requests.back(), "/catalog/members?watch=1");
+  EXPECT_EQ(fake.request_targets.back(), "/catalog/members?watch=1");
 }
 
 TEST(PollingDiscoveryClient, HonoursRetryAfterAndThenWatchesAgain) {
@@ -142,14 +142,14 @@
       clock,
       {.agent = fake.address(), .revision = 41, .max_rejection_backoff = 16'000'000},
       {.on_update = [&](const EndpointList& list) { updates.push_back(list); }}};
-  fake.rejection =
+  fake.error_response =
       "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n";
   discovery.start();
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 1; }));
   const Micros rejected_at = clock.now();
   EXPECT_TRUE(updates.empty());  // the known list stays in force
-  fake.rejection.clear();
-  fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
+  fake.error_response.clear();
+  fake.initial_body = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_GE(clock.now() - rejected_at, 500'000);
 }
@@ -158,16 +158,16 @@
   // Once an agent is back, all that it has counts as known to the gateway, and 250 ms later nothing
   // new may go to a draining endpoint. However the agent disconnects, and however often, the next
   // attempt is made before that.
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 1; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 1; }));
   for (const bool resets : {true, false}) {
     fake.unresponsive = resets;
-    fake.rejection =
+    fake.error_response =
         "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 10\r\nContent-Length: 0\r\n\r\n";
     for (int i = 0; i < 12; ++i) {
-      const std::size_t requests_before = fake.requests.size();
+      const std::size_t requests_before = fake.request_targets.size();
       fake.peers.back()->reset();
       const Micros disconnected_at = clock.now();
-      ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() > requests_before; }));
+      ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() > requests_before; }));
       EXPECT_LT(clock.now() - disconnected_at, 250'000) << i;
     }
   }
@@ -176,11 +176,11 @@
 TEST_F(DiscoveryClientTest, ReplacesASilentWatchInTimeThoughItsAgentAcceptsWithoutResponding) {
   // 6 s after the watch fell silent, all that it missed counts as known to the gateway. The time
   // does not start anew with each connection.
-  fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
+  fake.initial_body = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   const Micros silent_since = clock.now();
   fake.unresponsive = true;
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 5; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 5; }));
   fake.unresponsive = false;
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 2; }));
   EXPECT_LT(clock.now() - silent_since, 6'000'000);
@@ -189,10 +189,10 @@
 TEST_F(DiscoveryClientTest, DisconnectsFromAnUnresponsiveAgentWithinTheGracePeriod) {
   // Otherwise a dead connection would be trusted while the agent behind it has long been back.
   fake.unresponsive = true;
-  ASSERT_TRUE(run_until(io, [&] { return fake.requests.size() == 3; }));
+  ASSERT_TRUE(run_until(io, [&] { return fake.request_targets.size() == 3; }));
   const Micros back_at = clock.now();
   fake.unresponsive = false;
-  fake.first = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
+  fake.initial_body = list_json(43, true, entry_json("s1", "127.0.0.1:9"));
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_LT(clock.now() - back_at, 250'000);
 }
--- a/tests/net/discovery/endpoint_list_parser_test.cpp
+++ b/tests/net/discovery/endpoint_list_parser_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "support/gateway_test_bed.hpp"
-#include "support/process_figures.hpp"
+#include "support/resource_usage.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -181,19 +181,19 @@
   // Prints the time and the memory that it takes.
   constexpr std::size_t kChunkSize = 16384;
   const auto cost = [](int members) {
-    std::string text = list_json(1, true, fleet(members));
+    std::string text = list_json(1, true, endpoint_entries_json(members));
     text.pop_back();
     const std::size_t bytes = text.size();
-    const std::size_t before = resident();
-    const auto started_at = processor_time();
+    const std::size_t before = resident_memory_bytes();
+    const auto started_at = thread_cpu_time_us();
     EndpointListParser parser({"members"});
     for (std::size_t position = 0; position < bytes; position += kChunkSize) {
       parser.parse_chunk(std::string_view(text).substr(position, kChunkSize));
     }
     const EndpointList list = parser.take_list(parser.surrounding_json());
-    const auto spent = processor_time() - started_at;
+    const auto spent = thread_cpu_time_us() - started_at;
     EXPECT_EQ(list.endpoints.size(), std::size_t(members));
-    const std::size_t grown = resident() - std::min(before, resident());
+    const std::size_t grown = resident_memory_bytes() - std::min(before, resident_memory_bytes());
     std::cout << members << " members, " << bytes << " bytes: " << spent << " us, resident "
               << grown / 1024 << " KiB more, " << sizeof(ListedEndpoint) << " bytes a member\n";
     return double(spent) / members;
--- a/tests/net/discovery/endpoint_table_test.cpp
+++ b/tests/net/discovery/endpoint_table_test.cpp
@@ -59,7 +59,7 @@
 ListedEndpoints many_endpoints(int count) {
   ListedEndpoints endpoints;
   for (int i = 0; i < count; ++i) {
-    endpoints.push_back(endpoint_at(numbered("s-", i), i, 1 + i));
+    endpoints.push_back(endpoint_at(prefixed_number("s-", i), i, 1 + i));
   }
   return endpoints;
 }
@@ -286,10 +286,10 @@
   while (table.apply().entries.empty()) {  // until the additions have begun
   }
   ASSERT_FALSE(table.is_idle());
-  const std::string draining = numbered("s-", n - 1);
-  const std::string removed = numbered("s-", n - 2);
-  const std::string moved = numbered("s-", n - 3);
-  const std::string replaced = numbered("s-", n - 4);
+  const std::string draining = prefixed_number("s-", n - 1);
+  const std::string removed = prefixed_number("s-", n - 2);
+  const std::string moved = prefixed_number("s-", n - 3);
+  const std::string replaced = prefixed_number("s-", n - 4);
   table.enqueue(partial_list({endpoint_at(draining, n - 1, n, EndpointState::kDraining),
                               removed_endpoint(removed), endpoint_at(moved, 2 * n, n),
                               endpoint_at("new", n - 4, 2 * n), removed_endpoint("there")}));
@@ -352,8 +352,8 @@
   ListedEndpoint endpoint(int id, bool in_complete_list) {
     const int place = id + 10'000 * pick(2);
     const Micros started_at = 1 + pick(2);
-    ListedEndpoint endpoint = endpoint_at(numbered("s-", id), place, started_at);
-    endpoint.entry.zone = numbered("z", pick(5));
+    ListedEndpoint endpoint = endpoint_at(prefixed_number("s-", id), place, started_at);
+    endpoint.entry.zone = prefixed_number("z", pick(5));
     const int state = pick(10);
     if (state == 0) {
       endpoint.entry.state = EndpointState::kDraining;
@@ -441,7 +441,8 @@
       for (int change = 0; change < kChanges; ++change) {
         const auto server = int(i * 7'919 % n);
         const Micros started_at = 1 + n + i;
-        apply_list(table, partial_list({endpoint_at(numbered("s-", server), server, started_at)}));
+        apply_list(table,
+                   partial_list({endpoint_at(prefixed_number("s-", server), server, started_at)}));
         ++i;
       }
     });
@@ -502,7 +503,7 @@
     for (ListedEndpoint& endpoint : list) {
       endpoint.entry.server += char('a' + round);
       endpoint.entry.started_at += round * kFleetSize;
-      endpoint.entry.zone = numbered("z", round);
+      endpoint.entry.zone = prefixed_number("z", round);
     }
     EXPECT_EQ(apply_list(table, partial_list(std::move(list))).replaced.size(),
               std::size_t(kFleetSize / 10));
--- a/tests/net/discovery/list_intake_test.cpp
+++ b/tests/net/discovery/list_intake_test.cpp
@@ -4,7 +4,7 @@
 #include "net/discovery/discovery_client.hpp"
 #include "support/bytes_sent.hpp"
 #include "support/gateway_test_bed.hpp"
-#include "support/process_figures.hpp"
+#include "support/resource_usage.hpp"
 
 namespace quota_gateway::net::testing {
 namespace {
@@ -101,7 +101,7 @@
 
 // A list whose entries have no end.
 ListAgent::Pieces endless(std::int64_t revision, bool complete = true) {
-  return [beginning = list_json(revision, complete, ""), entries = fleet(100),
+  return [beginning = list_json(revision, complete, ""), entries = endpoint_entries_json(100),
           first = true]() mutable {
     if (!std::exchange(first, false)) {
       return ',' + entries;
@@ -160,10 +160,10 @@
 
 TEST_F(ListIntakeTest, AcceptsAListOf170000AtTheFirstRequest) {
   // A list that is rejected for its size or its duration would be sent again, 20 times a second.
-  const std::string text = list_json(50, true, fleet(170'000));
+  const std::string text = list_json(50, true, endpoint_entries_json(170'000));
   agent.respond = [all = in_pieces(text, 16384)](const std::string&) { return all; };
-  const std::size_t before = resident();
-  const auto processor_time_before = processor_time();
+  const std::size_t before = resident_memory_bytes();
+  const auto processor_time_before = thread_cpu_time_us();
   Micros turn_began_at = clock.now();
   Micros longest_turn = 0;
   start();
@@ -174,19 +174,19 @@
     return updates.size() == 1;
   }));
   std::cout << "170000 members, " << text.size()
-            << " bytes: " << processor_time() - processor_time_before
-            << " us with the agent's part, resident " << (resident() - before) / 1024
+            << " bytes: " << thread_cpu_time_us() - processor_time_before
+            << " us with the agent's part, resident " << (resident_memory_bytes() - before) / 1024
             << " KiB more, longest turn of the loop " << longest_turn << " us\n";
   EXPECT_EQ(updates[0].endpoints.size(), 170'000U);
   EXPECT_EQ(updates[0].revision, 50);
   agent.respond = [](const std::string&) { return once("\n"); };
   run(300'000);
   EXPECT_EQ(agent.requests.size(), 1U);
-  EXPECT_LT(resident() - before, kMemoryFactor * 40 << 20);
+  EXPECT_LT(resident_memory_bytes() - before, kSanitizerMemoryFactor * 40 << 20);
 }
 
 TEST_F(ListIntakeTest, ALargeListThatBreaksOffHasNoEffectAndIsRequestedAtOnce) {
-  const std::string text = list_json(50, true, fleet(60'000));
+  const std::string text = list_json(50, true, endpoint_entries_json(60'000));
   agent.respond = [&](const std::string&) -> ListAgent::Pieces {
     if (agent.requests.size() > 1) {
       return in_pieces(text, 16384);
@@ -231,7 +231,9 @@
   agent.respond = [](const std::string&) { return endless(50); };
   start(accelerated_limits());
   run(500'000);
-  agent.respond = [](const std::string&) { return once(list_json(51, true, fleet(200))); };
+  agent.respond = [](const std::string&) {
+    return once(list_json(51, true, endpoint_entries_json(200)));
+  };
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 200U);
   // And one of any size: of the same revision too, since a list that broke once may be correct now.
@@ -240,7 +242,7 @@
   agent.hang_up();
   run(500'000);
   agent.respond = [](const std::string&) {
-    return in_pieces(list_json(52, true, fleet(1'500)), 16384);
+    return in_pieces(list_json(52, true, endpoint_entries_json(1'500)), 16384);
   };
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
   EXPECT_EQ(updates[0].endpoints.size(), 1'500U);
@@ -267,7 +269,7 @@
     if (target.find("after=") == std::string::npos) {
       return endless(50);
     }
-    return in_pieces(list_json(51, false, fleet(24'000)), 16384);
+    return in_pieces(list_json(51, false, endpoint_entries_json(24'000)), 16384);
   };
   const Micros available_at = clock.now();
   ASSERT_TRUE(run_until(io, [&] { return updates.size() == 1; }));
@@ -310,15 +312,15 @@
   for (const std::size_t memory_mb : {1, 32}) {
     GatewayTestBed test_bed;
     FakeServer server(test_bed.io);
-    test_bed.add_persisted(listed_endpoint("s1", server));
+    test_bed.add_persisted_endpoint(listed_endpoint("s1", server));
     test_bed.config.memory_limit_mb = memory_mb;
-    test_bed.discovery.first = list_json(42, true, fleet(2'000));
+    test_bed.discovery.initial_body = list_json(42, true, endpoint_entries_json(2'000));
     ::testing::internal::CaptureStderr();
     GatewayServer& gateway = test_bed.start();
     const auto accepted = [&] {
       return gateway.render_stats().find("app.targets=2000\n") != std::string::npos;
     };
-    const auto rejected = [&] { return test_bed.discovery.requests.size() > 3; };
+    const auto rejected = [&] { return test_bed.discovery.request_targets.size() > 3; };
     ASSERT_TRUE(test_bed.run_until([&] { return accepted() || rejected(); }));
     const std::string log = ::testing::internal::GetCapturedStderr();
     EXPECT_EQ(accepted(), memory_mb == 32) << log;
@@ -331,7 +333,9 @@
 
 TEST_F(ListIntakeTest, RejectsAListThatTricklesAndRequestsItLessAndLessOften) {
   // It always has another byte, and would otherwise be requested 20 times a second.
-  agent.respond = [](const std::string&) { return in_pieces(list_json(50, true, fleet(100)), 1); };
+  agent.respond = [](const std::string&) {
+    return in_pieces(list_json(50, true, endpoint_entries_json(100)), 1);
+  };
   agent.pause = 5'000;
   ListLimits limits;
   limits.max_unfinished_lists = 3;
@@ -365,7 +369,7 @@
 }
 
 TEST_F(ListIntakeTest, ALargeListMayTakeLongerThanASmallOne) {
-  const std::string text = list_json(50, true, fleet(10'000));
+  const std::string text = list_json(50, true, endpoint_entries_json(10'000));
   agent.respond = [&](const std::string&) { return in_pieces(text, 32768); };
   agent.pause = 8'000;  // 43 times: past 150 ms and well over half a MB a second
   start();
--- a/tests/net/hot_restart/hot_restart_test.cpp
+++ b/tests/net/hot_restart/hot_restart_test.cpp
@@ -23,7 +23,7 @@
   HotRestartTest() {
     directory = "/tmp/quota-gateway-folder-XXXXXX";
     EXPECT_NE(::mkdtemp(directory.data()), nullptr);
-    discovery.first = list_json(42, true, entry_json("s1", server.host_port()));
+    discovery.initial_body = list_json(42, true, entry_json("s1", server.host_port()));
   }
   ~HotRestartTest() override { std::filesystem::remove_all(directory); }
   std::string socket_file() const { return directory + "/cottonroad.sock"; }
@@ -56,7 +56,7 @@
   };
   // None: the connection ended without a response.
   std::optional<RequestResult> send_request(Client& connection) {
-    connection.send(get_request(numbered("t", ++last_request)));
+    connection.send(get_request(prefixed_number("t", ++last_request)));
     const auto response = connection.receive();
     if (!response) {
       return std::nullopt;
@@ -72,7 +72,7 @@
       if (result && result->status == 200) {
         ++served;
       } else {
-        ADD_FAILURE() << (result ? numbered("status ", result->status) : "no response");
+        ADD_FAILURE() << (result ? prefixed_number("status ", result->status) : "no response");
       }
     }
     return served;
@@ -90,41 +90,41 @@
 
 TEST_F(HotRestartTest, NoConnectionIsLostBetweenParentAndChild) {
   Process parent(config_with_admin_port(parent_admin_port), directory);
-  parent.log_until("ready");
+  parent.read_log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   Client used_connection = client();
   Client idle_connection = client();
   EXPECT_EQ(send_request(used_connection), (RequestResult{200, true}));
   EXPECT_EQ(send_request(idle_connection), (RequestResult{200, true}));
   Process child(config_with_admin_port(child_admin_port), directory);
-  child.log_until("ready");
+  child.read_log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(child_admin_port); }));
   EXPECT_EQ(count_served(2), 2);
   // The parent's connections are answered and closed there, so that clients reconnect to the child.
   ASSERT_TRUE(run_until(io, [&] { return !ready(parent_admin_port); }));
   EXPECT_EQ(send_request(used_connection), (RequestResult{200, false}));
-  EXPECT_TRUE(used_connection.ended());
+  EXPECT_TRUE(used_connection.wait_for_close());
   // A client that connects while the parent ends and the child is stopped waits in the queue of the
   // listening socket, which both share.
-  child.kill(SIGSTOP);
+  child.send_signal(SIGSTOP);
   Client waiting_client = client();
   waiting_client.send(get_request("waiting"));
   parent.terminate();
-  EXPECT_EQ(parent.exit_code(), 0);
-  EXPECT_TRUE(idle_connection.ended());
-  child.kill(SIGCONT);
+  EXPECT_EQ(parent.wait_for_exit(), 0);
+  EXPECT_TRUE(idle_connection.wait_for_close());
+  child.send_signal(SIGCONT);
   const auto response = waiting_client.receive();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
   EXPECT_EQ(count_served(2), 2);
   // The child has become the parent of the next process.
   Process grandchild(config_with_admin_port(parent_admin_port), directory);
-  ASSERT_NE(grandchild.log_until("1 other processes").find("1 other"), std::string::npos);
+  ASSERT_NE(grandchild.read_log_until("1 other processes").find("1 other"), std::string::npos);
 }
 
 TEST_F(HotRestartTest, TheParentServesUntilTheChildIsReady) {
   Process parent(config_with_admin_port(parent_admin_port), directory);
-  parent.log_until("ready");
+  parent.read_log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   FakeDiscovery unresponsive_discovery(io);
   unresponsive_discovery.unresponsive = true;
@@ -136,34 +136,34 @@
   config_without_endpoints.replace(config_without_endpoints.find(phase), phase.size(),
                                    R"("phase":"draining")");
   Process child(config_without_endpoints, directory);
-  const std::string child_log = child.log_until("ready");
+  const std::string child_log = child.read_log_until("ready");
   // The child waits 0.5 s for its parent, then listens beside it; on a loaded machine that ends
   // this test, and this line says why.
   ASSERT_EQ(child_log.find("passed no usable listening socket"), std::string::npos) << child_log;
   EXPECT_FALSE(ready(child_admin_port));
   EXPECT_EQ(count_served(3), 3);
-  child.kill(SIGKILL);  // before it is ready
+  child.send_signal(SIGKILL);  // before it is ready
   EXPECT_EQ(count_served(3), 3);
-  ASSERT_NE(parent.log_until("0 other processes").find("0 other"), std::string::npos);
+  ASSERT_NE(parent.read_log_until("0 other processes").find("0 other"), std::string::npos);
   EXPECT_TRUE(ready(parent_admin_port));
 }
 
 TEST_F(HotRestartTest, AChildServesOnWhenItsParentDies) {
   Process parent(config_with_admin_port(parent_admin_port), directory);
-  parent.log_until("ready");
+  parent.read_log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   Process child(config_with_admin_port(child_admin_port), directory);
-  child.log_until("ready");
+  child.read_log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(child_admin_port); }));
-  parent.kill(SIGKILL);
+  parent.send_signal(SIGKILL);
   EXPECT_EQ(count_served(3), 3);
   // Their socket file is still there. A process that starts after both have ended listens on its
   // own.
-  child.kill(SIGKILL);
-  child.exit_code();
+  child.send_signal(SIGKILL);
+  child.wait_for_exit();
   ASSERT_TRUE(std::filesystem::exists(socket_file()));
   Process grandchild(config_with_admin_port(parent_admin_port), directory);
-  grandchild.log_until("ready");
+  grandchild.read_log_until("ready");
   ASSERT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }));
   EXPECT_EQ(count_served(1), 1);
 }
@@ -171,7 +171,7 @@
 TEST_F(HotRestartTest, StartsWhateverIsAtTheSocketPath) {
   const auto starts = [&] {
     Process process(config_with_admin_port(parent_admin_port), directory);
-    process.log_until("ready");
+    process.read_log_until("ready");
     return run_until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1;
   };
   std::ofstream(socket_file()) << "text";
@@ -193,7 +193,7 @@
       // May fail, if the process has waited for its 0.5 s: it must start in either case.
       send_packet(link.get(), foreign_packet);
     }
-    process.log_until("ready");
+    process.read_log_until("ready");
     EXPECT_TRUE(run_until(io, [&] { return ready(parent_admin_port); }) && count_served(1) == 1)
         << "a foreign process that sends: " << foreign_packet;
   }
@@ -210,7 +210,7 @@
   const Packet identity = receive_packet_within(link.get(), std::chrono::seconds(20));
   EXPECT_EQ(identity.text, "cottonroad/1 n0 127.0.0.1:" + std::to_string(port));
   ASSERT_TRUE(send_packet(link.get(), "cottonroad/1 welcome", listener.native_handle()));
-  ASSERT_NE(child.log_until("1 other processes").find("1 other"), std::string::npos);
+  ASSERT_NE(child.read_log_until("1 other processes").find("1 other"), std::string::npos);
   std::string ready_packet;
   ASSERT_TRUE(run_until(io, [&] {
     ready_packet = receive_packet(link.get()).text;
--- a/tests/net/server/client_connections_test.cpp
+++ b/tests/net/server/client_connections_test.cpp
@@ -21,12 +21,12 @@
   Client half = test_bed.client();
   half.send(get_request("a").substr(0, 60));
   EXPECT_EQ(status(half), 408);
-  EXPECT_TRUE(silent.ended());
+  EXPECT_TRUE(silent.wait_for_close());
 }
 
 TEST_F(ServerClientConnections, SilentConnectionsDoNotBlockNewClients) {
   test_bed.config.max_sockets = 64;  // 32 clients
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client served = test_bed.client();
   served.send(get_request("a"));
@@ -44,7 +44,7 @@
 }
 
 TEST_F(ServerClientConnections, AcceptsFragmentedAndPipelinedRequests) {
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   for (const char byte : post_request("a")) {
@@ -60,47 +60,48 @@
 // its next requests.
 TEST_F(ServerClientConnections, ClientsThatIdleAfterOneRequestDoNotHoldAllConnections) {
   test_bed.config.max_sockets = 64;
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   std::deque<Client> idle_clients;
   for (int i = 0; i < 12; ++i) {
     idle_clients.push_back(test_bed.client());
-    idle_clients.back().send(get_request(numbered("t", i)));
+    idle_clients.back().send(get_request(prefixed_number("t", i)));
     EXPECT_EQ(status(idle_clients.back()), 200);
   }
   // Long before its idle limit of 4 s; the connections that were used last are kept.
-  EXPECT_TRUE(idle_clients.front().ended());
+  EXPECT_TRUE(idle_clients.front().wait_for_close());
   for (int i = 8; i < 12; ++i) {
-    idle_clients[std::size_t(i)].send(get_request(numbered("u", i)));
+    idle_clients[std::size_t(i)].send(get_request(prefixed_number("u", i)));
     EXPECT_EQ(status(idle_clients[std::size_t(i)]), 200);
   }
 }
 
 TEST_F(ServerClientConnections, EvictsIdleClientsForNewOnes) {
   test_bed.config.max_sockets = 64;  // 32 clients
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   std::deque<Client> clients;
   for (int i = 0; i < 40; ++i) {
     clients.emplace_back(test_bed.io, test_bed.server->address());
-    clients.back().send(get_request(numbered("t", i)));
+    clients.back().send(get_request(prefixed_number("t", i)));
     EXPECT_EQ(status(clients.back()), 200) << i;
   }
-  EXPECT_TRUE(clients.front().ended());
+  EXPECT_TRUE(clients.front().wait_for_close());
 }
 
 // The new clients are accepted before the last bytes of the requests are read.
 TEST_F(PatientServerClientConnections, DoesNotEvictAClientWhoseRequestIsComplete) {
   std::list<FakeServer> servers;
   for (int i = 0; i < 60; ++i) {
-    test_bed.add_persisted(listed_endpoint(numbered("s", i), servers.emplace_back(test_bed.io)));
+    test_bed.add_persisted_endpoint(
+        listed_endpoint(prefixed_number("s", i), servers.emplace_back(test_bed.io)));
   }
   test_bed.config.max_sockets = 64;  // 24 clients
   test_bed.start();
   std::vector<Client> early_clients;
   for (int i = 0; i < 24; ++i) {
     early_clients.push_back(test_bed.client());
-    early_clients.back().send(get_request(numbered("c", i)).substr(0, 60));
+    early_clients.back().send(get_request(prefixed_number("c", i)).substr(0, 60));
   }
   // By then all of them are accepted, and the beginnings of their requests are read.
   for (int turn = 0; turn < 5; ++turn) {
@@ -110,10 +111,10 @@
   std::vector<Client> new_clients;
   for (int i = 0; i < 3; ++i) {
     new_clients.push_back(test_bed.client());
-    new_clients.back().send(get_request(numbered("m", i)));
+    new_clients.back().send(get_request(prefixed_number("m", i)));
   }
   for (std::size_t i = 0; i < early_clients.size(); ++i) {
-    early_clients[i].send(get_request(numbered("c", int(i))).substr(60));
+    early_clients[i].send(get_request(prefixed_number("c", int(i))).substr(60));
   }
   for (Client& client : early_clients) {
     EXPECT_GE(status(client), 200);
@@ -131,7 +132,7 @@
 
 // Whether `server` has so many requests in progress.
 bool has_open_requests(const GatewayServer& server, int count) {
-  const std::string line = numbered("app.concurrent=", count) + "\n";
+  const std::string line = prefixed_number("app.concurrent=", count) + "\n";
   return server.render_stats().find(line) != std::string::npos;
 }
 
@@ -152,7 +153,7 @@
                                    UnreadInput{false, true}, UnreadInput{false, false}}) {
     GatewayTestBed held;  // forwards no request, since its discovery does not answer
     FakeServer server(held.io);
-    held.add_persisted(listed_endpoint("s1", server));
+    held.add_persisted_endpoint(listed_endpoint("s1", server));
     for (ClassSettings& class_settings : held.config.settings.classes) {
       class_settings.latency_objective = 3'000'000;
     }
--- a/tests/net/server/deadlines_test.cpp
+++ b/tests/net/server/deadlines_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_F(RequestDeadlines, AnswersBeforeTheDeadlineWhenTheEndpointIsSilent) {
   server1.on_request = [](PeerConnection&, const HttpRequest&) {};
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   client.send(post_request("a", "400m"));
@@ -27,7 +27,7 @@
   server1.on_request = [](PeerConnection& connection, const HttpRequest&) {
     connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   };
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   const Micros sent_at = Clock().now();
--- a/tests/net/server/endpoint_lists_test.cpp
+++ b/tests/net/server/endpoint_lists_test.cpp
@@ -14,21 +14,21 @@
 using ServerEndpointLists = ManyEndpointsTest;
 
 TEST_F(ServerEndpointLists, AppliesChangesFromDiscovery) {
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
-  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.request_targets.size() == 1; }));
   test_bed.discovery.send_chunk(list_json(42, false,
                                           entry_json("s1", server1.host_port(), "draining") + "," +
                                               entry_json("s2", server2.host_port())));
   Client client = test_bed.client();
   // Until the change is in force. From then on the draining server gets nothing.
   for (int i = 0; server2.requests.empty() && i < 1000; ++i) {
-    client.send(get_request(numbered("t", i)));
+    client.send(get_request(prefixed_number("t", i)));
     EXPECT_EQ(status(client), 200);
   }
   const auto before = server1.requests.size();
   for (int i = 0; i < 10; ++i) {
-    client.send(get_request(numbered("u", i)));
+    client.send(get_request(prefixed_number("u", i)));
     EXPECT_EQ(status(client), 200);
   }
   EXPECT_EQ(server1.requests.size(), before);
@@ -39,7 +39,7 @@
 TEST_F(ServerEndpointLists, AppliesALargePersistedListCompletelyBeforeForwarding) {
   const int count = 5'000;
   for (int i = 0; i < count; ++i) {
-    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
+    test_bed.add_persisted_endpoint(servers.listed_endpoint(prefixed_number("n", i), i));
   }
   test_bed.discovery.unresponsive = true;
   test_bed.start();
@@ -70,9 +70,9 @@
   const int count = 3'000;
   std::string entries;
   for (int i = 0; i < count; ++i) {
-    entries += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i);
+    entries += (i > 0 ? "," : "") + servers.entry_json(prefixed_number("n", i), i);
   }
-  test_bed.discovery.first = list_json(43, true, entries);
+  test_bed.discovery.initial_body = list_json(43, true, entries);
   test_bed.start();
   std::size_t turns_between_slices = 0;
   std::optional<Client> client;
@@ -97,20 +97,21 @@
 TEST_F(ServerEndpointLists, AnswersRequestsWhileALargeListIsApplied) {
   const int count = 3'000;
   for (int i = 0; i < count; ++i) {
-    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
+    test_bed.add_persisted_endpoint(servers.listed_endpoint(prefixed_number("n", i), i));
   }
   test_bed.start();
-  ASSERT_TRUE(test_bed.run_until(
-      [&] { return test_bed.server->is_ready() && test_bed.discovery.requests.size() == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] {
+    return test_bed.server->is_ready() && test_bed.discovery.request_targets.size() == 1;
+  }));
   std::string entries;
   for (int i = 100; i < count; ++i) {
-    entries += (i > 100 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
+    entries += (i > 100 ? "," : "") + servers.entry_json(prefixed_number("n", i), i, "draining");
   }
   Client client = test_bed.client();
   test_bed.discovery.send_chunk(list_json(42, false, entries));
   int answered_meanwhile = 0;
   for (int i = 0; figure("targets_disabled") < std::uint64_t(count - 100); ++i) {
-    client.send(get_request(numbered("t", i)));
+    client.send(get_request(prefixed_number("t", i)));
     ASSERT_EQ(status(client), 200);
     if (figure("targets_disabled") > 0) {
       ++answered_meanwhile;
@@ -120,7 +121,7 @@
   // From here on the draining servers get nothing.
   const auto before = servers.peers.size();
   for (int i = 0; i < 50; ++i) {
-    client.send(get_request(numbered("u", i)));
+    client.send(get_request(prefixed_number("u", i)));
     ASSERT_EQ(status(client), 200);
   }
   for (auto i = before; i < servers.peers.size(); ++i) {
@@ -131,21 +132,21 @@
 
 TEST_F(ServerEndpointLists, NewerListIsNotOverwrittenBySlicesOfAnOlderOne) {
   const int count = 2'000;
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
-  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.request_targets.size() == 1; }));
   std::string accepting;
   std::string draining;
   for (int i = 0; i < count; ++i) {
-    accepting += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i);
-    draining += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
+    accepting += (i > 0 ? "," : "") + servers.entry_json(prefixed_number("n", i), i);
+    draining += (i > 0 ? "," : "") + servers.entry_json(prefixed_number("n", i), i, "draining");
   }
   test_bed.discovery.send_chunk(list_json(42, false, accepting) + list_json(43, false, draining));
   ASSERT_TRUE(
       test_bed.run_until([&] { return figure("targets_disabled") == std::uint64_t(count); }));
   Client client = test_bed.client();
   for (int i = 0; i < 50; ++i) {
-    client.send(get_request(numbered("t", i)));
+    client.send(get_request(prefixed_number("t", i)));
     ASSERT_EQ(status(client), 200);
   }
   EXPECT_EQ(server1.requests.size(), 50U);
--- a/tests/net/server/gateway_server_cost_test.cpp
+++ b/tests/net/server/gateway_server_cost_test.cpp
@@ -39,7 +39,7 @@
 
  private:
   void send_next() {
-    client_.send(get_request(numbered("t", answered_)));
+    client_.send(get_request(prefixed_number("t", answered_)));
     response_ = {};
     http::async_read(client_.socket, buffer_, response_, [this](error_code error, std::size_t) {
       EXPECT_FALSE(error);
@@ -62,15 +62,16 @@
   const int count = 60'000;
   const int zone = 24'000;
   for (int i = 0; i < count; ++i) {
-    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
+    test_bed.add_persisted_endpoint(servers.listed_endpoint(prefixed_number("n", i), i));
   }
   test_bed.config.settings.gateway_count = 7'400;
   test_bed.start();
-  ASSERT_TRUE(test_bed.run_until(
-      [&] { return test_bed.server->is_ready() && test_bed.discovery.requests.size() == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] {
+    return test_bed.server->is_ready() && test_bed.discovery.request_targets.size() == 1;
+  }));
   std::string entries;
   for (int i = 0; i < zone; ++i) {
-    entries += (i > 0 ? "," : "") + servers.entry_json(numbered("n", i), i, "draining");
+    entries += (i > 0 ? "," : "") + servers.entry_json(prefixed_number("n", i), i, "draining");
   }
   const std::string text = FakeDiscovery::chunk(list_json(42, false, entries));
   asio::async_write(test_bed.discovery.peers.back()->socket, asio::buffer(text),
@@ -97,22 +98,23 @@
 double cost_of_one_change_us(const ManyEndpoints& servers, int count) {
   GatewayTestBed test_bed;
   for (int i = 0; i < count; ++i) {
-    test_bed.add_persisted(servers.listed_endpoint(numbered("n", i), i));
+    test_bed.add_persisted_endpoint(servers.listed_endpoint(prefixed_number("n", i), i));
   }
   test_bed.start();
   const bool is_ready = test_bed.run_until(
-      [&] { return test_bed.server->is_ready() && !test_bed.discovery.requests.empty(); });
+      [&] { return test_bed.server->is_ready() && !test_bed.discovery.request_targets.empty(); });
   EXPECT_TRUE(is_ready) << test_bed.server->is_ready() << " ready, watches "
-                        << test_bed.discovery.requests.size();
+                        << test_bed.discovery.request_targets.size();
   double least = 1e9;
   int draining = 0;
   for (int run = 0; is_ready && run < 19; ++run) {
     const double began = cpu_us();
     for (int change = 0; change < 10; ++change) {
-      const std::string entry = servers.entry_json(numbered("n", draining), draining, "draining");
+      const std::string entry =
+          servers.entry_json(prefixed_number("n", draining), draining, "draining");
       ++draining;
       test_bed.discovery.send_chunk(list_json(42 + draining, false, entry));
-      const std::string line = numbered("app.targets_disabled=", draining) + "\n";
+      const std::string line = prefixed_number("app.targets_disabled=", draining) + "\n";
       const auto has_line = [&] {
         return test_bed.server->render_stats().find(line) != std::string::npos;
       };
--- a/tests/net/server/input_validation_test.cpp
+++ b/tests/net/server/input_validation_test.cpp
@@ -47,14 +47,14 @@
     Client client = test_bed.client();
     client.send(input);
     EXPECT_EQ(status(client), expected_status) << input.substr(0, 200);
-    EXPECT_TRUE(client.ended()) << input.substr(0, 200);
+    EXPECT_TRUE(client.wait_for_close()) << input.substr(0, 200);
   }
 }
 
 // Such plans, units and subsets would steer the decision module, such ids and control bytes would
 // reach a server, and a second spelling of a customer would have a quota of its own.
 TEST_F(ServerInputValidation, RejectsWhatTheSettingsDoNotAllow) {
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   const std::string quota = "units=1,spread=3,first=0";
   const std::string host = "Host: origin.svc";
@@ -102,7 +102,7 @@
     Client client = test_bed.client();
     client.send(input);
     EXPECT_EQ(status(client), 400) << input;
-    EXPECT_TRUE(client.ended()) << input;
+    EXPECT_TRUE(client.wait_for_close()) << input;
   }
   EXPECT_TRUE(server1.requests.empty());
   Client client = test_bed.client();
@@ -125,7 +125,7 @@
   asio::async_write(client.socket, asio::buffer(text),
                     [&](error_code, std::size_t) { sent = true; });
   EXPECT_EQ(status(client), 413);
-  EXPECT_TRUE(client.ended());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_TRUE(test_bed.run_until([&] { return sent; }));
 }
 
--- a/tests/net/server/large_message_test.cpp
+++ b/tests/net/server/large_message_test.cpp
@@ -91,7 +91,7 @@
  protected:
   LargeMessages() {
     test_bed.config.admin_address = tcp::endpoint(asio::ip::address_v4::loopback(), 0);
-    test_bed.add_persisted(listed_endpoint("s1", server1));
+    test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   }
   // Whether /ops/stats has this line.
   bool has_stat(const std::string& line) {
@@ -176,8 +176,8 @@
       connection.close();
     };
     second.on_request = first.on_request;
-    other.add_persisted(listed_endpoint("a", first));
-    other.add_persisted(listed_endpoint("b", second));
+    other.add_persisted_endpoint(listed_endpoint("a", first));
+    other.add_persisted_endpoint(listed_endpoint("b", second));
     other.start();
     Client client = other.client();
     client.send(get_request("t"));
@@ -198,7 +198,7 @@
   test_bed.start();
   Client client = test_bed.client();
   for (int request = 0; request < 2; ++request) {
-    client.send(get_request(numbered("t", request)));
+    client.send(get_request(prefixed_number("t", request)));
     const auto response = receive_long(test_bed.io, client);
     ASSERT_TRUE(response);
     EXPECT_TRUE(response->body() == body);
@@ -222,7 +222,7 @@
       received = request.body();
       connection.write(http_response("200 OK", "", "done"));
     };
-    other.add_persisted(listed_endpoint("a", server));
+    other.add_persisted_endpoint(listed_endpoint("a", server));
     other.start();
     Client client = other.client();
     asio::async_write(client.socket, asio::buffer(text),
@@ -243,13 +243,13 @@
   server2.on_request = [](PeerConnection& connection, const HttpRequest& request) {
     connection.write(http_response("200 OK", "", std::to_string(request.body().size())));
   };
-  test_bed.add_persisted(listed_endpoint("s2", server2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s2", server2));
   server1.stop();
   test_bed.start();
   for (int request = 0; request < 3; ++request) {
     Client client = test_bed.client();
-    const std::string text =
-        long_post("Content-Length: 500000", numbered("t", request)) + std::string(500'000, 'x');
+    const std::string text = long_post("Content-Length: 500000", prefixed_number("t", request)) +
+                             std::string(500'000, 'x');
     asio::async_write(client.socket, asio::buffer(text), [](error_code, std::size_t) {});
     const auto response = client.receive();
     ASSERT_TRUE(response);
--- a/tests/net/server/process_test.cpp
+++ b/tests/net/server/process_test.cpp
@@ -17,9 +17,9 @@
         R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":3})",
         R"({"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{}})"}) {
     Process process(text);
-    const std::string log = process.log_until("never");
+    const std::string log = process.read_log_until("never");
     EXPECT_EQ(std::count(log.begin(), log.end(), '\n'), 1) << text << " -> " << log;
-    EXPECT_GT(process.exit_code(), 0) << text;
+    EXPECT_GT(process.wait_for_exit(), 0) << text;
   }
 }
 
@@ -33,18 +33,18 @@
   };
   const auto port = free_port(io);
   Process process(config_json(port, server, discovery));
-  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
+  ASSERT_NE(process.read_log_until("ready").find("ready"), std::string::npos);
   Client client(io, {asio::ip::address_v4::loopback(), port});
   client.send(get_request("a"));
   ASSERT_TRUE(run_until(io, [&] { return held != nullptr; }));
   process.terminate();
-  ASSERT_NE(process.log_until("draining").find("draining"), std::string::npos);
+  ASSERT_NE(process.read_log_until("draining").find("draining"), std::string::npos);
   held->write(http_response("200 OK", "", "held"));
   const auto answer = client.receive();
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->body(), "held");
-  EXPECT_TRUE(client.ended());
-  EXPECT_EQ(process.exit_code(), 0);
+  EXPECT_TRUE(client.wait_for_close());
+  EXPECT_EQ(process.wait_for_exit(), 0);
 }
 
 }  // namespace
--- a/tests/net/server/quota_test.cpp
+++ b/tests/net/server/quota_test.cpp
@@ -16,13 +16,13 @@
   test_bed.config.settings.retry_after_allowed = false;
   test_bed.config.settings.plans[0].quota_rate = 1;
   test_bed.config.settings.plans[0].quota_burst = 3;
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   int served = 0;
   bool was_rejected = false;
   while (served < 10 && !was_rejected) {
-    client.send(get_request(numbered("t", served)));
+    client.send(get_request(prefixed_number("t", served)));
     const auto response = client.receive();
     ASSERT_TRUE(response);
     if (response->result_int() == 200) {
@@ -46,7 +46,7 @@
   server1.on_request = [](PeerConnection& connection, const HttpRequest&) {
     connection.write(http_response("200 OK", "Billed-Units: 4\r\n", "ok"));
   };
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   client.send(get_request("t0"));
@@ -60,7 +60,7 @@
   test_bed.config.settings.has_counter = true;
   test_bed.config.settings.counter_timeout = 30'000;
   test_bed.config.counter_address = counter.address();
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   client.send(get_request("a"));
@@ -77,11 +77,11 @@
 // If resets counted as congestion of the counter, totals would be seconds old when they are used.
 TEST_F(ServerQuota, CounterConnectionResetsDoNotSlowItsCalls) {
   FakeCounter counter(test_bed.io);
-  counter.resets_every = 3;
+  counter.calls_per_reset = 3;
   test_bed.config.settings.has_counter = true;
   test_bed.config.settings.counter_timeout = 1'000'000;
   test_bed.config.counter_address = counter.address();
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   // Each request is a new customer's and needs a total. At one call a second, the 50 calls would
@@ -102,12 +102,12 @@
   test_bed.config.settings.plans[0].quota_rate = 1e5;
   test_bed.config.settings.plans[0].quota_burst = 5e5;
   test_bed.config.counter_address = counter.address();
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   int sent = 0;
   const auto send_request = [&] {
-    client.send(get_request(numbered("t", ++sent)));
+    client.send(get_request(prefixed_number("t", ++sent)));
     return status(client);
   };
   EXPECT_EQ(send_request(), 200);
--- a/tests/net/server/reload_test.cpp
+++ b/tests/net/server/reload_test.cpp
@@ -23,19 +23,20 @@
     return R"("counter":")" + address.host_port() + R"(",)";
   };
   Process process(config_json(port, server, first, with_counter(counter)));
-  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
-  ASSERT_TRUE(
-      run_until(io, [&] { return first.requests.size() == 1 && counter.peers.size() == 1; }));
+  ASSERT_NE(process.read_log_until("ready").find("ready"), std::string::npos);
+  ASSERT_TRUE(run_until(
+      io, [&] { return first.request_targets.size() == 1 && counter.peers.size() == 1; }));
   for (const std::string& bad : {std::string("{\"name\":"), std::string(),
                                  config_json(port, server, first, "\"counter\":7,")}) {
-    process.configure(bad);
-    process.hang_up();
-    ASSERT_NE(process.log_until("configuration reload failed").find("previous one stays in force"),
-              std::string::npos);
+    process.write_configuration(bad);
+    process.request_reload();
+    ASSERT_NE(
+        process.read_log_until("configuration reload failed").find("previous one stays in force"),
+        std::string::npos);
   }
-  process.configure(config_json(port, server, first, with_counter(counter)));
-  process.hang_up();  // nothing changed
-  ASSERT_NE(process.log_until("reloaded").find("reloaded"), std::string::npos);
+  process.write_configuration(config_json(port, server, first, with_counter(counter)));
+  process.request_reload();  // nothing changed
+  ASSERT_NE(process.read_log_until("reloaded").find("reloaded"), std::string::npos);
   std::shared_ptr<PeerConnection> held;
   server.on_request = [&](PeerConnection& peer, const HttpRequest&) {
     held = peer.shared_from_this();
@@ -43,14 +44,14 @@
   Client client(io, {asio::ip::address_v4::loopback(), port});
   client.send(get_request("a"));
   ASSERT_TRUE(run_until(io, [&] { return held != nullptr; }));
-  second.first = list_json(3, true, entry_json("s1", server.host_port()));
-  process.configure(config_json(port, server, second, with_counter(next_counter)));
-  process.hang_up();
-  ASSERT_TRUE(
-      run_until(io, [&] { return second.requests.size() == 1 && next_counter.peers.size() == 1; }));
-  EXPECT_EQ(second.requests[0], "/catalog/members?watch=1");
+  second.initial_body = list_json(3, true, entry_json("s1", server.host_port()));
+  process.write_configuration(config_json(port, server, second, with_counter(next_counter)));
+  process.request_reload();
+  ASSERT_TRUE(run_until(
+      io, [&] { return second.request_targets.size() == 1 && next_counter.peers.size() == 1; }));
+  EXPECT_EQ(second.request_targets[0], "/catalog/members?watch=1");
   ASSERT_TRUE(run_until(io, [&] { return first.peers[0]->closed && counter.peers[0]->closed; }));
-  EXPECT_EQ(first.requests.size(), 1U);
+  EXPECT_EQ(first.request_targets.size(), 1U);
   EXPECT_EQ(counter.peers.size(), 1U);
   held->write(http_response("200 OK", "", "held"));
   const auto answer = client.receive();
@@ -62,11 +63,11 @@
   asio::io_context io;
   FakeServer server(io);
   FakeDiscovery discovery(io);
-  discovery.first = list_json(42, true, entry_json("s1", server.host_port()));
+  discovery.initial_body = list_json(42, true, entry_json("s1", server.host_port()));
   const auto port = free_port(io);
   const std::string first = config_json(port, server, discovery);
   Process process(first);
-  ASSERT_NE(process.log_until("ready").find("ready"), std::string::npos);
+  ASSERT_NE(process.read_log_until("ready").find("ready"), std::string::npos);
   const auto edited = [&](const std::string& original, const std::string& replacement) {
     std::string text = first;
     text.replace(text.find(original), original.size(), replacement);
@@ -105,15 +106,16 @@
     if (const auto position = text.find(name); position != std::string::npos) {
       text.replace(position, name.size(), other);
     }
-    process.configure(text);
-    process.hang_up();
-    ASSERT_NE(process.log_until("configuration").find("reload failed"), std::string::npos) << text;
-    EXPECT_EQ(status("profile-read", numbered("a", ++count)), 200) << text;
-    EXPECT_EQ(status("profile-next", numbered("b", count)), 400) << text;
+    process.write_configuration(text);
+    process.request_reload();
+    ASSERT_NE(process.read_log_until("configuration").find("reload failed"), std::string::npos)
+        << text;
+    EXPECT_EQ(status("profile-read", prefixed_number("a", ++count)), 200) << text;
+    EXPECT_EQ(status("profile-next", prefixed_number("b", count)), 400) << text;
   }
-  process.configure(edited(name, other));
-  process.hang_up();
-  ASSERT_NE(process.log_until("configuration").find("reloaded"), std::string::npos);
+  process.write_configuration(edited(name, other));
+  process.request_reload();
+  ASSERT_NE(process.read_log_until("configuration").find("reloaded"), std::string::npos);
   EXPECT_EQ(status("profile-next", "c"), 200);
   EXPECT_EQ(status("profile-read", "d"), 400);
 }
--- a/tests/net/server/request_dispatch_test.cpp
+++ b/tests/net/server/request_dispatch_test.cpp
@@ -13,11 +13,11 @@
 using RequestDispatch = GatewayServerTest;
 
 TEST_F(RequestDispatch, ForwardsRequestsUnchangedOverOneClientConnection) {
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   for (int i = 0; i < 3; ++i) {
-    client.send(post_request(numbered("t", i)));
+    client.send(post_request(prefixed_number("t", i)));
     const auto answer = client.receive();
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->result_int(), 200U);
@@ -33,7 +33,7 @@
   server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
   };
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   Client client = test_bed.client();
   Client duplicate = test_bed.client();
@@ -41,7 +41,7 @@
   ASSERT_TRUE(test_bed.run_until([&] { return held != nullptr; }));
   duplicate.send(get_request("a"));
   EXPECT_EQ(status(duplicate), 409);
-  EXPECT_TRUE(duplicate.ended());
+  EXPECT_TRUE(duplicate.wait_for_close());
   held->write(http_response("200 OK", "", "x"));
   EXPECT_EQ(status(client), 200);
   EXPECT_EQ(server1.requests.size(), 1U);
@@ -63,14 +63,14 @@
   server2.on_request = serve("one");
   server3.on_request = serve("two");
   server4.on_request = serve("two");
-  test_bed.add_persisted(listed_endpoint("s1", server1, 1));
-  test_bed.add_persisted(listed_endpoint("s2", server2, 1));
-  test_bed.add_persisted(listed_endpoint("s3", server3, 2));
-  test_bed.add_persisted(listed_endpoint("s4", server4, 2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1, 1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s2", server2, 1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s3", server3, 2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s4", server4, 2));
   test_bed.start();
   Client client = test_bed.client();
   for (int i = 0; i < 4; ++i) {
-    client.send(post_request(numbered("t", i)));
+    client.send(post_request(prefixed_number("t", i)));
     EXPECT_EQ(status(client), 200);
     ASSERT_EQ(cells.size(), std::size_t(2 * i + 2));
     EXPECT_EQ(cells[cells.size() - 1], cells[cells.size() - 2]);
@@ -84,8 +84,8 @@
     connection.reset();
   };
   server2.on_request = server1.on_request;
-  test_bed.add_persisted(listed_endpoint("s1", server1, 1));
-  test_bed.add_persisted(listed_endpoint("s2", server2, 2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1, 1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s2", server2, 2));
   test_bed.start();
   Client client = test_bed.client();
   client.send(post_request("a"));
@@ -110,8 +110,8 @@
   };
   server1.on_request = hold_two;
   server2.on_request = hold_two;
-  test_bed.add_persisted(listed_endpoint("s1", server1));
-  test_bed.add_persisted(listed_endpoint("s2", server2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s2", server2));
   test_bed.start();
   Client first_client = test_bed.client();
   Client second_client = test_bed.client();
@@ -140,8 +140,8 @@
   };
   server1.on_request = busy;
   server2.on_request = busy;
-  test_bed.add_persisted(listed_endpoint("s1", server1, 1));
-  test_bed.add_persisted(listed_endpoint("s2", server2, 2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1, 1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s2", server2, 2));
   test_bed.start();
   Client client = test_bed.client();
   client.send(post_request("a"));
@@ -151,7 +151,7 @@
 
 TEST_F(RequestDispatch, CancelsTheAttemptOfADisconnectedClient) {
   server1.on_request = [](PeerConnection&, const HttpRequest&) {};
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.start();
   {
     Client client = test_bed.client();
--- a/tests/net/server/shutdown_test.cpp
+++ b/tests/net/server/shutdown_test.cpp
@@ -31,8 +31,8 @@
     }
   };
   server2.on_request = server1.on_request;
-  test_bed.add_persisted(listed_endpoint("s1", server1));
-  test_bed.add_persisted(listed_endpoint("s2", server2));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s2", server2));
   GatewayServer& server = test_bed.start();
   Client idle = test_bed.client();
   Client busy = test_bed.client();
@@ -51,25 +51,26 @@
   EXPECT_FALSE(done);
   held->write(http_response("200 OK", "", "held"));
   EXPECT_EQ(status(busy), 200);
-  EXPECT_TRUE(busy.ended());
+  EXPECT_TRUE(busy.wait_for_close());
   EXPECT_TRUE(test_bed.run_until([&] { return done; }));
 }
 
 TEST_F(ServerShutdown, ClosesConnectionsBetweenRequests) {
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   GatewayServer& server = test_bed.start();
   Client client = test_bed.client();
   client.send(get_request("a"));
   ASSERT_EQ(status(client), 200);
   server.drain([] {});
-  EXPECT_TRUE(client.ended());
+  EXPECT_TRUE(client.wait_for_close());
 }
 
 // The last requests arrive in the same turn of the loop in which the process would exit.
 TEST_F(PatientServerShutdown, AnswersUnreadAndUnacceptedRequestsBeforeTheEnd) {
   std::list<FakeServer> servers;
   for (int i = 0; i < 6; ++i) {
-    test_bed.add_persisted(listed_endpoint(numbered("s", i), servers.emplace_back(test_bed.io)));
+    test_bed.add_persisted_endpoint(
+        listed_endpoint(prefixed_number("s", i), servers.emplace_back(test_bed.io)));
   }
   GatewayServer& server = test_bed.start();
   bool done = false;
@@ -84,7 +85,7 @@
     late_clients.push_back(test_bed.client());
   }
   for (int i = 0; i < 3; ++i) {
-    late_clients[std::size_t(i)].send(get_request(numbered("q", i)));
+    late_clients[std::size_t(i)].send(get_request(prefixed_number("q", i)));
   }
   early.send(get_request("e"));
   block_loop(std::chrono::milliseconds(300));
@@ -101,7 +102,7 @@
   server1.on_request = [&](PeerConnection& connection, const HttpRequest&) {
     held = connection.shared_from_this();
   };
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   GatewayServer& server = test_bed.start();
   Client client = test_bed.client();
   client.send(get_request("a"));
@@ -124,7 +125,7 @@
 // request arrived before SIGTERM.
 TEST_F(ServerShutdownCost, AnswersEveryRequestBeforeTheKillSignal) {
   server1.on_request = [](PeerConnection&, const HttpRequest&) {};
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   GatewayServer& server = test_bed.start();
   Client before = test_bed.client();
   Client open = test_bed.client();
--- a/tests/net/server/startup_test.cpp
+++ b/tests/net/server/startup_test.cpp
@@ -27,7 +27,7 @@
 // The persisted list may name a server that has long been draining; and load balancers must not
 // send clients here before the list is current.
 TEST_F(PatientServerStartup, ForwardsNothingByThePersistedListBeforeDiscoveryResponds) {
-  test_bed.add_persisted(listed_endpoint("s1", server1));
+  test_bed.add_persisted_endpoint(listed_endpoint("s1", server1));
   test_bed.discovery.unresponsive = true;
   test_bed.start();
   Client client = test_bed.client();
@@ -36,12 +36,12 @@
   load_balancer.send(kHealthRequest);
   EXPECT_EQ(status(load_balancer), 503);
   EXPECT_FALSE(test_bed.server->is_ready());
-  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.requests.size() == 1; }));
+  ASSERT_TRUE(test_bed.run_until([&] { return test_bed.discovery.request_targets.size() == 1; }));
   EXPECT_TRUE(server1.requests.empty());
   test_bed.discovery.unresponsive = false;
-  test_bed.discovery.first = list_json(42, false,
-                                       entry_json("s1", server1.host_port(), "draining") + "," +
-                                           entry_json("s2", server2.host_port()));
+  test_bed.discovery.initial_body = list_json(42, false,
+                                              entry_json("s1", server1.host_port(), "draining") +
+                                                  "," + entry_json("s2", server2.host_port()));
   EXPECT_EQ(status(client), 200);
   EXPECT_TRUE(server1.requests.empty());
   EXPECT_EQ(server2.requests.size(), 1U);
@@ -53,7 +53,7 @@
   for (const bool silent : {true, false}) {
     GatewayTestBed alone;
     FakeServer server(alone.io);
-    alone.add_persisted(listed_endpoint("s1", server));
+    alone.add_persisted_endpoint(listed_endpoint("s1", server));
     if (silent) {
       alone.discovery.unresponsive = true;
     } else {
--- a/tests/net/upstream/connection_pool_test.cpp
+++ b/tests/net/upstream/connection_pool_test.cpp
@@ -39,7 +39,7 @@
   make_pool();
   for (int i = 1; i < server_count; ++i) {
     ListedEndpoint endpoint = endpoint_list.endpoints[0];
-    endpoint.entry.server = numbered("other", i);
+    endpoint.entry.server = prefixed_number("other", i);
     endpoint.address.address(numbered_address(i));
     endpoint_list.endpoints.push_back(endpoint);
   }
@@ -159,7 +159,7 @@
   ASSERT_EQ(run_attempt(1).outcome, Outcome::kOk);
   EndpointList many;
   for (int i = 0; i < 3'000; ++i) {
-    many.endpoints.push_back(listed_endpoint(numbered("n", i), server));
+    many.endpoints.push_back(listed_endpoint(prefixed_number("n", i), server));
     many.endpoints.back().address.address(numbered_address(i));
   }
   many.endpoints.push_back(endpoint_list.endpoints[0]);
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -28,7 +28,7 @@
     settings.gateway_index = index;
     GatewayHarness gateway(settings);
     for (int i = 0; i < 400; ++i) {  // more demand than the limit at every gateway
-      RequestArrived request = make_request(numbered("x", i), i * kMillisecond);
+      RequestArrived request = make_request(prefixed_number("x", i), i * kMillisecond);
       request.gateway_subset_size = 11;
       forwarded += int(attempts(gateway.handle(i * kMillisecond, {request})).size());
     }
--- a/tests/policy/endpoints/concurrency_limit_test.cpp
+++ b/tests/policy/endpoints/concurrency_limit_test.cpp
@@ -15,11 +15,11 @@
   set_quota(settings, 1000, 1000);
   GatewayHarness gateway(settings, make_endpoints({"a"}));
   const auto forwarded = [&](Micros now, const std::string& id) {
-    return attempts(gateway.arrive(now, id)).size();
+    return attempts(gateway.receive_request(now, id)).size();
   };
   std::size_t with_pending_body = 0;
   for (int i = 0; i < 5; ++i) {
-    RequestArrived request = make_request(numbered("long", i), kMillisecond);
+    RequestArrived request = make_request(prefixed_number("long", i), kMillisecond);
     request.body_pending = true;
     with_pending_body += attempts(gateway.handle(kMillisecond, {request})).size();
   }
@@ -28,7 +28,7 @@
   gateway.complete(3 * kMillisecond, {.id = "short", .server = "a"});
 
   for (int i = 0; i < 5; ++i) {
-    gateway.handle(4 * kMillisecond, {AttemptWritten{numbered("long", i), 0}});
+    gateway.handle(4 * kMillisecond, {AttemptWritten{prefixed_number("long", i), 0}});
   }
   EXPECT_EQ(forwarded(5 * kMillisecond, "next"), 0U);
 }
@@ -39,7 +39,7 @@
   GatewayHarness gateway(settings);
   std::size_t forwarded = 0;
   for (int i = 0; i < 200; ++i) {
-    forwarded += attempts(gateway.arrive(kMillisecond, numbered("r", i))).size();
+    forwarded += attempts(gateway.receive_request(kMillisecond, prefixed_number("r", i))).size();
   }
   EXPECT_LE(forwarded, 8U);  // five per server, divided between two gateways
   // A request is rejected immediately if too many requests wait ahead of it for it to be forwarded
@@ -55,7 +55,8 @@
   GatewayHarness gateway;
   std::vector<SendAttempt> sent;
   for (int i = 0; i < 8; ++i) {
-    for (const SendAttempt& attempt : attempts(gateway.arrive(kMillisecond, numbered("r", i)))) {
+    for (const SendAttempt& attempt :
+         attempts(gateway.receive_request(kMillisecond, prefixed_number("r", i)))) {
       sent.push_back(attempt);
     }
   }
@@ -63,15 +64,15 @@
   for (std::size_t i = 2; i < sent.size(); ++i) {
     gateway.complete(450 * kMillisecond, sent[i], {.duration = 449 * kMillisecond});
   }
-  EXPECT_EQ(attempts(gateway.arrive(451 * kMillisecond, "next")).size(), 1U);
+  EXPECT_EQ(attempts(gateway.receive_request(451 * kMillisecond, "next")).size(), 1U);
 }
 
 TEST(ConcurrencyLimit, MoreGatewaysThanServersStillAllowTwoAttemptsInFlight) {
   Settings settings = settings_with_unlimited_quota();
   settings.gateway_count = 300;
   GatewayHarness gateway(settings);
-  EXPECT_EQ(attempts(gateway.arrive(kSecond, "one")).size(), 1U);
-  EXPECT_EQ(attempts(gateway.arrive(kSecond, "two")).size(), 1U);
+  EXPECT_EQ(attempts(gateway.receive_request(kSecond, "one")).size(), 1U);
+  EXPECT_EQ(attempts(gateway.receive_request(kSecond, "two")).size(), 1U);
 }
 
 }  // namespace
--- a/tests/policy/endpoints/endpoint_subset_test.cpp
+++ b/tests/policy/endpoints/endpoint_subset_test.cpp
@@ -54,7 +54,7 @@
   for (int i = 41; i <= 240; ++i) {
     const Micros now = i * 50 * kMillisecond;
     gateway.run_timers(now);
-    gateway.serve(now, numbered("r", i), [&](const std::string& endpoint) {
+    gateway.serve_request(now, prefixed_number("r", i), [&](const std::string& endpoint) {
       const Outcome outcome = outcome_of(endpoint);
       if (i > 140 && outcome == Outcome::kOk) {
         ++served;
--- a/tests/policy/endpoints/load_balancing_test.cpp
+++ b/tests/policy/endpoints/load_balancing_test.cpp
@@ -21,7 +21,7 @@
   gateway.handle(kMillisecond, {partial_update(entries)});
   for (int i = 0; i < 5; ++i) {
     for (const SendAttempt& attempt :
-         attempts(gateway.arrive(2 * kMillisecond, numbered("r", i)))) {
+         attempts(gateway.receive_request(2 * kMillisecond, prefixed_number("r", i)))) {
       EXPECT_EQ(attempt.server, "c");
     }
   }
@@ -36,14 +36,15 @@
   std::map<std::string, int> attempts_at;
   for (int i = 0; i < 400; ++i) {
     Micros completes_after = 0;
-    gateway.serve(i * 40 * kMillisecond, numbered("r", i), [&](const std::string& server) {
-      ++attempts_at[server];
-      ++completes_after;
-      const bool fails = server == "a" && attempts_at["a"] % 5 != 0;
-      return ServerResponse{.outcome = fails ? Outcome::kError : Outcome::kOk,
-                            .duration = fails ? kMillisecond : 20 * kMillisecond,
-                            .completes_after = completes_after};
-    });
+    gateway.serve_request(
+        i * 40 * kMillisecond, prefixed_number("r", i), [&](const std::string& server) {
+          ++attempts_at[server];
+          ++completes_after;
+          const bool fails = server == "a" && attempts_at["a"] % 5 != 0;
+          return ServerResponse{.outcome = fails ? Outcome::kError : Outcome::kOk,
+                                .duration = fails ? kMillisecond : 20 * kMillisecond,
+                                .completes_after = completes_after};
+        });
   }
   EXPECT_LT(attempts_at["a"], 60);
   EXPECT_GT(attempts_at["b"] + attempts_at["c"], 300);
@@ -56,15 +57,16 @@
   int served = 0;
   for (int i = 0; i < 100; ++i) {
     Micros completes_after = 0;
-    gateway.serve(i * 50 * kMillisecond, numbered("r", i), [&](const std::string& server) {
-      ++completes_after;
-      const bool overloaded = server != "c";  // a and b reject the plan
-      if (!overloaded) {
-        ++served;
-      }
-      return ServerResponse{.outcome = overloaded ? Outcome::kOverloaded : Outcome::kOk,
-                            .completes_after = completes_after};
-    });
+    gateway.serve_request(
+        i * 50 * kMillisecond, prefixed_number("r", i), [&](const std::string& server) {
+          ++completes_after;
+          const bool overloaded = server != "c";  // a and b reject the plan
+          if (!overloaded) {
+            ++served;
+          }
+          return ServerResponse{.outcome = overloaded ? Outcome::kOverloaded : Outcome::kOk,
+                                .completes_after = completes_after};
+        });
   }
   EXPECT_EQ(served, 100);
 }
@@ -75,11 +77,11 @@
   std::set<std::string> reported;
   for (int i = 0; i < 100 && reported.size() < server_count; ++i) {
     const Micros now = kSecond + i * kMillisecond;
-    const auto sent = attempts(gateway.arrive(now, numbered("r", i)));
+    const auto sent = attempts(gateway.receive_request(now, prefixed_number("r", i)));
     if (sent.empty()) {
       continue;
     }
-    AttemptCompleted completed = complete_attempt(sent[0]);
+    AttemptCompleted completed = make_completion(sent[0]);
     completed.load.in_flight = completed.server == "a" ? 1 : 4;
     reported.insert(completed.server);
     gateway.handle(now, {completed});
@@ -93,7 +95,8 @@
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     GatewayHarness gateway(settings, make_endpoints({"a", "b", "c", "d"}), seed);
     collect_load_reports(gateway, 4);
-    for (const SendAttempt& attempt : attempts(gateway.arrive(1200 * kMillisecond, "last"))) {
+    for (const SendAttempt& attempt :
+         attempts(gateway.receive_request(1200 * kMillisecond, "last"))) {
       ++picked[attempt.server];
     }
   }
@@ -106,7 +109,7 @@
   Micros now = kSecond;
   std::size_t forwarded = 0;
   for (int i = 0; i < 200; ++i) {
-    const auto sent = attempts(gateway.arrive(now, numbered("r", i)));
+    const auto sent = attempts(gateway.receive_request(now, prefixed_number("r", i)));
     forwarded += sent.size();
     // The gateway processes every second response a second late, although it took only 10 ms.
     for (const SendAttempt& attempt : sent) {
--- a/tests/policy/endpoints/outlier_detector_test.cpp
+++ b/tests/policy/endpoints/outlier_detector_test.cpp
@@ -24,20 +24,21 @@
 template <typename OutcomeOf>
 void serve_steadily(GatewayHarness& gateway, int number, const OutcomeOf& outcome_of) {
   const Micros duration = (10 + number * 7 % 21) * kMillisecond;
-  gateway.serve(number * 20 * kMillisecond, numbered("r", number), [&](const std::string& server) {
-    return ServerResponse{.outcome = outcome_of(server), .duration = duration};
-  });
+  gateway.serve_request(
+      number * 20 * kMillisecond, prefixed_number("r", number), [&](const std::string& server) {
+        return ServerResponse{.outcome = outcome_of(server), .duration = duration};
+      });
 }
 
 TEST(OutlierDetector, ConsecutiveAbortedResponsesEjectAServer) {
   GatewayHarness gateway(basic_settings(), make_endpoints({"a", "b"}));
-  gateway.arrive(kMillisecond, "r");
+  gateway.receive_request(kMillisecond, "r");
   for (int i = 0; i < 3; ++i) {
     gateway.handle(2 * kMillisecond, {ResponseAborted{"a"}});
   }
   for (int i = 0; i < 8; ++i) {
     for (const SendAttempt& attempt :
-         attempts(gateway.arrive(3 * kMillisecond, numbered("s", i)))) {
+         attempts(gateway.receive_request(3 * kMillisecond, prefixed_number("s", i)))) {
       EXPECT_EQ(attempt.server, "b");
       gateway.complete(4 * kMillisecond, attempt);
     }
@@ -100,13 +101,14 @@
   GatewayHarness gateway;
   std::set<std::string> used_later;
   for (int i = 0; i < 30; ++i) {
-    gateway.serve(i * 20 * kMillisecond, numbered("r", i), [&](const std::string& server) {
-      if (i >= 20) {
-        used_later.insert(server);
-      }
-      return ServerResponse{.outcome = server == "a" ? Outcome::kConnectFailed : Outcome::kOk,
-                            .completes_after = 1};
-    });
+    gateway.serve_request(
+        i * 20 * kMillisecond, prefixed_number("r", i), [&](const std::string& server) {
+          if (i >= 20) {
+            used_later.insert(server);
+          }
+          return ServerResponse{.outcome = server == "a" ? Outcome::kConnectFailed : Outcome::kOk,
+                                .completes_after = 1};
+        });
   }
   EXPECT_FALSE(used_later.contains("a"));
 }
--- a/tests/policy/endpoints/slow_start_test.cpp
+++ b/tests/policy/endpoints/slow_start_test.cpp
@@ -27,7 +27,7 @@
   auto endpoints = make_endpoints({"a"});
   endpoints[0].started_at = 1;
   GatewayHarness gateway(settings, endpoints);
-  gateway.admitted(kMillisecond, 5);
+  gateway.count_admitted(kMillisecond, 5);
   EXPECT_EQ(attempts(gateway.actions()).size(), 1U);
 }
 
--- a/tests/policy/gateway_test.cpp
+++ b/tests/policy/gateway_test.cpp
@@ -15,7 +15,7 @@
 
 TEST(Gateway, EventsOfEndedRequestsAreIgnored) {
   GatewayHarness gateway;
-  const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
+  const auto sent = attempts(gateway.receive_request(kMillisecond, "r"));
   gateway.complete(2 * kMillisecond, sent.at(0));
   const auto actions = gateway.complete(3 * kMillisecond, sent[0], {.outcome = Outcome::kTimeout});
   EXPECT_TRUE(attempts(actions).empty());
@@ -32,11 +32,11 @@
 std::vector<Event> malformed_requests(int count, Micros now) {
   std::vector<Event> events;
   for (int i = 0; i < count; ++i) {
-    RequestArrived request = make_request(numbered("r", i), now);
+    RequestArrived request = make_request(prefixed_number("r", i), now);
     request.gateway_subset_size = i % 3 != 0 ? 1000 : -5;
     request.gateway_subset_start = i % 2 != 0 ? -7 : 900;
     request.units = i % 5 != 0 ? 1 : 0;
-    request.customer = numbered("c", i % 50);
+    request.customer = prefixed_number("c", i % 50);
     events.emplace_back(request);
   }
   return events;
@@ -61,7 +61,7 @@
   auto actions = gateway.handle(kSecond, malformed_requests(1000, kSecond));
   const auto sent = attempts(actions);
   ASSERT_FALSE(sent.empty());
-  AttemptCompleted completed = complete_attempt(sent[0], {.duration = -5});
+  AttemptCompleted completed = make_completion(sent[0], {.duration = -5});
   completed.load.in_flight = 1e30;
   completed.load.queued = -3;
   append(actions,
@@ -78,7 +78,7 @@
     forwarded.insert(attempt.id);
   }
   for (int i = 0; i < 1000; ++i) {
-    const std::string id = numbered("r", i);
+    const std::string id = prefixed_number("r", i);
     EXPECT_TRUE(answers.contains(id) || forwarded.contains(id)) << i;
   }
 }
@@ -94,7 +94,7 @@
 
 TEST(Gateway, LogStatesWhyRequestsWereRejected) {
   GatewayHarness gateway;
-  gateway.admitted(kMillisecond, 25);  // five beyond the quota
+  gateway.count_admitted(kMillisecond, 25);  // five beyond the quota
   gateway.run_timers(12 * kSecond);
   std::string logged;
   for (const LogLine& line : actions_of<LogLine>(gateway.actions())) {
@@ -111,7 +111,7 @@
   const auto forwarded_attempts = [] {
     GatewayHarness gateway;
     for (int i = 0; i < 50; ++i) {
-      gateway.admitted(i * 30 * kMillisecond, 3);
+      gateway.count_admitted(i * 30 * kMillisecond, 3);
     }
     gateway.run_timers(3 * kSecond);
     std::vector<std::string> forwarded;
--- a/tests/policy/hold_queue_test.cpp
+++ b/tests/policy/hold_queue_test.cpp
@@ -11,7 +11,8 @@
 std::vector<SendAttempt> send_burst(GatewayHarness& gateway, int count) {
   std::vector<SendAttempt> sent;
   for (int i = 0; i < count; ++i) {
-    for (const SendAttempt& attempt : attempts(gateway.arrive(kMillisecond, numbered("r", i)))) {
+    for (const SendAttempt& attempt :
+         attempts(gateway.receive_request(kMillisecond, prefixed_number("r", i)))) {
       sent.push_back(attempt);
     }
   }
@@ -20,7 +21,7 @@
 
 TEST(HoldQueue, RequestIsRejectedInTimeWhileNoServerIsListed) {
   GatewayHarness gateway(basic_settings(), {});
-  auto actions = gateway.arrive(kMillisecond, "r");
+  auto actions = gateway.receive_request(kMillisecond, "r");
   append(actions, gateway.run_timers(2 * kSecond));
   EXPECT_EQ(rejections(actions).size(), 1U);
   EXPECT_TRUE(failures(actions).empty());
@@ -38,7 +39,7 @@
     gateway.complete(401 * kMillisecond, attempt);
   }
   // Only the requests that were sent have used units of the burst of 20.
-  EXPECT_GE(gateway.admitted(402 * kMillisecond, 20), 20 - int(sent.size()));
+  EXPECT_GE(gateway.count_admitted(402 * kMillisecond, 20), 20 - int(sent.size()));
 }
 
 TEST(HoldQueue, NewArrivalsDoNotOvertakeHeldRequestsOfHigherPriority) {
@@ -58,7 +59,7 @@
   std::vector<Event> events;
   events.reserve(sent.size() + 1);
   for (const SendAttempt& attempt : sent) {
-    events.emplace_back(complete_attempt(attempt, {.duration = 80 * kMillisecond}));
+    events.emplace_back(make_completion(attempt, {.duration = 80 * kMillisecond}));
   }
   events.emplace_back(make_request("cheap", 3 * kMillisecond));
   const auto next = attempts(gateway.handle(3 * kMillisecond, events));
--- a/tests/policy/peer_processes_test.cpp
+++ b/tests/policy/peer_processes_test.cpp
@@ -19,14 +19,15 @@
   set_quota(settings, 1000, 1000);
   GatewayHarness parent(settings);
   GatewayHarness child(settings);
-  parent.arrive(kMillisecond, "first");
-  EXPECT_EQ(parent.admitted(10 * kSecond, 15), 15);  // the share of the gateway holds 20 units
+  parent.receive_request(kMillisecond, "first");
+  EXPECT_EQ(parent.count_admitted(10 * kSecond, 15),
+            15);  // the share of the gateway holds 20 units
   parent.handle(10 * kSecond, {PeerProcessesChanged{1}});
   child.handle(10 * kSecond, {PeerProcessesChanged{1}});
   int forwarded = 0;
   for (Micros now = 10 * kSecond + kMillisecond; now <= 14 * kSecond; now += 20 * kMillisecond) {
-    forwarded += parent.admitted(now, 3);
-    forwarded += child.admitted(now, 3);
+    forwarded += parent.count_admitted(now, 3);
+    forwarded += child.count_admitted(now, 3);
   }
   EXPECT_GE(forwarded, 36);
   EXPECT_LE(forwarded, 5 + 40);  // 5 units left over, and 10 per second for 4 s
@@ -34,7 +35,7 @@
   child.handle(14 * kSecond, {PeerProcessesChanged{0}});
   forwarded = 0;
   for (Micros now = 14 * kSecond + kMillisecond; now <= 18 * kSecond; now += 20 * kMillisecond) {
-    forwarded += child.admitted(now, 3);
+    forwarded += child.count_admitted(now, 3);
   }
   EXPECT_GE(forwarded, 36);  // alone, the child gets the complete share
   EXPECT_LE(forwarded, 41);
@@ -48,7 +49,7 @@
   gateway.handle(10 * kSecond, {PeerProcessesChanged{1}});
   // Half of 10 units per second, refilled for 1 s; the peer process may have spent all units from
   // before the split.
-  EXPECT_EQ(gateway.admitted(11 * kSecond, 20), 5);
+  EXPECT_EQ(gateway.count_admitted(11 * kSecond, 20), 5);
 }
 
 TEST(PeerProcesses, EachProcessSendsItsShareToAWarmingUpServer) {
@@ -66,7 +67,7 @@
     gateway.handle(kMillisecond, {PeerProcessesChanged{peer_count}});
     int forwarded = 0;
     for (Micros now = 2 * kMillisecond; now < 8 * kSecond; now += 100 * kMillisecond) {
-      forwarded += gateway.admitted(now, 1);
+      forwarded += gateway.count_admitted(now, 1);
     }
     return forwarded;
   };
--- a/tests/policy/quota/ceiling_enforcement_test.cpp
+++ b/tests/policy/quota/ceiling_enforcement_test.cpp
@@ -29,27 +29,28 @@
 
 TEST(RateCeiling, RestartedGatewayStartsWithAnEmptyShare) {
   GatewayHarness gateway(with_ceiling(basic_settings()));
-  EXPECT_EQ(gateway.admitted(kMillisecond, 3), 0);
-  EXPECT_EQ(gateway.admitted(101 * kMillisecond, 3), 1);  // the share refills ten units per second
+  EXPECT_EQ(gateway.count_admitted(kMillisecond, 3), 0);
+  EXPECT_EQ(gateway.count_admitted(101 * kMillisecond, 3),
+            1);  // the share refills ten units per second
 }
 
 TEST(RateCeiling, ShareOfANewCustomerIsRefilledSinceTheGatewayStarted) {
   GatewayHarness gateway(with_ceiling(basic_settings()));
   gateway.handle(kSecond, {request_of("c2", "other", kSecond)});
   // The share has refilled by ten units per second since the start.
-  EXPECT_EQ(gateway.admitted(1500 * kMillisecond, 10), 5);
+  EXPECT_EQ(gateway.count_admitted(1500 * kMillisecond, 10), 5);
   const auto third = gateway.handle(10 * kSecond, {request_of("c3", "third", 10 * kSecond)});
   EXPECT_EQ(attempts(third).size(), 1U);
 }
 
 TEST(RateCeiling, RejectedClientIsToldToRetryWhenUnitsAreAvailable) {
   GatewayHarness gateway(with_ceiling(basic_settings()));
-  const auto rejected = rejections(gateway.arrive(kMillisecond, "r"));
+  const auto rejected = rejections(gateway.receive_request(kMillisecond, "r"));
   // At the start, the share of ten units per second is empty but the quota is not.
   ASSERT_EQ(rejected.size(), 1U);
   const Micros retry_after = rejected[0].retry_after.value();
   EXPECT_NEAR(double(retry_after), 100 * kMillisecond, 2 * kMillisecond);
-  EXPECT_EQ(attempts(gateway.arrive(2 * kMillisecond + retry_after, "r2")).size(), 1U);
+  EXPECT_EQ(attempts(gateway.receive_request(2 * kMillisecond + retry_after, "r2")).size(), 1U);
 }
 
 TEST(RateCeiling, HoldsWithoutACounter) {
@@ -58,7 +59,7 @@
   GatewayHarness gateway(settings);
   int forwarded = 0;
   for (int i = 0; i < 100; ++i) {
-    forwarded += gateway.admitted(i * 50 * kMillisecond, 4);
+    forwarded += gateway.count_admitted(i * 50 * kMillisecond, 4);
   }
   EXPECT_LE(forwarded, 10 * 5 + 20);
   EXPECT_GE(forwarded, 40);
@@ -129,10 +130,12 @@
   int forwarded = 0;
   for (int i = 0; i < 3; ++i) {
     const Micros now = (i + 1) * kMillisecond;
-    auto actions = gateway.handle(now, {request_of(numbered("c", i), numbered("r", i), now)});
+    auto actions =
+        gateway.handle(now, {request_of(prefixed_number("c", i), prefixed_number("r", i), now)});
     for (int calls = 0; calls < 3 && !counter_calls(actions).empty(); ++calls) {
       const AddToCounter call = counter_calls(actions)[0];
-      actions = gateway.handle(now + 100 * (calls + 1), {counter_total(call, call.amount, 100)});
+      actions =
+          gateway.handle(now + 100 * (calls + 1), {make_counter_reply(call, call.amount, 100)});
     }
     for (const SendAttempt& attempt : attempts(actions)) {
       ++forwarded;
--- a/tests/policy/quota/counter_call_rate_test.cpp
+++ b/tests/policy/quota/counter_call_rate_test.cpp
@@ -21,8 +21,8 @@
 // Sends the first request of a new customer, for which the gateway wants a total. Returns the
 // gateway's calls to the counter.
 std::vector<AddToCounter> calls_for_new_customer(GatewayHarness& gateway, Micros now, int number) {
-  RequestArrived request = make_request(numbered("x", number), now);
-  request.customer = numbered("c", number);
+  RequestArrived request = make_request(prefixed_number("x", number), now);
+  request.customer = prefixed_number("c", number);
   return counter_calls(gateway.handle(now, {request}));
 }
 
@@ -40,7 +40,7 @@
     const Micros now = i * 5 * kMillisecond;
     for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
       ++(i < 2000 ? early_calls : late_calls);
-      gateway.handle(now, {counter_unanswered(call, 0)});
+      gateway.handle(now, {make_counter_timeout(call, 0)});
     }
   }
   EXPECT_GT(late_calls, 5U);  // enough calls to detect that the counter has recovered
@@ -57,8 +57,8 @@
     const Micros now = i * 5 * kMillisecond;
     for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
       const bool lost = ++calls % 5 == 0;
-      gateway.handle(now + kMillisecond, {lost ? counter_unanswered(call, lost_after)
-                                               : counter_total(call, call.amount)});
+      gateway.handle(now + kMillisecond, {lost ? make_counter_timeout(call, lost_after)
+                                               : make_counter_reply(call, call.amount)});
     }
   }
   return calls;
@@ -101,8 +101,8 @@
       if (now > 3 * kSecond) {
         ++calls;
       }
-      const CounterReply reply = overloaded ? counter_unanswered(call, settings.counter_timeout)
-                                            : counter_total(call, call.amount);
+      const CounterReply reply = overloaded ? make_counter_timeout(call, settings.counter_timeout)
+                                            : make_counter_reply(call, call.amount);
       gateway.handle(now + reply.duration, {reply});
     }
   }
@@ -154,8 +154,8 @@
     idle_at_ = std::max(idle_at_, now) + kServiceTime;
     const Micros duration = std::min(idle_at_ - now + kMillisecond, settings_.counter_timeout);
     const bool in_time = duration < settings_.counter_timeout;
-    const CounterReply reply =
-        in_time ? counter_total(call, call.amount, duration) : counter_unanswered(call, duration);
+    const CounterReply reply = in_time ? make_counter_reply(call, call.amount, duration)
+                                       : make_counter_timeout(call, duration);
     replies_.emplace(now + duration, std::pair(gateway, reply));
     if (now > 6 * kSecond) {
       ++calls_.total;
@@ -188,13 +188,13 @@
   };
   for (int i = 0; i < 600; ++i) {
     const Micros now = (i + 1) * 100 * kMillisecond;
-    for (const AddToCounter& call : calls_for(now, numbered("quiet", i))) {
-      gateway.handle(now + kMillisecond, {counter_total(call, call.amount)});
+    for (const AddToCounter& call : calls_for(now, prefixed_number("quiet", i))) {
+      gateway.handle(now + kMillisecond, {make_counter_reply(call, call.amount)});
     }
   }
   std::size_t calls = 0;
   for (int i = 0; i < 1000; ++i) {
-    calls += calls_for(61 * kSecond, numbered("crowd", i)).size();
+    calls += calls_for(61 * kSecond, prefixed_number("crowd", i)).size();
   }
   EXPECT_LE(calls, 100U);  // this gateway's half of the initial limit; there are two gateways
   EXPECT_GE(calls, 20U);
@@ -217,8 +217,8 @@
     const Phase phase = phase_of(i);
     for (const AddToCounter& call : calls_for_new_customer(gateway, now, i)) {
       ++calls[phase];
-      const CounterReply reply =
-          phase == kSilent ? counter_unanswered(call, timeout) : counter_total(call, call.amount);
+      const CounterReply reply = phase == kSilent ? make_counter_timeout(call, timeout)
+                                                  : make_counter_reply(call, call.amount);
       gateway.handle(now + reply.duration, {reply});
     }
   }
--- a/tests/policy/quota/counter_totals_test.cpp
+++ b/tests/policy/quota/counter_totals_test.cpp
@@ -60,7 +60,7 @@
 
 TEST(CounterSync, FirstRequestOfACustomerWaitsForItsTotalNoLongerThanTheTimeout) {
   GatewayHarness gateway(settings_with_counter());
-  const auto actions = gateway.arrive(100 * kMillisecond, "r");
+  const auto actions = gateway.receive_request(100 * kMillisecond, "r");
   const auto calls = counter_calls(actions);
   ASSERT_EQ(calls.size(), 1U);
   EXPECT_EQ(calls[0].amount, 1);
@@ -73,8 +73,8 @@
 TEST(CounterSync, GatewaysUseTheSameKeys) {
   GatewayHarness one(settings_with_counter(), make_endpoints({"a"}), 1);
   GatewayHarness two(settings_with_counter(), make_endpoints({"a"}), 2);
-  const auto calls_of_one = counter_calls(one.arrive(kSecond, "r"));
-  const auto calls_of_two = counter_calls(two.arrive(1050 * kMillisecond, "r"));
+  const auto calls_of_one = counter_calls(one.receive_request(kSecond, "r"));
+  const auto calls_of_two = counter_calls(two.receive_request(1050 * kMillisecond, "r"));
   ASSERT_EQ(calls_of_one.size(), 1U);
   ASSERT_EQ(calls_of_two.size(), 1U);
   EXPECT_EQ(calls_of_one[0].key, calls_of_two[0].key);
@@ -85,9 +85,10 @@
   int calls = 0;
   const Micros start = 1000 * kSecond;
   for (Micros now = start; now < start + kSecond; now += 50 * kMillisecond) {
-    for (const AddToCounter& call : counter_calls(gateway.arrive(now, numbered("r", now)))) {
+    for (const AddToCounter& call :
+         counter_calls(gateway.receive_request(now, prefixed_number("r", now)))) {
       ++calls;
-      gateway.handle(now + kMillisecond, {counter_total(call, calls)});
+      gateway.handle(now + kMillisecond, {make_counter_reply(call, calls)});
     }
   }
   EXPECT_GE(calls, 4);
--- a/tests/policy/quota/quota_enforcement_test.cpp
+++ b/tests/policy/quota/quota_enforcement_test.cpp
@@ -19,7 +19,7 @@
   int forwarded = 0;
   int rejected = 0;
   for (int i = 0; i < 25; ++i) {
-    const auto actions = gateway.arrive(kMillisecond, numbered("r", i));
+    const auto actions = gateway.receive_request(kMillisecond, prefixed_number("r", i));
     for (const SendAttempt& attempt : attempts(actions)) {
       ++forwarded;
       gateway.complete(kMillisecond, attempt);
@@ -43,20 +43,21 @@
   const auto reply_total = [&](Micros now, const std::vector<Action>& actions, double elsewhere) {
     const auto calls = counter_calls(actions);
     if (!calls.empty()) {
-      gateway.handle(now, {counter_total(calls[0], calls[0].amount + elsewhere)});
+      gateway.handle(now, {make_counter_reply(calls[0], calls[0].amount + elsewhere)});
     }
     return !calls.empty();
   };
   const Micros start = 1000 * kSecond;
-  ASSERT_TRUE(reply_total(start, gateway.arrive(start, "a"), 0));
+  ASSERT_TRUE(reply_total(start, gateway.receive_request(start, "a"), 0));
   const Micros second_total = start + 1100 * kMillisecond;
-  const auto second = gateway.arrive(second_total, "b");
+  const auto second = gateway.receive_request(second_total, "b");
   // A full burst, and two seconds of refill.
   ASSERT_TRUE(reply_total(second_total, second, 41));
   int forwarded = 0;
   for (int i = 0; i < 10; ++i) {
     forwarded +=
-        int(attempts(gateway.arrive(start + 1101 * kMillisecond, numbered("c", i))).size());
+        int(attempts(gateway.receive_request(start + 1101 * kMillisecond, prefixed_number("c", i)))
+                .size());
   }
   EXPECT_LE(forwarded, 5);  // this gateway's share of the present demand
 }
@@ -73,7 +74,7 @@
   int forwarded = 0;
   for (int i = 0; i < 400; ++i) {
     const Micros now = 1001 * kSecond + i * 2 * kSecond;
-    const auto actions = gateway.arrive(now, numbered("r", i), 8);
+    const auto actions = gateway.receive_request(now, prefixed_number("r", i), 8);
     if (i >= 100) {
       forwarded += int(attempts(actions).size());
     }
@@ -84,7 +85,7 @@
       Total& total = totals.try_emplace(call.key, Total{now - kSecond, 0}).first->second;
       total.added_here += call.amount;
       const double elsewhere = 12.0 * double(now - total.started_at) / double(kSecond);
-      gateway.handle(now, {counter_total(call, total.added_here + elsewhere)});
+      gateway.handle(now, {make_counter_reply(call, total.added_here + elsewhere)});
     }
   }
   const int expected = 300 * 5 / 8;
@@ -110,11 +111,11 @@
   Settings settings = basic_settings();
   settings.units_settled_later = true;
   GatewayHarness gateway(settings);
-  const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
-  AttemptCompleted completed = complete_attempt(sent.at(0), {.duration = 0});
+  const auto sent = attempts(gateway.receive_request(kMillisecond, "r"));
+  AttemptCompleted completed = make_completion(sent.at(0), {.duration = 0});
   completed.billed_units = 11;  // estimated as one
   gateway.handle(2 * kMillisecond, {completed});
-  EXPECT_EQ(gateway.admitted(3 * kMillisecond, 12), 9);  // the rest of a burst of twenty
+  EXPECT_EQ(gateway.count_admitted(3 * kMillisecond, 12), 9);  // the rest of a burst of twenty
 }
 
 TEST(QuotaAllocator, BurstThroughAllGatewaysDoesNotSpendTheTokensOncePerGateway) {
--- a/tests/policy/quota/quota_error_test.cpp
+++ b/tests/policy/quota/quota_error_test.cpp
@@ -87,8 +87,8 @@
     deliver_replies(now);
     const int customer = int(random_fraction() * kCustomers);
     const double units = 1 + std::floor(random_fraction() * 3);
-    RequestArrived request = make_request(numbered("r", ++requests_), now, units);
-    request.customer = numbered("c", customer);
+    RequestArrived request = make_request(prefixed_number("r", ++requests_), now, units);
+    request.customer = prefixed_number("c", customer);
     request.gateway_subset_size = int(gateways_.size());
     open_[request.id] = {std::size_t(customer), units};
     requested_units_ += units;
@@ -126,8 +126,8 @@
     double& total = totals_[call.key];
     total += call.amount;
     const CounterReply reply = duration > kCounterTimeout
-                                   ? counter_unanswered(call, kCounterTimeout)
-                                   : counter_total(call, total, duration);
+                                   ? make_counter_timeout(call, kCounterTimeout)
+                                   : make_counter_reply(call, total, duration);
     replies_.emplace(now + reply.duration, std::pair(gateway, reply));
   }
 
--- a/tests/policy/retry_policy_test.cpp
+++ b/tests/policy/retry_policy_test.cpp
@@ -19,7 +19,7 @@
 
 // The actions of the gateway when the first attempt of a request ends with `outcome` at 50 ms.
 std::vector<Action> first_attempt_ends(GatewayHarness& gateway, Outcome outcome) {
-  const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
+  const auto sent = attempts(gateway.receive_request(kMillisecond, "r"));
   return gateway.complete(50 * kMillisecond, sent.at(0), {.outcome = outcome});
 }
 
@@ -29,7 +29,7 @@
     endpoints[i].cell = std::int64_t(i / 2);
   }
   GatewayHarness gateway(settings_with(Idempotency::kIdempotencyKey), endpoints);
-  const auto first = attempts(gateway.arrive(kMillisecond, "r"));
+  const auto first = attempts(gateway.receive_request(kMillisecond, "r"));
   ASSERT_EQ(first.size(), 1U);
   const auto second =
       attempts(gateway.complete(50 * kMillisecond, first[0], {.outcome = Outcome::kReset}));
--- a/tests/policy/settings_change_test.cpp
+++ b/tests/policy/settings_change_test.cpp
@@ -18,7 +18,7 @@
 // changed from `before` to `after` while the request was open.
 std::vector<Action> reset_after_change(const Settings& before, const Settings& after) {
   GatewayHarness gateway(before);
-  const auto sent = attempts(gateway.arrive(kMillisecond, "r"));
+  const auto sent = attempts(gateway.receive_request(kMillisecond, "r"));
   EXPECT_EQ(sent.size(), 1U);
   gateway.handle(2 * kMillisecond, {SettingsChanged{after}});
   return gateway.complete(3 * kMillisecond, sent.at(0), {.outcome = Outcome::kReset});
@@ -36,7 +36,7 @@
 TEST(SettingsChange, LaterRequestsUseTheNewIdempotency) {
   GatewayHarness gateway(settings_with(Idempotency::kIdempotent, 3));
   gateway.handle(kMillisecond, {SettingsChanged{settings_with(Idempotency::kNonIdempotent, 3)}});
-  const auto sent = attempts(gateway.arrive(2 * kMillisecond, "r"));
+  const auto sent = attempts(gateway.receive_request(2 * kMillisecond, "r"));
   ASSERT_EQ(sent.size(), 1U);
   const auto actions = gateway.complete(3 * kMillisecond, sent[0], {.outcome = Outcome::kReset});
   EXPECT_EQ(failures(actions).size(), 1U);
@@ -57,13 +57,13 @@
 
 TEST(SettingsChange, SpentQuotaStaysSpent) {
   GatewayHarness gateway;
-  EXPECT_EQ(gateway.admitted(kMillisecond, 30), 20);
+  EXPECT_EQ(gateway.count_admitted(kMillisecond, 30), 20);
   gateway.handle(2 * kMillisecond, {SettingsChanged{settings_with(Idempotency::kIdempotent, 2)}});
-  EXPECT_EQ(gateway.admitted(3 * kMillisecond, 5), 0);
+  EXPECT_EQ(gateway.count_admitted(3 * kMillisecond, 5), 0);
   Settings smaller_quota = basic_settings();
   set_quota(smaller_quota, 2, 4);
   gateway.handle(10 * kSecond, {SettingsChanged{smaller_quota}});
-  EXPECT_EQ(gateway.admitted(10 * kSecond + kMillisecond, 10), 4);
+  EXPECT_EQ(gateway.count_admitted(10 * kSecond + kMillisecond, 10), 4);
 }
 
 }  // namespace
--- a/tests/support/fake_counter.cpp
+++ b/tests/support/fake_counter.cpp
@@ -3,7 +3,7 @@
 namespace quota_gateway::net::testing {
 
 void FakeCounter::on_input(PeerConnection& peer, std::string& pending) {
-  last = peer.shared_from_this();
+  last_peer = peer.shared_from_this();
   auto& reader = readers_[&peer];
   if (!reader) {
     reader.reset(redisReaderCreate(), redisReaderFree);
@@ -38,12 +38,13 @@
   if (silent) {
     return;
   }
-  if (resets_every > 0 && calls.size() % resets_every == 0) {
+  if (calls_per_reset > 0 && calls.size() % calls_per_reset == 0) {
     peer.reset();
     return;
   }
   const std::string total = std::to_string(sum);
-  peer.write(answer ? *answer : "$" + std::to_string(total.size()) + "\r\n" + total + "\r\n");
+  peer.write(reply_override ? *reply_override
+                            : "$" + std::to_string(total.size()) + "\r\n" + total + "\r\n");
 }
 
 }  // namespace quota_gateway::net::testing
--- a/tests/support/fake_counter.hpp
+++ b/tests/support/fake_counter.hpp
@@ -19,13 +19,13 @@
  public:
   using Listener::Listener;
 
-  bool silent = false;                // calls are added and get no reply
-  std::optional<std::string> answer;  // raw, in place of the total
+  bool silent = false;                        // calls are added and get no reply
+  std::optional<std::string> reply_override;  // raw, in place of the total
   // Calls after which a connection is reset; the last of them is added and gets no reply. 0: never.
-  std::size_t resets_every = 0;
+  std::size_t calls_per_reset = 0;
   std::vector<std::vector<std::string>> calls;
   std::map<std::string, double> totals;
-  std::shared_ptr<PeerConnection> last;
+  std::shared_ptr<PeerConnection> last_peer;
 
  protected:
   void on_input(PeerConnection& peer, std::string& pending) override;
--- a/tests/support/fake_discovery.cpp
+++ b/tests/support/fake_discovery.cpp
@@ -16,16 +16,16 @@
     return;
   }
   constexpr std::size_t kTargetBegin = std::string_view("GET ").size();
-  requests.push_back(pending.substr(kTargetBegin, pending.find(" HTTP/") - kTargetBegin));
+  request_targets.push_back(pending.substr(kTargetBegin, pending.find(" HTTP/") - kTargetBegin));
   pending.clear();
   if (unresponsive) {
     return;
   }
-  if (!rejection.empty()) {
-    peer.write(rejection);
+  if (!error_response.empty()) {
+    peer.write(error_response);
     return;
   }
-  peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(first));
+  peer.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(initial_body));
 }
 
 }  // namespace quota_gateway::net::testing
--- a/tests/support/fake_discovery.hpp
+++ b/tests/support/fake_discovery.hpp
@@ -19,10 +19,10 @@
   // The text as one chunk of a response.
   static std::string chunk(const std::string& text);
 
-  std::vector<std::string> requests;  // the targets
-  std::string first = "\n";           // what a watch begins with
-  bool unresponsive = false;          // requests get no response
-  std::string rejection;              // if not empty: the response in place of a watch
+  std::vector<std::string> request_targets;  // the targets
+  std::string initial_body = "\n";           // what a watch begins with
+  bool unresponsive = false;                 // requests get no response
+  std::string error_response;                // if not empty: the response in place of a watch
 
  protected:
   void on_input(PeerConnection& peer, std::string& pending) override;
--- a/tests/support/gateway_fleet.cpp
+++ b/tests/support/gateway_fleet.cpp
@@ -11,7 +11,7 @@
 
 GatewayFleet::GatewayFleet(int gateway_count, int endpoint_count, Settings settings) {
   for (int i = 0; i < endpoint_count; ++i) {
-    endpoints_.push_back(numbered("s", i));
+    endpoints_.push_back(prefixed_number("s", i));
   }
   settings.gateway_count = gateway_count;
   set_quota(settings, 1e6, 1e6);
@@ -27,7 +27,7 @@
   const Micros duration = (10 + now / kMillisecond * 7 % 21) * kMillisecond;
   for (std::size_t i = 0; i < gateways_.size(); ++i) {
     gateways_[i].run_timers(now);
-    gateways_[i].serve(now, numbered("r", now), [&](const std::string& endpoint) {
+    gateways_[i].serve_request(now, prefixed_number("r", now), [&](const std::string& endpoint) {
       used_endpoints_[i].insert(endpoint);
       ++attempts_at_[endpoint];
       return ServerResponse{.outcome = outcome_of(endpoint), .duration = duration};
--- a/tests/support/gateway_harness.cpp
+++ b/tests/support/gateway_harness.cpp
@@ -4,7 +4,7 @@
 
 namespace quota_gateway::testing {
 
-std::string numbered(std::string prefix, Micros number) {
+std::string prefixed_number(std::string prefix, Micros number) {
   return prefix.append(std::to_string(number));
 }
 
@@ -84,7 +84,7 @@
   return request;
 }
 
-AttemptCompleted complete_attempt(const SendAttempt& attempt, const AttemptResult& result) {
+AttemptCompleted make_completion(const SendAttempt& attempt, const AttemptResult& result) {
   AttemptCompleted completed;
   completed.id = attempt.id;
   completed.server = attempt.server;
@@ -95,7 +95,7 @@
   return completed;
 }
 
-CounterReply counter_total(const AddToCounter& call, double total, Micros duration) {
+CounterReply make_counter_reply(const AddToCounter& call, double total, Micros duration) {
   CounterReply reply;
   reply.key = call.key;
   reply.total = total;
@@ -104,7 +104,7 @@
   return reply;
 }
 
-CounterReply counter_unanswered(const AddToCounter& call, Micros duration) {
+CounterReply make_counter_timeout(const AddToCounter& call, Micros duration) {
   CounterReply reply;
   reply.key = call.key;
   reply.outcome = CounterOutcome::kUnknown;
@@ -164,17 +164,19 @@
   return actions;
 }
 
-std::vector<Action> GatewayHarness::arrive(Micros now, const std::string& id, double units) {
+std::vector<Action> GatewayHarness::receive_request(Micros now, const std::string& id,
+                                                    double units) {
   return handle(now, {make_request(id, now, units)});
 }
 
 std::vector<Action> GatewayHarness::complete(Micros now, const SendAttempt& attempt,
                                              const AttemptResult& result) {
-  return handle(now, {complete_attempt(attempt, result)});
+  return handle(now, {make_completion(attempt, result)});
 }
 
-void GatewayHarness::serve(Micros now, const std::string& id, const Respond& respond) {
-  auto sent = attempts(arrive(now, id));
+void GatewayHarness::serve_request(Micros now, const std::string& id,
+                                   const ServerResponder& respond) {
+  auto sent = attempts(receive_request(now, id));
   for (int attempt = 0; !sent.empty(); ++attempt) {
     const ServerResponse response = respond(sent[0].server);
     sent = attempts(
@@ -183,11 +185,11 @@
   }
 }
 
-int GatewayHarness::admitted(Micros now, int count, double units) {
+int GatewayHarness::count_admitted(Micros now, int count, double units) {
   int forwarded = 0;
   for (int i = 0; i < count; ++i) {
-    const std::string id = numbered(numbered("b", now) + "-", i);
-    for (const SendAttempt& attempt : attempts(arrive(now, id, units))) {
+    const std::string id = prefixed_number(prefixed_number("b", now) + "-", i);
+    for (const SendAttempt& attempt : attempts(receive_request(now, id, units))) {
       ++forwarded;
       complete(now, attempt);
     }
--- a/tests/support/gateway_harness.hpp
+++ b/tests/support/gateway_harness.hpp
@@ -18,7 +18,7 @@
 constexpr Micros kSecond = 1'000'000;
 
 // `prefix` followed by `number`: names of requests, customers and servers.
-std::string numbered(std::string prefix, Micros number);
+std::string prefixed_number(std::string prefix, Micros number);
 
 // ---- Settings
 
@@ -60,13 +60,14 @@
 };
 
 // The end of an attempt. An attempt that succeeded has answered its request.
-AttemptCompleted complete_attempt(const SendAttempt& attempt, const AttemptResult& result = {});
+AttemptCompleted make_completion(const SendAttempt& attempt, const AttemptResult& result = {});
 
 // The counter's reply to `call`: the customer's units of all gateways together.
-CounterReply counter_total(const AddToCounter& call, double total, Micros duration = kMillisecond);
+CounterReply make_counter_reply(const AddToCounter& call, double total,
+                                Micros duration = kMillisecond);
 
 // No reply to `call` within `duration`: it may have been added or not.
-CounterReply counter_unanswered(const AddToCounter& call, Micros duration);
+CounterReply make_counter_timeout(const AddToCounter& call, Micros duration);
 
 // ---- Actions
 
@@ -97,7 +98,7 @@
   Micros duration = kMillisecond;         // as the gateway is told
   Micros completes_after = kMillisecond;  // from the arrival of the request
 };
-using Respond = std::function<ServerResponse(const std::string& server)>;
+using ServerResponder = std::function<ServerResponse(const std::string& server)>;
 
 // One gateway, which has received its endpoint list at time 0.
 class GatewayHarness {
@@ -113,7 +114,7 @@
   std::vector<Action> run_timers(Micros until);
 
   // A request of make_request() arrives.
-  std::vector<Action> arrive(Micros now, const std::string& id, double units = 1);
+  std::vector<Action> receive_request(Micros now, const std::string& id, double units = 1);
 
   // The attempt ends.
   std::vector<Action> complete(Micros now, const SendAttempt& attempt,
@@ -121,11 +122,11 @@
 
   // A request arrives at `now`; `respond` answers its attempts one after another until none
   // follows.
-  void serve(Micros now, const std::string& id, const Respond& respond);
+  void serve_request(Micros now, const std::string& id, const ServerResponder& respond);
 
   // Sends `count` requests one by one and answers each that is forwarded at the same instant; how
   // many were forwarded.
-  int admitted(Micros now, int count, double units = 1);
+  int count_admitted(Micros now, int count, double units = 1);
 
   // All actions since the start.
   const std::vector<Action>& actions() const { return actions_; }
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -30,7 +30,7 @@
 
 Process::Process(const std::string& config, const std::string& folder)
     : config_path_(create_temporary_file()) {
-  configure(config);
+  write_configuration(config);
   std::array<int, 2> pipe_ends{};
   EXPECT_EQ(::pipe(pipe_ends.data()), 0);
   pid_ = ::fork();
@@ -56,7 +56,7 @@
   ::unlink(config_path_.c_str());
 }
 
-std::string Process::log_until(const std::string& text) const {
+std::string Process::read_log_until(const std::string& text) const {
   std::string log;
   char byte = 0;
   while (::read(log_, &byte, 1) == 1) {
@@ -68,15 +68,15 @@
   return log;
 }
 
-void Process::configure(const std::string& config) {
+void Process::write_configuration(const std::string& config) {
   std::ofstream(config_path_, std::ios::trunc) << config;
 }
 
-void Process::kill(int signal) const {
+void Process::send_signal(int signal) const {
   ::kill(pid_, signal);
 }
 
-std::optional<int> Process::exit_code() {
+std::optional<int> Process::wait_for_exit() {
   int status = 0;
   ::waitpid(pid_, &status, 0);
   pid_ = 0;
--- a/tests/support/gateway_process.hpp
+++ b/tests/support/gateway_process.hpp
@@ -22,15 +22,15 @@
   ~Process();
 
   // Reads its log up to a line that holds `text`, or to its end. Blocks.
-  std::string log_until(const std::string& text) const;
+  std::string read_log_until(const std::string& text) const;
   // Overwrites its configuration file.
-  void configure(const std::string& config);
-  void hang_up() const { kill(SIGHUP); }
-  void terminate() const { kill(SIGTERM); }
-  void kill(int signal) const;
-  std::string id() const { return std::to_string(pid_); }
+  void write_configuration(const std::string& config);
+  void request_reload() const { send_signal(SIGHUP); }
+  void terminate() const { send_signal(SIGTERM); }
+  void send_signal(int signal) const;
+  std::string process_id() const { return std::to_string(pid_); }
   // Waits for its end. None if a signal ended it.
-  std::optional<int> exit_code();
+  std::optional<int> wait_for_exit();
 
  private:
   std::string config_path_;
--- a/tests/support/gateway_test_bed.hpp
+++ b/tests/support/gateway_test_bed.hpp
@@ -22,7 +22,7 @@
  public:
   GatewayTestBed();
 
-  void add_persisted(const ListedEndpoint& endpoint) {
+  void add_persisted_endpoint(const ListedEndpoint& endpoint) {
     config.persisted_endpoints.endpoints.push_back(endpoint);
   }
   // Returns once the persisted list is applied, unless discovery is unresponsive.
--- a/tests/support/http_client.cpp
+++ b/tests/support/http_client.cpp
@@ -28,7 +28,7 @@
   return response;
 }
 
-bool Client::ended() {
+bool Client::wait_for_close() {
   std::optional<error_code> done;
   char byte = 0;
   socket.async_read_some(asio::buffer(&byte, 1), [&](error_code ec, std::size_t) { done = ec; });
--- a/tests/support/http_client.hpp
+++ b/tests/support/http_client.hpp
@@ -24,7 +24,7 @@
   // The next response; none if the connection ends first.
   std::optional<HttpResponse> receive();
   // Whether the gateway ends the connection before it sends more.
-  bool ended();
+  bool wait_for_close();
 
  private:
   asio::io_context& io_;
--- a/tests/support/listed_endpoints.cpp
+++ b/tests/support/listed_endpoints.cpp
@@ -2,7 +2,7 @@
 
 namespace quota_gateway::net::testing {
 
-std::string numbered(std::string prefix, int number) {
+std::string prefixed_number(std::string prefix, int number) {
   return prefix.append(std::to_string(number));
 }
 
--- a/tests/support/listed_endpoints.hpp
+++ b/tests/support/listed_endpoints.hpp
@@ -10,7 +10,7 @@
 namespace quota_gateway::net::testing {
 
 // `prefix` and the number: a name for one of many.
-std::string numbered(std::string prefix, int number);
+std::string prefixed_number(std::string prefix, int number);
 
 // An endpoint in zone "a" that is up.
 ListedEndpoint listed_endpoint(const std::string& id, const Listener& server,
--- a/tests/support/quota_share_trial.cpp
+++ b/tests/support/quota_share_trial.cpp
@@ -38,7 +38,7 @@
 
   void send_request(int number) {
     const Micros now = kStart + Micros(double(number) / load_.own_rate * double(kSecond));
-    RequestArrived request = make_request(numbered("p", number), now);
+    RequestArrived request = make_request(prefixed_number("p", number), now);
     request.gateway_subset_size = load_.gateway_count;
     auto actions = gateway_.handle(now, {request});
     append(actions, gateway_.run_timers(now + 1));
@@ -66,7 +66,7 @@
     added_here += call.amount;
     const double elsewhere =
         load_.others_rate * double(now - started_at_[call.key]) / double(kSecond);
-    CounterReply reply = counter_total(call, added_here + elsewhere);
+    CounterReply reply = make_counter_reply(call, added_here + elsewhere);
     if (now >= kStart + load_.fault_from * kSecond) {
       reply.outcome = load_.counter_fault;
     }
--- a/tests/support/process_figures.cpp
+++ b/tests/support/resource_usage.cpp
@@ -1,4 +1,4 @@
-#include "support/process_figures.hpp"
+#include "support/resource_usage.hpp"
 
 #include <array>
 #include <cstdio>
@@ -7,13 +7,13 @@
 
 namespace quota_gateway::net::testing {
 
-std::int64_t processor_time() {
+std::int64_t thread_cpu_time_us() {
   timespec time{};
   ::clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
   return std::int64_t(time.tv_sec) * 1'000'000 + time.tv_nsec / 1000;
 }
 
-std::size_t memory_of(const std::string& process, const std::string& key) {
+std::size_t process_memory_bytes(const std::string& process, const std::string& key) {
   std::ifstream status("/proc/" + process + "/status");
   for (std::string line; std::getline(status, line);) {
     if (line.compare(0, key.size() + 1, key + ":") == 0) {
@@ -23,11 +23,11 @@
   return 0;
 }
 
-std::size_t resident() {
-  return memory_of("self", "VmRSS");
+std::size_t resident_memory_bytes() {
+  return process_memory_bytes("self", "VmRSS");
 }
 
-std::string fleet(int members) {
+std::string endpoint_entries_json(int members) {
   constexpr std::size_t kBytesPerMember = 140;
   std::string entries;
   entries.reserve(std::size_t(members) * kBytesPerMember);
--- a/tests/support/process_figures.hpp
+++ b/tests/support/resource_usage.hpp
@@ -9,21 +9,21 @@
 
 // What the address sanitizer adds: it keeps 256 MB of what was freed, and space round each string.
 #ifdef __SANITIZE_ADDRESS__
-inline constexpr std::size_t kMemoryFactor = 10;
+inline constexpr std::size_t kSanitizerMemoryFactor = 10;
 #else
-inline constexpr std::size_t kMemoryFactor = 1;
+inline constexpr std::size_t kSanitizerMemoryFactor = 1;
 #endif
 
 // Of this thread, us.
-std::int64_t processor_time();
+std::int64_t thread_cpu_time_us();
 
 // Bytes; 0 if unknown. `process`: an id or "self". `key` of its status file: VmRSS or VmHWM.
-std::size_t memory_of(const std::string& process, const std::string& key);
+std::size_t process_memory_bytes(const std::string& process, const std::string& key);
 
 // Bytes of this process.
-std::size_t resident();
+std::size_t resident_memory_bytes();
 
 // The members of a list as an agent writes them, about 130 bytes each.
-std::string fleet(int members);
+std::string endpoint_entries_json(int members);
 
 }  // namespace quota_gateway::net::testing
--- a/tests/support/shared_counter_fleet.cpp
+++ b/tests/support/shared_counter_fleet.cpp
@@ -11,7 +11,7 @@
 
 void SharedCounterFleet::send_requests(std::size_t gateway, Micros now, int count) {
   for (int i = 0; i < count; ++i) {
-    RequestArrived request = make_request(numbered("r", ++requested_), now);
+    RequestArrived request = make_request(prefixed_number("r", ++requested_), now);
     request.gateway_subset_size = int(gateways_.size());
     perform(gateway, now, gateways_[gateway].run_timers(now));
     perform(gateway, now, gateways_[gateway].handle(now, {request}));
@@ -30,7 +30,7 @@
     if (!counter_replies) {
       continue;
     }
-    CounterReply reply = counter_total(call, totals_[call.key]);
+    CounterReply reply = make_counter_reply(call, totals_[call.key]);
     reply.outcome = counter_outcome;
     const Micros replied_at = now + kMillisecond;
     perform(gateway, replied_at, gateways_[gateway].handle(replied_at, {reply}));
