--- a/tests/embed/run.sh
+++ b/tests/embed/run.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs the package, takes the example out of the README, builds it against the package and runs it.
+# Checks that another project can use the installed package: installs the package, extracts the example
+# from the README, builds it against the package and runs it.
 set -euo pipefail
 root=$1 build=$2
 work=$(mktemp -d)
--- a/tests/support/event_loop_runner.hpp
+++ b/tests/support/event_loop_runner.hpp
@@ -1,4 +1,4 @@
-// Runs an event loop within a test.
+// Runs an event loop in a test until a condition holds.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -6,7 +6,8 @@
 
 namespace quota_gateway::net::testing {
 
-// Runs the loop until `done`. False after a time that no healthy run comes near.
+// Runs the event loop until `done` returns true. Returns false if that takes longer than 20 s,
+// which is far longer than a passing test needs.
 bool run_until(boost::asio::io_context& io, const std::function<bool()>& done);
 
 }  // namespace quota_gateway::net::testing
--- a/tests/support/fake_discovery.hpp
+++ b/tests/support/fake_discovery.hpp
@@ -1,4 +1,4 @@
-// The discovery agent, on the loop of the test.
+// A fake of the discovery agent. It runs in the event loop of the test.
 #pragma once
 
 #include <string>
@@ -8,21 +8,27 @@
 
 namespace quota_gateway::net::testing {
 
-// Responds to a watch with its header and the lists that the test sends.
+// Responds to each watch request with a chunked response that stays open. The test sends endpoint
+// lists on it.
 class FakeDiscovery : public Listener {
  public:
   explicit FakeDiscovery(asio::io_context& io) : Listener(io) {}
 
-  // On the newest connection: bytes as they are, or as one chunk.
+  // Sends bytes unchanged on the newest connection.
   void send_raw(const std::string& bytes) { peers.back()->write(bytes); }
+  // Sends the text as one chunk on the newest connection.
   void send_chunk(const std::string& text) { send_raw(chunk(text)); }
-  // The text as one chunk of a response.
+  // Encodes the text as one chunk of a response with chunked transfer encoding.
   static std::string chunk(const std::string& text);
 
-  std::vector<std::string> request_targets;  // the targets
-  std::string initial_body = "\n";           // what a watch begins with
-  bool unresponsive = false;                 // requests get no response
-  std::string error_response;                // if not empty: the response in place of a watch
+  // The targets of all requests received.
+  std::vector<std::string> request_targets;
+  // The first chunk of each watch response.
+  std::string initial_body = "\n";
+  // If set, requests get no response.
+  bool unresponsive = false;
+  // If not empty, the complete response that is sent in place of a watch response.
+  std::string error_response;
 
  protected:
   void on_input(PeerConnection& peer, std::string& pending) override;
--- a/tests/support/fake_server.cpp
+++ b/tests/support/fake_server.cpp
@@ -16,7 +16,8 @@
     pending.erase(0, used);
     ++peer.requests;
     requests.push_back(parser.release());
-    // A copy: the handler may make the listener receive more requests.
+    // The handler gets a copy: if it runs the event loop, more requests may arrive and reallocate
+    // `requests`.
     on_request(peer, HttpRequest(requests.back()));
   }
 }
--- a/tests/support/fake_server.hpp
+++ b/tests/support/fake_server.hpp
@@ -1,4 +1,4 @@
-// A server behind the gateway, on the loop of the test.
+// A fake of a server behind the gateway. It runs in the event loop of the test.
 #pragma once
 
 #include <boost/beast/http.hpp>
@@ -13,12 +13,14 @@
 namespace http = boost::beast::http;
 using HttpRequest = http::request<http::string_body>;
 
-// Hands complete requests to `on_request`, which by default responds with the request's target.
+// Passes each complete request to `on_request`, which by default sends status 200 with the target
+// of the request as the body.
 class FakeServer : public Listener {
  public:
   using Listener::Listener;
 
   std::function<void(PeerConnection&, const HttpRequest&)> on_request = respond_with_target;
+  // All complete requests received.
   std::vector<HttpRequest> requests;
 
  protected:
--- a/tests/support/gateway_process.cpp
+++ b/tests/support/gateway_process.cpp
@@ -13,10 +13,11 @@
 namespace quota_gateway::net::testing {
 namespace {
 
+// free_port() starts in one of kPortRanges ranges of kPortsPerRange ports each.
 constexpr std::uint16_t kFirstPort = 12'000;
 constexpr int kPortRanges = 1'000;
 constexpr int kPortsPerRange = 16;
-constexpr int kExecFailed = 127;  // as a shell says it
+constexpr int kExecFailed = 127;  // exit code of a shell that cannot run a command
 
 std::string create_temporary_file() {
   std::string name = "/tmp/quota-gateway-test-XXXXXX";
@@ -28,7 +29,7 @@
 
 }  // namespace
 
-Process::Process(const std::string& config, const std::string& folder)
+Process::Process(const std::string& config, const std::string& hot_restart_directory)
     : config_path_(create_temporary_file()) {
   write_configuration(config);
   std::array<int, 2> pipe_ends{};
@@ -39,12 +40,12 @@
     ::close(pipe_ends[0]);
     ::close(pipe_ends[1]);
     ::setenv("RELAY_CONFIG", config_path_.c_str(), 1);
-    ::setenv("TMPDIR", folder.c_str(), 1);
+    ::setenv("TMPDIR", hot_restart_directory.c_str(), 1);
     ::execl(QUOTA_GATEWAY_PROGRAM, QUOTA_GATEWAY_PROGRAM, nullptr);
     ::_exit(kExecFailed);
   }
   ::close(pipe_ends[1]);
-  log_ = pipe_ends[0];
+  log_fd_ = pipe_ends[0];
 }
 
 Process::~Process() {
@@ -52,14 +53,14 @@
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, nullptr, 0);
   }
-  ::close(log_);
+  ::close(log_fd_);
   ::unlink(config_path_.c_str());
 }
 
 std::string Process::read_log_until(const std::string& text) const {
   std::string log;
   char byte = 0;
-  while (::read(log_, &byte, 1) == 1) {
+  while (::read(log_fd_, &byte, 1) == 1) {
     log += byte;
     if (byte == '\n' && log.find(text) != std::string::npos) {
       break;
@@ -87,26 +88,27 @@
 }
 
 std::uint16_t free_port(asio::io_context& io) {
-  // Another range for each test process that may run beside this one.
-  static auto next = std::uint16_t(kFirstPort + ::getpid() % kPortRanges * kPortsPerRange);
+  // Test processes run in parallel, so the process id selects the range of ports.
+  static auto port = std::uint16_t(kFirstPort + ::getpid() % kPortRanges * kPortsPerRange);
   while (true) {
     tcp::acceptor acceptor(io, tcp::v4());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     error_code in_use;
-    acceptor.bind({asio::ip::address_v4::loopback(), ++next}, in_use);
+    acceptor.bind({asio::ip::address_v4::loopback(), ++port}, in_use);
     if (!in_use) {
-      return next;
+      return port;
     }
   }
 }
 
 std::string config_json(std::uint16_t port, const Listener& server, const Listener& discovery,
-                        const std::string& more, const std::string& members) {
-  const std::string entries = members.empty() ? entry_json("s1", server.host_port()) : members;
+                        const std::string& extra_fields, const std::string& persisted_entries) {
+  const std::string entries =
+      persisted_entries.empty() ? entry_json("s1", server.host_port()) : persisted_entries;
   return R"({"name":"n0","listen":"127.0.0.1:)" + std::to_string(port) + R"(","discovery":")" +
          discovery.host_port() +
          R"(","seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":192,"sockets":1024},
-    )" + more +
+    )" + extra_fields +
          R"("known":)" + list_json(41, true, entries) +
          R"(,
     "settings":{"Az":"a","ReplicasOfMe":3,"Position":0,"Classes":[{"Name":"profile-read","Repeat":"safe",
--- a/tests/support/gateway_process.hpp
+++ b/tests/support/gateway_process.hpp
@@ -1,4 +1,4 @@
-// The program itself as a process, and a configuration for it.
+// Runs the gateway program as a child process, and writes configurations for it.
 #pragma once
 
 #include <sys/types.h>
@@ -12,39 +12,45 @@
 
 namespace quota_gateway::net::testing {
 
-// Runs from its construction on; killed at its end if it still runs.
+// A gateway process that the constructor starts. The destructor kills it if it still runs.
 class Process {
  public:
-  // `folder`: its $TMPDIR, which it shares with another process of its gateway.
-  explicit Process(const std::string& config, const std::string& folder = "");
+  // `config`: the text of the configuration file. `hot_restart_directory`: the value of TMPDIR,
+  // which a process shares with the peer processes of its gateway.
+  explicit Process(const std::string& config, const std::string& hot_restart_directory = "");
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
   ~Process();
 
-  // Reads its log up to a line that holds `text`, or to its end. Blocks.
+  // Reads the log up to the end of the first line that contains `text`, or up to the end of the
+  // log, and returns what was read. Blocks until then.
   std::string read_log_until(const std::string& text) const;
-  // Overwrites its configuration file.
+  // Overwrites the configuration file. The process reads it at the next reload.
   void write_configuration(const std::string& config);
+  // Sends SIGHUP, which makes the process reload its configuration.
   void request_reload() const { send_signal(SIGHUP); }
+  // Sends SIGTERM, which makes the process drain and exit.
   void terminate() const { send_signal(SIGTERM); }
   void send_signal(int signal) const;
   std::string process_id() const { return std::to_string(pid_); }
-  // Waits for its end. None if a signal ended it.
+  // Waits until the process exits and returns its exit code, or none if a signal ended it.
   std::optional<int> wait_for_exit();
 
  private:
   std::string config_path_;
-  pid_t pid_ = 0;  // 0 once it has been waited for
-  int log_ = -1;
+  pid_t pid_ = 0;    // 0 after wait_for_exit()
+  int log_fd_ = -1;  // read end of the pipe that receives standard error
 };
 
-// A port of this machine that nobody listens on, below those that the kernel hands out: one of
-// these could be anybody's before the process binds it.
+// Returns a local TCP port on which no process listens. The port is below the kernel's ephemeral
+// range: another program could get an ephemeral port before the gateway process binds it.
 std::uint16_t free_port(asio::io_context& io);
 
-// A configuration with one class and one plan. `more`: further members, each followed by a comma.
-// `members`: entries of the persisted list; if empty, `server` alone.
+// Returns a configuration with one request class and one plan. `extra_fields`: further fields at
+// the top level, each followed by a comma. `persisted_entries`: the entries of the persisted list;
+// if empty, the list contains only `server`.
 std::string config_json(std::uint16_t port, const Listener& server, const Listener& discovery,
-                        const std::string& more = "", const std::string& members = "");
+                        const std::string& extra_fields = "",
+                        const std::string& persisted_entries = "");
 
 }  // namespace quota_gateway::net::testing
--- a/tests/support/http_client.cpp
+++ b/tests/support/http_client.cpp
@@ -20,7 +20,7 @@
   HttpResponse response;
   http::async_read(socket, buffer_, response, [&](error_code ec, std::size_t) { done = ec; });
   if (!run_until(io_, [&] { return done.has_value(); })) {
-    ADD_FAILURE() << "no response";
+    ADD_FAILURE() << "the gateway sent no response within the time limit";
   }
   if (!done || *done) {
     return std::nullopt;
--- a/tests/support/http_client.hpp
+++ b/tests/support/http_client.hpp
@@ -1,4 +1,4 @@
-// A client of the gateway, on the loop of the test.
+// A client of the gateway. It runs in the event loop of the test.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -14,16 +14,18 @@
 namespace http = boost::beast::http;
 using HttpResponse = http::response<http::string_body>;
 
-// Has one connection.
+// An HTTP client with one connection, which the constructor opens.
 class Client {
  public:
   Client(asio::io_context& io, const tcp::endpoint& address);
 
-  // Blocks until all is written; errors are ignored.
+  // Blocks until all of the text is written. Ignores errors.
   void send(const std::string& text);
-  // The next response; none if the connection ends first.
+  // Waits for the next response and returns it, or none if the connection ends first. Reports a
+  // test failure if neither happens within the time limit of run_until().
   std::optional<HttpResponse> receive();
-  // Whether the gateway ends the connection before it sends more.
+  // Waits for the gateway to close or reset the connection. Returns false if the gateway sends data
+  // first, or if nothing happens within the time limit of run_until().
   bool wait_for_close();
 
  private:
--- a/tests/support/peer_connection.hpp
+++ b/tests/support/peer_connection.hpp
@@ -1,4 +1,5 @@
-// What a listener of the tests accepts connections with, and a connection that it has accepted.
+// A TCP listener, which is the base class of the fakes that tests run, and the connections that it
+// accepts.
 #pragma once
 
 #include <array>
@@ -14,31 +15,35 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// An accepted connection. Its owner consumes what it receives.
+// An accepted connection. It collects received bytes until the input handler consumes them.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
-  // Called with all input that has not been consumed; consumes by erasing.
+  // Called after each read with all input that has not been consumed. The handler consumes input by
+  // erasing it from the string.
   using InputHandler = std::function<void(PeerConnection&, std::string&)>;
 
   PeerConnection(tcp::socket accepted, InputHandler on_input);
 
+  // Reads and passes input to the handler until the connection ends.
   void read();
-  // Blocks until all is written; errors are ignored.
+  // Blocks until all of the text is written. Ignores errors.
   void write(const std::string& text);
   void close();
+  // Closes the connection with a TCP reset.
   void reset();
 
   tcp::socket socket;
-  std::string pending;  // received and not consumed
-  bool closed = false;  // by either side
-  int requests = 0;
+  std::string pending;  // received and not yet consumed
+  bool closed = false;  // closed by either side
+  int requests = 0;     // number of complete requests received; counted by FakeServer
 
  private:
   InputHandler on_input_;
   std::array<char, 16384> chunk_{};
 };
 
-// Listens on 127.0.0.1 and keeps all connections that it has accepted.
+// Listens on `local_address`, by default 127.0.0.1 with a free port, and keeps all connections that
+// it has accepted.
 class Listener {
  public:
   explicit Listener(asio::io_context& io,
@@ -48,7 +53,8 @@
   virtual ~Listener() = default;
 
   tcp::endpoint address() const { return acceptor.local_endpoint(); }
-  // The address as configuration and endpoint lists write it.
+  // Returns the address in the format of the configuration and of endpoint lists. It names
+  // 127.0.0.1 whatever the local address is.
   std::string host_port() const { return "127.0.0.1:" + std::to_string(address().port()); }
   // Resets all connections and stops listening.
   void stop();
@@ -57,7 +63,7 @@
   std::vector<std::shared_ptr<PeerConnection>> peers;
 
  protected:
-  // `pending`: all input of the connection that has not been consumed.
+  // Called after each read. `pending`: all input of the connection that has not been consumed.
   virtual void on_input(PeerConnection& peer, std::string& pending) = 0;
 
  private:
--- a/tests/support/resource_usage.cpp
+++ b/tests/support/resource_usage.cpp
@@ -27,14 +27,14 @@
   return process_memory_bytes("self", "VmRSS");
 }
 
-std::string endpoint_entries_json(int members) {
-  constexpr std::size_t kBytesPerMember = 140;
+std::string endpoint_entries_json(int count) {
+  constexpr std::size_t kReservedBytesPerEntry = 140;
   std::string entries;
-  entries.reserve(std::size_t(members) * kBytesPerMember);
-  for (int i = 0; i < members; ++i) {
-    std::array<char, 256> text{};
+  entries.reserve(std::size_t(count) * kReservedBytesPerEntry);
+  for (int i = 0; i < count; ++i) {
+    std::array<char, 256> entry{};
     std::snprintf(
-        text.data(), text.size(),
+        entry.data(), entry.size(),
         R"({"id":"s-%08x","host_port":"10.%d.%d.%d:8081","locality":"zone-%d","flavor":"m2",)"
         R"("cell":%d,"phase":"up","size":1.0,"up_since_ms":%lld})",
         unsigned(i) * 7919U, i >> 16, (i >> 8) & 255, i & 255, i % 7, i % 32,
@@ -42,7 +42,7 @@
     if (i > 0) {
       entries += ',';
     }
-    entries += text.data();
+    entries += entry.data();
   }
   return entries;
 }
--- a/tests/support/resource_usage.hpp
+++ b/tests/support/resource_usage.hpp
@@ -1,4 +1,5 @@
-// Processor time and memory that a test uses, and lists large enough to see them.
+// Measures CPU time and memory of a test, and writes endpoint lists large enough for such
+// measurements.
 #pragma once
 
 #include <cstddef>
@@ -7,23 +8,27 @@
 
 namespace quota_gateway::net::testing {
 
-// What the address sanitizer adds: it keeps 256 MB of what was freed, and space round each string.
+// Factor by which memory limits grow with the address sanitizer, which keeps 256 MB of freed memory
+// and adds space around each string.
 #ifdef __SANITIZE_ADDRESS__
 inline constexpr std::size_t kSanitizerMemoryFactor = 10;
 #else
 inline constexpr std::size_t kSanitizerMemoryFactor = 1;
 #endif
 
-// Of this thread, us.
+// Returns the CPU time that the calling thread has used, in microseconds.
 std::int64_t thread_cpu_time_us();
 
-// Bytes; 0 if unknown. `process`: an id or "self". `key` of its status file: VmRSS or VmHWM.
+// Returns a memory size of a process in bytes, or 0 if it is unknown. `process`: a process id or
+// "self". `key`: a key of /proc/PROCESS/status, VmRSS for resident and VmHWM for peak resident
+// memory.
 std::size_t process_memory_bytes(const std::string& process, const std::string& key);
 
-// Bytes of this process.
+// Returns the resident memory of this process in bytes.
 std::size_t resident_memory_bytes();
 
-// The members of a list as an agent writes them, about 130 bytes each.
-std::string endpoint_entries_json(int members);
+// Returns `count` entries of an endpoint list as a discovery agent writes them: JSON, separated by
+// commas, about 130 bytes each.
+std::string endpoint_entries_json(int count);
 
 }  // namespace quota_gateway::net::testing
