--- a/scale/fleet/counter_name_slope.cpp
+++ b/scale/fleet/counter_key_slope.cpp
@@ -104,7 +104,7 @@
 
 }  // namespace
 
-Scenario counter_name_scenario() {
+Scenario counter_key_scenario() {
   return {kScenario, "memory and processor time of the counter by live keys", memory, run};
 }
 
--- a/scale/fleet/fleet_slopes.hpp
+++ b/scale/fleet/fleet_slopes.hpp
@@ -22,7 +22,7 @@
 // Calls to the counter, their bytes, counter and gateway by requests per second at each gateway.
 Scenario counter_call_scenario();
 // Memory and processor time of the counter by its live keys.
-Scenario counter_name_scenario();
+Scenario counter_key_scenario();
 // Memory and processor time of a gateway by the tenants that have sent it requests.
 Scenario tenant_scenario();
 
--- a/scale/fleet_slopes.cpp
+++ b/scale/fleet_slopes.cpp
@@ -10,7 +10,7 @@
   scenarios.push_back(change_rate_scenario());
   scenarios.push_back(complete_list_scenario());
   scenarios.push_back(counter_call_scenario());
-  scenarios.push_back(counter_name_scenario());
+  scenarios.push_back(counter_key_scenario());
   scenarios.push_back(tenant_scenario());
 }
 
--- a/src/policy/endpoints/load_balancer.cpp
+++ b/src/policy/endpoints/load_balancer.cpp
@@ -78,10 +78,10 @@
       subset_(settings, registry_, slow_start_),
       concurrency_limit_(settings),
       retention_(kMinRetention) {
-  settings_changed();
+  on_settings_changed();
 }
 
-void LoadBalancer::settings_changed() {
+void LoadBalancer::on_settings_changed() {
   for (const ClassSettings& request_class : settings_.classes) {
     retention_ = std::max(retention_, 2 * request_class.deadline);
   }
--- a/src/policy/endpoints/load_balancer.hpp
+++ b/src/policy/endpoints/load_balancer.hpp
@@ -40,13 +40,13 @@
 
 class LoadBalancer {
  public:
-  // `settings` must outlive this object; `settings_changed` must be called after each change to
+  // `settings` must outlive this object; `on_settings_changed` must be called after each change to
   // them.
   LoadBalancer(const Settings& settings, std::uint64_t seed);
   LoadBalancer(const LoadBalancer&) = delete;
   LoadBalancer& operator=(const LoadBalancer&) = delete;
 
-  void settings_changed();
+  void on_settings_changed();
   void update_endpoints(Micros now, const EndpointListUpdate& update);
 
   // Sets the number of processes that serve as this gateway at the same time.
--- a/src/policy/gateway.cpp
+++ b/src/policy/gateway.cpp
@@ -203,7 +203,7 @@
   settings_ = sanitized(event.settings);
   registry_.update(settings_);
   quota_.on_settings_changed(context.now);
-  load_balancer_.settings_changed();
+  load_balancer_.on_settings_changed();
 }
 
 void Gateway::Impl::on_timer(EventContext& context, Request& request,
--- a/tests/policy/endpoints/load_balancer_test.cpp
+++ b/tests/policy/endpoints/load_balancer_test.cpp
@@ -157,7 +157,7 @@
   load_balancer.update_endpoints(0, complete_list(fleet_endpoints(0, 10'000)));
   for (int second = 1; second < 600; ++second) {
     ++settings.gateway_index;
-    load_balancer.settings_changed();
+    load_balancer.on_settings_changed();
     load_balancer.on_period(second * kSecond);
     EXPECT_LE(load_balancer.tracked_endpoints(), 70U * 100);
     const std::size_t subset_size = load_balancer.subset(second * kSecond).size();
--- a/tests/policy/endpoints/slow_start_test.cpp
+++ b/tests/policy/endpoints/slow_start_test.cpp
@@ -137,7 +137,7 @@
   load_balancer.on_attempt_sent(kSecond, *endpoint, 0.02);
   --endpoint->open_references;
   settings.gateway_index += 300;
-  load_balancer.settings_changed();
+  load_balancer.on_settings_changed();
   for (int second = 2; second < 200; ++second) {
     load_balancer.on_period(second * kSecond);
     for (const Endpoint* other : load_balancer.subset(second * kSecond)) {
@@ -145,7 +145,7 @@
     }
   }
   settings.gateway_index -= 300;
-  load_balancer.settings_changed();
+  load_balancer.on_settings_changed();
   endpoint = load_balancer.subset(200 * kSecond).front();
   ASSERT_EQ(endpoint->entry.server, warming.server);
   EXPECT_FALSE(load_balancer.slow_start_admits(200 * kSecond, *endpoint, 0.02));
