--- a/scale/command_line.cpp
+++ b/scale/command_line.cpp
@@ -13,8 +13,8 @@
          text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-// Without this check, CLI11 accepts "-1" for an unsigned option and converts it to the largest
-// number.
+// Accepts digits only: CLI11 itself accepts "-1" for an unsigned option and converts it to the
+// largest number.
 CLI::Validator whole_number() {
   return {[](const std::string& text) {
             return is_whole_number(text) ? std::string() : "'" + text + "' is not a whole number";
--- a/scale/event_measurement.cpp
+++ b/scale/event_measurement.cpp
@@ -13,7 +13,8 @@
 constexpr double kMicrosPerMilli = 1e3;
 constexpr double kBytesPerMegabyte = 1e6;
 
-// If a fleet has not converged this long after an event, the report says so.
+// Maximum time to wait for the fleet to converge after an event. The report notes if it has not
+// converged by then.
 constexpr Micros kEventTimeout = 30'000'000;
 // The mean rate of requests to discovery is taken over this many seconds, or over the duration of
 // the event if that is longer.
--- a/scale/fleet/fleet_slopes.hpp
+++ b/scale/fleet/fleet_slopes.hpp
@@ -14,12 +14,13 @@
 
 // Heartbeats, a change to each watcher, and how long until it is in force.
 Scenario watcher_scenario();
-// A day at the operators' rates, replayed at several speeds: bytes, agent and gateway by changes
-// per second.
+// Bytes and processor time of the agents and of a gateway by changes per second: a day at the
+// operators' rates, replayed at several speeds.
 Scenario change_rate_scenario();
 // A complete list to each of a few gateways, by listed servers.
 Scenario complete_list_scenario();
-// Calls to the counter, their bytes, counter and gateway by requests per second at each gateway.
+// Calls to the counter, their bytes, and processor time of the counter and of a gateway by requests
+// per second at each gateway.
 Scenario counter_call_scenario();
 // Memory and processor time of the counter by its live keys.
 Scenario counter_key_scenario();
--- a/scale/process/gateway_environment.hpp
+++ b/scale/process/gateway_environment.hpp
@@ -34,8 +34,8 @@
 
   // Whether a gateway starts with the complete list of discovery or without a list.
   enum class StartingList { kNone, kKnown };
-  // Returns the configuration of a gateway in this environment. The number of gateways is the one
-  // that the operators' target has for so many servers.
+  // Returns the configuration of a gateway in this environment. The number of gateways is in
+  // the same proportion to the number of servers as in the operators' target.
   GatewayConfigOptions gateway_config(StartingList starting_list) const;
 
   // The address of a server, for clients that send requests to it directly, without a gateway.
--- a/scale/process/gateway_process.cpp
+++ b/scale/process/gateway_process.cpp
@@ -38,7 +38,7 @@
 constexpr std::uint64_t kFirstProbeTraceId = (std::uint64_t(1) << 40) + 1;
 constexpr std::uint64_t kProbeExpiresInMs = 300;
 constexpr std::size_t kLogExcerptBytes = 400;
-// Texts in the gateway's log: of each reload, and of one that failed.
+// Texts that the gateway logs for each reload and for a failed reload.
 constexpr const char* kReloadLogText = "configuration ";
 constexpr const char* kReloadFailedLogText = "configuration reload failed";
 
--- a/scale/process/gateway_process.hpp
+++ b/scale/process/gateway_process.hpp
@@ -21,7 +21,7 @@
     kNotStarted,      // its working folder or its process could not be created
     kNotReady,        // it did not become ready in time, or ended before
     kReloadRejected,  // it rejected a configuration, or did not load it in time
-    kEnded            // it ended by itself; the message contains the beginning of its log
+    kEnded            // it ended unexpectedly; the message contains the beginning of its log
   };
   GatewayProcessError(Kind kind, const std::string& message)
       : std::runtime_error(message), kind_(kind) {}
--- a/scale/simulated_fleet.hpp
+++ b/scale/simulated_fleet.hpp
@@ -43,7 +43,7 @@
 // Owns the groups and their threads.
 class SimulatedFleet {
  public:
-  // Starts the gateways. Throws std::runtime_error if the process may not have enough descriptors.
+  // Starts the gateways. Throws std::runtime_error if the process cannot have enough descriptors.
   explicit SimulatedFleet(FleetOptions options);
 
   // Ends the gateways of the group without shutdown and immediately starts new ones, with the
--- a/scale/test_fleet.hpp
+++ b/scale/test_fleet.hpp
@@ -45,7 +45,7 @@
   // Starts the agents and the counter. Throws std::invalid_argument if an address is not a loopback
   // address.
   explicit TestFleet(Options options);
-  // Starts the gateways. Throws std::runtime_error if the process may not have enough descriptors.
+  // Starts the gateways. Throws std::runtime_error if the process cannot have enough descriptors.
   void start();
 
   const Layout& layout() const { return options_.layout; }
--- a/src/net/client/client_session.cpp
+++ b/src/net/client/client_session.cpp
@@ -246,7 +246,8 @@
   if (!is_in(SessionState::kAwaitingResponse)) {
     return;
   }
-  // The session doesn't wait for the rest of the request's body.
+  // If the request's body is incomplete, the session does not wait for the rest: it closes the
+  // connection after the response.
   const bool body_cut_off = reader_.is_body_incomplete();
   const ConnectionUse use = body_cut_off ? ConnectionUse::kClose : use_after_response();
   request_.reset();
--- a/src/net/hot_restart/hot_restart.hpp
+++ b/src/net/hot_restart/hot_restart.hpp
@@ -1,8 +1,8 @@
 // The link between two processes of one gateway during a hot restart: the parent, which serves
 // clients, and the child, which replaces it. The child finds the parent through a Unix socket in a
 // shared directory. The parent passes its listening socket to the child, so that no client
-// connection is lost during the handover. Each process keeps the link open, and its closing tells
-// that the other process has ended.
+// connection is lost during the handover. Each process keeps the link open; a link that closes
+// shows that the other process has ended.
 //
 // Owned by HandoverCoordinator, which decides how to react to each change. A process may be the
 // child of an older process and the parent of a newer one at the same time.
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -177,8 +177,9 @@
                         kCeilingOverdraftSeconds, context.actions);
 }
 
-// Whether the request may wait for the counter: all calls that it waits for together take at most
-// one call timeout, and another one must fit into the time that it has left.
+// Whether the request may wait for the counter. Less than one call timeout must have passed since
+// its arrival, so that all its waits together end after about one timeout, and the time left must
+// exceed another timeout and two clock ticks.
 bool Admission::may_wait_for_counter(Micros now, const Request& request) const {
   const Micros time_left = request.give_up_at - now;
   return now - request.arrived_at < settings_.counter_timeout &&
--- a/src/policy/hold_queue.cpp
+++ b/src/policy/hold_queue.cpp
@@ -68,7 +68,7 @@
     request.held = false;
     if (!request.done && !sender_.send(context, request)) {
       // Rejects the request now if the requests ahead of it are expected to take longer than its
-      // remaining hold time; holding it would be in vain.
+      // remaining hold time; holding it would only delay the rejection.
       const double expected_send_at =
           double(context.now) + work_ahead / load_balancer_.in_flight_limit();
       if (expected_send_at < double(request.hold_until)) {
--- a/src/policy/quota/counter_sync.cpp
+++ b/src/policy/quota/counter_sync.cpp
@@ -13,9 +13,9 @@
 // How long the counter keeps a key after its last use, us.
 constexpr Micros kKeyTimeToLive = 2 * kRotationWindowLength;
 
-// Minimum time between two calls for a customer that spends fast, us. Between two totals, each
-// gateway may spend the tokens that it sees, so with rare calls all gateways together could exceed
-// the quota.
+// Minimum time between two calls for a customer that spends fast, us. Between two totals, a
+// gateway does not see which tokens the others have spent, so with rare calls all gateways together
+// could exceed the quota.
 constexpr Micros kUrgentPeriod = kUpdatePeriod / 8;
 // Unreported units, as a fraction of the burst, that count as spending fast.
 constexpr double kUrgentBurstFraction = 0.1;
@@ -25,7 +25,7 @@
 constexpr double kKnownCustomerWeight = 0.25;
 
 // Switches to the counter key of the present rotation window. The totals of this key do not contain
-// demand from before the window began.
+// demand from before the window began, so `assumed_others` is reduced in proportion.
 void start_rotation_window(Micros now, std::int64_t rotation_window, Micros phase,
                            CounterTotal& total) {
   total.rotation_window = rotation_window;
--- a/src/policy/quota/demand_estimator.cpp
+++ b/src/policy/quota/demand_estimator.cpp
@@ -31,8 +31,8 @@
 // Credits this gateway's slice, the quota times own demand over all demand, for a request's units.
 // The part that the bucket's refill covers is subtracted. The credit depends on demand and not on
 // time, so one request an hour earns it too. The logarithms integrate the slice over the growth of
-// own demand by this request; the slice at the demand before the request gave large requests a
-// tenth too much.
+// own demand by this request; the slice at the demand before the request credited large requests
+// with a tenth too much.
 void add_slice_credit(CustomerState& customer, double units) {
   const Demand& demand = customer.demand;
   const double quota = customer.quota_rate;
--- a/src/policy/quota/quota_allocator.hpp
+++ b/src/policy/quota/quota_allocator.hpp
@@ -39,8 +39,8 @@
   CustomerState* on_counter_reply(Micros now, const CounterReply& reply);
 
   // Whether the slice covers a sparse customer's request that has no reservation from the pool.
-  // When demand exceeds the quota, the slice covers no request: together with the units that others
-  // reserve, twice the quota was admitted. This rule does not apply before the first total or while
+  // When demand exceeds the quota, the slice covers no request: otherwise, slices and reservations
+  // together would admit twice the quota. This rule does not apply before the first total or while
   // the counter is down.
   bool covers_without_reservation(const CustomerState& customer, double units) const;
 
@@ -50,8 +50,9 @@
   bool should_reserve(CustomerState& customer);
 
   // Returns how long a rejected client should wait before a retry, us: until the slice will cover
-  // `units`, and at least `min_retry_after`, but no longer than a fraction of the latency
-  // objective, since a retry that misses the objective earns little or nothing.
+  // `units`, and at least `min_retry_after`, but no longer than the maximum of the settings and a
+  // fraction of the latency objective, since a retry that misses the objective earns little or
+  // nothing.
   Micros retry_after(const CustomerState& customer, double units, Micros latency_objective,
                      Micros min_retry_after) const;
 
--- a/src/policy/quota/shared_pool.hpp
+++ b/src/policy/quota/shared_pool.hpp
@@ -52,7 +52,7 @@
   bool is_usable = false;
 };
 
-// The reservations in flight. The gateway owns one PoolLedger.
+// The reservations in flight. Admission owns one PoolLedger.
 class PoolLedger {
  public:
   // `limiter` must outlive this object.
--- a/src/policy/request_finisher.cpp
+++ b/src/policy/request_finisher.cpp
@@ -29,8 +29,8 @@
 
 void RequestFinisher::finish(EventContext& context, Request& request) const {
   request.done = true;
-  // A request that was never sent has used no units. The refund keeps requests that were held in
-  // vain from using up the quota of their customer.
+  // A request that was never sent has used no units. The refund keeps requests that were held but
+  // never sent from using up the quota of their customer.
   if (request.charged_to && request.attempts.empty()) {
     refund(*request.customer, *request.charged_to, request.quota_units);
   }
