--- a/tests/support/http_client.cpp
+++ b/tests/support/http_client.cpp
@@ -20,7 +20,7 @@
   HttpResponse response;
   http::async_read(socket, buffer_, response, [&](error_code ec, std::size_t) { done = ec; });
   if (!run_until(io_, [&] { return done.has_value(); })) {
-    ADD_FAILURE() << "no response";
+    ADD_FAILURE() << "the gateway sent no response within the time limit";
   }
   if (!done || *done) {
     return std::nullopt;
@@ -28,7 +28,7 @@
   return response;
 }
 
-bool Client::ended() {
+bool Client::wait_for_close() {
   std::optional<error_code> done;
   char byte = 0;
   socket.async_read_some(asio::buffer(&byte, 1), [&](error_code ec, std::size_t) { done = ec; });
